--- a/lab/appointed/appointed_callers.ts
+++ b/lab/appointed/appointed_callers.ts
@@ -1,8 +1,8 @@
 /** Callers of the simulation: sessions that read, write and run transactions, and tell the judge. */
-import type { CallerReply } from '../../src/router/caller_reply.js';
-import type { ReadPolicy } from '../../src/router/route_table.js';
-import type { RoutedSession } from '../../src/router/routed_session.js';
-import type { CallerStatement, PreparedShape } from '../../src/router/statement.js';
+import type { CallerReply } from '../../src/appointed/sessions/caller_reply.js';
+import type { ReadPolicy } from '../../src/appointed/catalog/route_table.js';
+import type { RoutedSession } from '../../src/appointed/sessions/routed_session.js';
+import type { CallerStatement, PreparedShape } from '../../src/appointed/instance/statement.js';
 import { type RandomSource, delay } from '../../src/runtime/runtime.js';
 import { StreamEnd } from '../simulation/virtual_stream.js';
 import {
--- a/lab/appointed/appointed_deployment.ts
+++ b/lab/appointed/appointed_deployment.ts
@@ -1,5 +1,5 @@
 /** Sizes of simulated deployments whose primaries are appointed. */
-import type { QuotaRules } from '../../src/tenancy/operation_budget.js';
+import type { QuotaRules } from '../../src/appointed/tenancy/operation_budget.js';
 
 /** One deployment. */
 export interface AppointedDeployment {
--- a/lab/appointed/appointed_judge.ts
+++ b/lab/appointed/appointed_judge.ts
@@ -2,8 +2,8 @@
  * Checks of a simulated history, made while it runs from what instances ran and what callers were told. Knows
  * nothing of the code under test.
  */
-import type { CallerErrorKind } from '../../src/router/caller_reply.js';
-import type { DataStatement, PreparedShape } from '../../src/router/statement.js';
+import type { CallerErrorKind } from '../../src/appointed/sessions/caller_reply.js';
+import type { DataStatement, PreparedShape } from '../../src/appointed/instance/statement.js';
 import type { SimulatedTenancy } from './simulated_tenancy.js';
 import type { EmulatedInstance, EmulatedSession, LogRecord } from './emulated_instance.js';
 
--- a/lab/appointed/appointed_nodes.ts
+++ b/lab/appointed/appointed_nodes.ts
@@ -1,17 +1,17 @@
 /** Simulated machines of a deployment whose primaries are appointed; they run the daemons' own cores. */
-import { Coordinator } from '../../src/coordinator/coordinator.js';
-import type { PrimaryAppointer } from '../../src/failover/primary_appointer.js';
+import { AppointedControl } from '../../src/appointed/control/appointed_control.js';
+import type { PrimaryAppointer } from '../../src/appointed/failover/primary_appointer.js';
 import type { EventKind } from '../../src/observability/events.js';
 import type { EventFields } from '../../src/observability/logger.js';
-import type { InstanceConnector } from '../../src/router/instance_connection.js';
-import type { RequestCounters } from '../../src/router/router_context.js';
-import type { RouteTable, RoutingDocumentReader } from '../../src/router/route_table.js';
-import { RouterCore } from '../../src/router/router_core.js';
-import { RoutedSession } from '../../src/router/routed_session.js';
+import type { InstanceConnector } from '../../src/appointed/instance/instance_connection.js';
+import type { RequestCounters } from '../../src/appointed/proxy/proxy_context.js';
+import type { RouteTable, RoutingDocumentReader } from '../../src/appointed/catalog/route_table.js';
+import { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
+import { RoutedSession } from '../../src/appointed/sessions/routed_session.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
-import { freshnessWithin } from '../../src/tenancy/admission.js';
-import type { QuotaRules } from '../../src/tenancy/operation_budget.js';
-import { TenantDirectory, type TenantGrant } from '../../src/tenancy/tenant.js';
+import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
+import type { QuotaRules } from '../../src/appointed/tenancy/operation_budget.js';
+import { TenantDirectory, type TenantGrant } from '../../src/appointed/tenancy/tenant.js';
 import type { TenancyOfDeployment } from './appointed_deployment.js';
 import { type MachineSurroundings, SimulatedMachine } from '../simulation/simulated_machine.js';
 import {
@@ -65,7 +65,7 @@
 
 /** A proxy. */
 export class SimulatedRouter extends SimulatedMachine<AppointedSurroundings> {
-  private core: RouterCore | undefined;
+  private core: AppointedProxy | undefined;
 
   constructor(
     name: string,
@@ -77,7 +77,7 @@
   }
 
   /** The running core and its process. */
-  get running(): { core: RouterCore; process: VirtualProcess } | undefined {
+  get running(): { core: AppointedProxy; process: VirtualProcess } | undefined {
     const { core, process } = this;
     return this.isUp && core && process ? { core, process } : undefined;
   }
@@ -89,7 +89,7 @@
 
   protected launch(process: VirtualProcess, runtime: Runtime): void {
     const { surroundings } = this;
-    const core = new RouterCore(runtime, {
+    const core = new AppointedProxy(runtime, {
       id: this.name,
       zone: this.zone,
       address: this.address,
@@ -112,7 +112,7 @@
 
 /** A control machine. */
 export class SimulatedCoordinator extends SimulatedMachine<AppointedSurroundings> {
-  core: Coordinator | undefined;
+  core: AppointedControl | undefined;
   private isFirstStart = true;
 
   constructor(
@@ -125,7 +125,7 @@
   }
 
   /** The running core. */
-  get running(): Coordinator | undefined {
+  get running(): AppointedControl | undefined {
     return this.isUp ? this.core : undefined;
   }
 
@@ -145,7 +145,7 @@
     };
     this.isFirstStart = false;
     this.core = undefined;
-    void Coordinator.open(runtime, options).then(async (core) => {
+    void AppointedControl.open(runtime, options).then(async (core) => {
       if (!process.alive) return;
       this.core = core;
       process.onEnd(() => core.stop());
--- a/lab/appointed/appointed_world.ts
+++ b/lab/appointed/appointed_world.ts
@@ -1,12 +1,12 @@
 /** A whole simulated deployment whose primaries are appointed. */
-import { documentOf, inflateSource } from '../../src/catalog/document_source.js';
+import { documentOf, inflateSource } from '../../src/appointed/catalog/document_source.js';
 import { PEER_CONNECT_TIMEOUT_MS } from '../../src/daemon/managed_process.js';
 import type {
   AppointmentAuthority,
   PrimaryAppointer,
-} from '../../src/failover/primary_appointer.js';
+} from '../../src/appointed/failover/primary_appointer.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import type { GroupLimits, ReadPolicy, Route } from '../../src/router/route_table.js';
+import type { GroupLimits, ReadPolicy, Route } from '../../src/appointed/catalog/route_table.js';
 import { hostOf } from '../../src/runtime/address.js';
 import { delay } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -4,13 +4,13 @@
   InstanceConnector,
   InstanceTarget,
   OpenedConnection,
-} from '../../src/router/instance_connection.js';
+} from '../../src/appointed/instance/instance_connection.js';
 import {
-  LONGEST_WITNESSED_SILENCE_MS,
-  WITNESSED_LEASE_MS,
-} from '../../src/router/replica_witness.js';
-import type { RouterCore } from '../../src/router/router_core.js';
-import type { InstanceCommand } from '../../src/router/statement.js';
+  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  REPLICA_LEASE_MS,
+} from '../../src/appointed/trust/replica_lease_confirmer.js';
+import type { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
+import type { InstanceCommand } from '../../src/appointed/instance/statement.js';
 
 /** Protections that can be taken away. */
 export const APPOINTED_PROTECTIONS = [
@@ -74,7 +74,7 @@
 }
 
 /** Makes a proxy trust the newest primary that it knows, whatever its lease says. */
-export function disableLease(core: RouterCore): void {
+export function disableLease(core: AppointedProxy): void {
   const { trust } = core;
   trust.accepts = () => true;
   trust.primaryOf = (group) => {
@@ -85,17 +85,17 @@
 }
 
 /** Makes a proxy run every operation of a tenant, whatever its limit. */
-export function disableQuota(core: RouterCore): void {
+export function disableQuota(core: AppointedProxy): void {
   core.allowances.take = () => ({ isGranted: true });
 }
 
 /** Makes a proxy extend its leases while control is out of reach without asking the replicas. */
-export function disableWitness(core: RouterCore): void {
+export function disableWitness(core: AppointedProxy): void {
   const { trust, clock } = core;
   core.witness.maintain = (silenceMs) => {
-    if (silenceMs > LONGEST_WITNESSED_SILENCE_MS) return;
+    if (silenceMs > LONGEST_REPLICA_LEASE_SILENCE_MS) return;
     for (const group of trust.leasedGroups()) {
-      trust.extend(group, trust.entryOf(group)?.epoch ?? 0, clock.now() + WITNESSED_LEASE_MS);
+      trust.extend(group, trust.entryOf(group)?.epoch ?? 0, clock.now() + REPLICA_LEASE_MS);
     }
   };
 }
--- a/lab/appointed/emulated_instance.ts
+++ b/lab/appointed/emulated_instance.ts
@@ -7,16 +7,16 @@
   InstanceErrorKind,
   InstanceStatus,
   TransactionState,
-} from '../../src/router/instance_connection.js';
+} from '../../src/appointed/instance/instance_connection.js';
 import {
   type DataStatement,
   type InstanceCommand,
   type PreparedShape,
   accessOf,
   sharedName,
-} from '../../src/router/statement.js';
+} from '../../src/appointed/instance/statement.js';
 import { delay } from '../../src/runtime/runtime.js';
-import { type Position, START, covers } from '../../src/session/position.js';
+import { type Position, START, covers } from '../../src/positions/position.js';
 import type { VirtualProcess } from '../simulation/virtual_process.js';
 import type { InstanceJournal } from './appointed_judge.js';
 
--- a/lab/appointed/simulated_tenancy.ts
+++ b/lab/appointed/simulated_tenancy.ts
@@ -1,5 +1,5 @@
 /** Tenants of a simulation: their credentials over time, and what a history must keep to. */
-import type { TenantGrant } from '../../src/tenancy/tenant.js';
+import type { TenantGrant } from '../../src/appointed/tenancy/tenant.js';
 import type { TenancyOfDeployment } from './appointed_deployment.js';
 
 /** Who held which credential in one version of the document. */
--- a/lab/appointed/virtual_instances.ts
+++ b/lab/appointed/virtual_instances.ts
@@ -8,11 +8,11 @@
   type InstanceConnector,
   type InstanceTarget,
   type OpenedConnection,
-} from '../../src/router/instance_connection.js';
-import type { InstanceCommand } from '../../src/router/statement.js';
-import { NO_TENANT } from '../../src/tenancy/tenant.js';
+} from '../../src/appointed/instance/instance_connection.js';
+import type { InstanceCommand } from '../../src/appointed/instance/statement.js';
+import { NO_TENANT } from '../../src/appointed/tenancy/tenant.js';
 import { hostOf } from '../../src/runtime/address.js';
-import type { Position } from '../../src/session/position.js';
+import type { Position } from '../../src/positions/position.js';
 import type { VirtualNetwork } from '../simulation/virtual_network.js';
 import type { VirtualProcess } from '../simulation/virtual_process.js';
 import { StreamEnd } from '../simulation/virtual_stream.js';
--- a/lab/bench/change_bench.ts
+++ b/lab/bench/change_bench.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { stringify } from 'yaml';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
-import { ProxyCore } from '../../src/proxy/proxy_core.js';
+import { ProxyCore } from '../../src/mysql/proxy/proxy_core.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 import { RealFolder } from '../../src/runtime/real_folder.js';
 import type { DataFolder, Messenger } from '../../src/runtime/runtime.js';
--- a/lab/bench/failover_bench.ts
+++ b/lab/bench/failover_bench.ts
@@ -2,9 +2,9 @@
  * Gap in service during a failover: for each caller the time from its last acknowledged write before a
  * fault of the primary to the first one after. Whole deployments on virtual time.
  */
-import type { GatewayOptions } from '../../src/gateway/group_gateway.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
-import { DEFAULT_MONITOR_OPTIONS } from '../../src/topology/group_monitor.js';
+import type { GatewayOptions } from '../../src/mysql/gateway/group_gateway.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
+import { DEFAULT_MONITOR_OPTIONS } from '../../src/mysql/topology/group_monitor.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkHistory, operationsOf } from '../history/checker.js';
 import type { HistoryEvent } from '../history/history.js';
--- a/lab/bench/replica_reads_bench.ts
+++ b/lab/bench/replica_reads_bench.ts
@@ -2,7 +2,7 @@
  * Share of reads that replicas serve, and what freshness costs in latency, over replication lag, write
  * share, and with or without session tokens. Whole deployments on virtual time.
  */
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkHistory, operationsOf } from '../history/checker.js';
 import { Latency } from './latency.js';
--- a/lab/bench/surge_bench.ts
+++ b/lab/bench/surge_bench.ts
@@ -2,8 +2,8 @@
  * Surge: lookups arrive at up to ten times the capacity of the replicas, emergency bookings go on beside
  * them, and proxies die and leave meanwhile. Open loop, on virtual time.
  */
-import type { GatewayOptions } from '../../src/gateway/group_gateway.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import type { GatewayOptions } from '../../src/mysql/gateway/group_gateway.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { delay } from '../../src/runtime/runtime.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkLimits } from '../history/checker.js';
--- a/lab/cli/main.ts
+++ b/lab/cli/main.ts
@@ -6,7 +6,7 @@
 import { hideBin } from 'yargs/helpers';
 import { stopSignal } from '../../src/daemon/stop_signal.js';
 import { WhinyokeError, messageOf } from '../../src/errors/errors.js';
-import { PROTECTIONS } from '../../src/gateway/protections.js';
+import { PROTECTIONS } from '../../src/mysql/gateway/protections.js';
 import { BENCHMARKS, runBenchmark } from '../bench/benchmarks.js';
 import { publish } from '../bench/report.js';
 import { runDatabase } from '../database/daemon.js';
--- a/lab/database/daemon.ts
+++ b/lab/database/daemon.ts
@@ -2,7 +2,7 @@
 import { splitAddress } from '../../src/runtime/address.js';
 import { createServer } from 'node:http';
 import { z } from 'zod';
-import { addressSchema } from '../../src/config/configuration.js';
+import { addressSchema } from '../../src/mysql/configuration/configuration.js';
 import { stopSignal } from '../../src/daemon/stop_signal.js';
 import { messageOf } from '../../src/errors/errors.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
--- a/lab/database/group_member.ts
+++ b/lab/database/group_member.ts
@@ -6,7 +6,7 @@
  * Elections follow the Raft rules (Ongaro and Ousterhout 2014): one vote per term, and only for a
  * candidate whose received log is at least as new.
  */
-import { type Position, START, covers } from '../../src/session/position.js';
+import { type Position, START, covers } from '../../src/positions/position.js';
 import { type DataFolder, type Runtime, type Timer, delay } from '../../src/runtime/runtime.js';
 import type { MessageBody } from '../../src/runtime/runtime.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
--- a/lab/database/instance.ts
+++ b/lab/database/instance.ts
@@ -4,7 +4,7 @@
  */
 import { DatabaseError } from '../../src/errors/errors.js';
 import { type DataFolder, type Runtime, delay } from '../../src/runtime/runtime.js';
-import { formatPosition } from '../../src/session/position.js';
+import { formatPosition } from '../../src/positions/position.js';
 import { GroupMember, type GroupOptions, type LogEntry, type MemberRole } from './group_member.js';
 import { InstanceSession } from './instance_session.js';
 import { RowLocks } from './row_locks.js';
--- a/lab/database/instance_session.ts
+++ b/lab/database/instance_session.ts
@@ -1,8 +1,8 @@
 /** One connection to an emulated instance: transaction state and statement execution. */
 import { DatabaseError } from '../../src/errors/errors.js';
 import { delay } from '../../src/runtime/runtime.js';
-import { covers } from '../../src/session/position.js';
-import { newestPosition } from '../../src/topology/gtid.js';
+import { covers } from '../../src/positions/position.js';
+import { newestPosition } from '../../src/mysql/topology/gtid.js';
 import { type Scope, evaluate, fixedValue, matches } from './evaluate.js';
 import type { DatabaseInstance } from './instance.js';
 import { GROUP_UUID, memberRows } from './performance_schema.js';
--- a/lab/database/mysql_endpoint.ts
+++ b/lab/database/mysql_endpoint.ts
@@ -1,7 +1,7 @@
 /** MySQL endpoint of an emulated instance. */
-import type { Completion, ResultSink } from '../../src/backend/backend.js';
-import type { CallerSession } from '../../src/frontend/caller_session.js';
-import { MysqlListener } from '../../src/frontend/mysql_listener.js';
+import type { Completion, ResultSink } from '../../src/mysql/backend/backend.js';
+import type { CallerSession } from '../../src/mysql/frontend/caller_session.js';
+import { MysqlListener } from '../../src/mysql/frontend/mysql_listener.js';
 import type { DatabaseInstance } from './instance.js';
 import type { InstanceSession } from './instance_session.js';
 
--- a/lab/database/sql/parser.ts
+++ b/lab/database/sql/parser.ts
@@ -1,6 +1,6 @@
 /** Recursive-descent parser for the SQL subset of the emulated database. */
 import { DatabaseError } from '../../../src/errors/errors.js';
-import { type Token, tokenize } from '../../../src/sql/tokenizer.js';
+import { type Token, tokenize } from '../../../src/mysql/sql/tokenizer.js';
 import type { ColumnDefinition, Expression, SelectItem, Statement } from './syntax.js';
 
 const ER_PARSE_ERROR = 1064;
--- a/lab/platform/daemon.ts
+++ b/lab/platform/daemon.ts
@@ -2,9 +2,9 @@
 import { splitAddress } from '../../src/runtime/address.js';
 import { createServer } from 'node:http';
 import { z } from 'zod';
-import { addressSchema } from '../../src/config/configuration.js';
+import { addressSchema } from '../../src/mysql/configuration/configuration.js';
 import { stopSignal } from '../../src/daemon/stop_signal.js';
-import type { PlatformMachine } from '../../src/control/platform_watcher.js';
+import type { PlatformMachine } from '../../src/mysql/control/platform_watcher.js';
 import { messageOf } from '../../src/errors/errors.js';
 import { readSettings } from '../../src/settings/settings.js';
 
--- a/lab/simulation/simulate_command.ts
+++ b/lab/simulation/simulate_command.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
 import { Worker } from 'node:worker_threads';
-import type { Protection } from '../../src/gateway/protections.js';
+import type { Protection } from '../../src/mysql/gateway/protections.js';
 import { APPOINTED_DEPLOYMENTS } from '../appointed/appointed_deployment.js';
 import {
   type AppointedFaultKind,
--- a/lab/simulation/simulated_nodes.ts
+++ b/lab/simulation/simulated_nodes.ts
@@ -1,9 +1,9 @@
 /** Simulated machines: each runs the daemons' own core objects on the virtual runtime. */
-import { ControlCore, type ControlOptions } from '../../src/control/control_core.js';
-import type { PlatformMachine, PlatformSource } from '../../src/control/platform_watcher.js';
-import type { GatewayOptions } from '../../src/gateway/group_gateway.js';
-import type { ProtectionSet } from '../../src/gateway/protections.js';
-import { ProxyCore } from '../../src/proxy/proxy_core.js';
+import { ControlCore, type ControlOptions } from '../../src/mysql/control/control_core.js';
+import type { PlatformMachine, PlatformSource } from '../../src/mysql/control/platform_watcher.js';
+import type { GatewayOptions } from '../../src/mysql/gateway/group_gateway.js';
+import type { ProtectionSet } from '../../src/mysql/gateway/protections.js';
+import { ProxyCore } from '../../src/mysql/proxy/proxy_core.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { DatabaseInstance } from '../database/instance.js';
 import { takesSlot } from '../database/instance_session.js';
--- a/lab/simulation/simulation.ts
+++ b/lab/simulation/simulation.ts
@@ -1,6 +1,6 @@
 /** One simulated run of a whole deployment under faults, from a seed to a checked history. */
 import { messageOf } from '../../src/errors/errors.js';
-import type { ProtectionSet } from '../../src/gateway/protections.js';
+import type { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import type { Deployment } from '../fleet/deployment.js';
 import type { GroupOptions } from '../fleet/layout.js';
--- a/lab/simulation/simulation_worker.ts
+++ b/lab/simulation/simulation_worker.ts
@@ -1,6 +1,6 @@
 /** Worker thread that runs simulations one after the other, as its parent asks for them. */
 import { parentPort } from 'node:worker_threads';
-import { ProtectionSet, type Protection } from '../../src/gateway/protections.js';
+import { ProtectionSet, type Protection } from '../../src/mysql/gateway/protections.js';
 import { deploymentOf } from '../fleet/deployment.js';
 import type { CheckName } from '../history/violation.js';
 import { formatHistory } from '../history/history.js';
--- a/lab/simulation/virtual_backend.ts
+++ b/lab/simulation/virtual_backend.ts
@@ -4,7 +4,7 @@
   BackendConnector,
   Completion,
   ResultSink,
-} from '../../src/backend/backend.js';
+} from '../../src/mysql/backend/backend.js';
 import { BackendConnectionLostError, DatabaseError, messageOf } from '../../src/errors/errors.js';
 import { hostOf } from '../../src/runtime/address.js';
 import type { DatabaseInstance } from '../database/instance.js';
--- a/lab/simulation/virtual_frontend.ts
+++ b/lab/simulation/virtual_frontend.ts
@@ -1,10 +1,14 @@
 /** Connections from simulated callers to simulated proxies. */
-import type { ResultSink } from '../../src/backend/backend.js';
-import type { CallerSession } from '../../src/frontend/caller_session.js';
-import { ConnectionActivity } from '../../src/frontend/connection_activity.js';
-import { type ErrorAnswer, errorAnswer, stoppingAnswer } from '../../src/frontend/error_answer.js';
+import type { ResultSink } from '../../src/mysql/backend/backend.js';
+import type { CallerSession } from '../../src/mysql/frontend/caller_session.js';
+import { ConnectionActivity } from '../../src/mysql/frontend/connection_activity.js';
+import {
+  type ErrorAnswer,
+  errorAnswer,
+  stoppingAnswer,
+} from '../../src/mysql/frontend/error_answer.js';
 import { RequestError } from '../../src/errors/errors.js';
-import { textValues } from '../../src/topology/instance_report.js';
+import { textValues } from '../../src/mysql/topology/instance_report.js';
 import {
   type CallerAnswer,
   type CallerConnection,
--- a/lab/simulation/world.ts
+++ b/lab/simulation/world.ts
@@ -1,6 +1,6 @@
 /** A whole simulated deployment: instances, control machines, proxies, platform and network. */
-import type { GatewayOptions } from '../../src/gateway/group_gateway.js';
-import type { ProtectionSet } from '../../src/gateway/protections.js';
+import type { GatewayOptions } from '../../src/mysql/gateway/group_gateway.js';
+import type { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { hostOf } from '../../src/runtime/address.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import type { Deployment } from '../fleet/deployment.js';
--- a/lab/workload/booking_session.ts
+++ b/lab/workload/booking_session.ts
@@ -3,7 +3,7 @@
  * proxy with each request. Writes its operations into the history.
  */
 import { type Clock, type RandomSource, delay } from '../../src/runtime/runtime.js';
-import { quoteString } from '../../src/sql/tokenizer.js';
+import { quoteString } from '../../src/mysql/sql/tokenizer.js';
 import type { HistoryRecorder, OperationKind } from '../history/history.js';
 import {
   type CallerAnswer,
--- a/lab/workload/mysql_caller.ts
+++ b/lab/workload/mysql_caller.ts
@@ -1,7 +1,7 @@
 /** Callers' connections through an ordinary `mysql2` client. */
 import { type Connection, type ResultSetHeader, createConnection } from 'mysql2';
 import { splitAddress } from '../../src/runtime/address.js';
-import { TOKEN_INFO_PREFIX } from '../../src/proxy/proxy_session.js';
+import { TOKEN_INFO_PREFIX } from '../../src/mysql/proxy/proxy_session.js';
 import {
   type CallerAnswer,
   type CallerConnection,
--- a/src/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -2,8 +2,8 @@
  * Replicated state of groups whose primary is appointed by the control plane: the routing document, the
  * instances, the epoch of each group, the registered proxies and the holder of the appointment duty.
  */
-import type { StateMachine } from '../consensus/log_applier.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+import type { StateMachine } from '../../consensus/log_applier.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { InstanceState } = whinyoke;
 
--- a/src/catalog/document_source.ts
+++ b/src/appointed/catalog/document_source.ts
@@ -1,6 +1,6 @@
 /** Text of routing documents as it is stored and sent: compressed. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import type { whinyoke } from '../protocol/generated/messages.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /** Document with its text compressed. */
 export function documentOf(version: number, source: string): whinyoke.IRoutingDocument {
--- a/src/router/busy_window.ts
+++ b/src/appointed/connections/concurrency_limit.ts
@@ -4,7 +4,7 @@
  * multiplicative decrease). At one statement a pause takes over, doubled with each refusal, so that any number of
  * proxies can share an instance that is full. Pure.
  */
-import type { RandomSource } from '../runtime/runtime.js';
+import type { RandomSource } from '../../runtime/runtime.js';
 
 const DECREASE_FACTOR = 0.5;
 const SHORTEST_PAUSE_MS = 10;
@@ -17,7 +17,7 @@
 const UNLIMITED_FROM = 64;
 
 /** Window of one pool. */
-export class BusyWindow {
+export class ConcurrencyLimit {
   private limit = Infinity;
   private pauseMs = 0;
   private pausedUntil = -Infinity;
--- a/src/router/opening_gate.ts
+++ b/src/appointed/connections/connect_backoff.ts
@@ -2,7 +2,7 @@
  * When a pool may open a connection, as far as the instance's refusals tell: not at once after it could not be reached,
  * not more than it had when the instance took no further one, and nothing for a moment where it had none at all.
  */
-import type { Clock, RandomSource } from '../runtime/runtime.js';
+import type { Clock, RandomSource } from '../../runtime/runtime.js';
 import type { ConnectionShare } from './connection_share.js';
 
 const RECONNECT_DELAY_MS = 100;
@@ -13,7 +13,7 @@
 const LONGEST_LIMIT_PAUSE_MS = 30;
 
 /** Gate of one pool. */
-export class OpeningGate {
+export class ConnectBackoff {
   private clampedUntil = -Infinity;
   private clampedTo = Infinity;
   private unreachableUntil = -Infinity;
--- a/src/router/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -3,7 +3,7 @@
  *
  * Every instance takes a limited number of connections from all proxies together. Where each proxy can have a
  * few of its own, it keeps them. Where there are more proxies than connections, nobody keeps any: a connection
- * is opened for a statement or transaction and given back after a while (see `IdlePatience`), and who finds
+ * is opened for a statement or transaction and given back after a while (see `IdleTimeout`), and who finds
  * none left tries again.
  */
 
--- a/src/router/idle_patience.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -9,7 +9,7 @@
 const DECREASE_FACTOR = 0.5;
 
 /** Patience of one pool. */
-export class IdlePatience {
+export class IdleTimeout {
   /** Without a bound of its own until the instance first had no connection left. */
   private patienceMs = Infinity;
 
--- a/src/router/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -1,20 +1,24 @@
 /** The instances that a proxy knows, and its ways to each of them. */
 import type { InstanceEntry } from '../catalog/catalog.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import { ConnectionHomes, type HomedInstance } from '../relay/connection_homes.js';
-import { HomeHealth } from '../relay/home_health.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import { ConnectionOwners, type OwnedInstance } from '../relay/connection_owners.js';
+import { OwnerHealth } from '../relay/owner_health.js';
 import { InstanceAccess } from '../relay/instance_access.js';
 import type { RelaySurroundings } from '../relay/relayed_connection.js';
-import type { Runtime } from '../runtime/runtime.js';
-import type { Position } from '../session/position.js';
+import type { Runtime } from '../../runtime/runtime.js';
+import type { Position } from '../../positions/position.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
-import type { ConnectError, InstanceConnector, InstanceTarget } from './instance_connection.js';
+import type {
+  ConnectError,
+  InstanceConnector,
+  InstanceTarget,
+} from '../instance/instance_connection.js';
 import { InstanceLoad } from './instance_load.js';
 import { type BusyReaction, type Displacement, InstancePool } from './instance_pool.js';
-import type { ReadCandidate } from './replica_selector.js';
-import type { WitnessReplica } from './replica_witness.js';
-import type { DecisionLog } from './router_context.js';
+import type { ReadCandidate } from '../routing/replica_selector.js';
+import type { ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
 
 const { InstanceState } = whinyoke;
 
@@ -44,17 +48,17 @@
 /** Directory of one proxy. */
 export class InstanceDirectory {
   /** Where the connections to instances are that have too few for all proxies. */
-  readonly homes: ConnectionHomes;
+  readonly homes: ConnectionOwners;
   private readonly entries = new Map<string, InstanceEntry>();
   private readonly accesses = new Map<string, InstanceAccess>();
   private readonly relaying: RelaySurroundings;
 
   constructor(private readonly surroundings: InstanceSurroundings) {
     const { runtime, ownAddress } = surroundings;
-    this.homes = new ConnectionHomes(ownAddress);
+    this.homes = new ConnectionOwners(ownAddress);
     this.relaying = {
       messenger: runtime.messenger,
-      health: new HomeHealth(runtime.clock, runtime.messenger),
+      health: new OwnerHealth(runtime.clock, runtime.messenger),
     };
   }
 
@@ -105,7 +109,7 @@
   }
 
   /** All instances of a group but its primary, whatever their state. */
-  replicasOf(group: string, primary: string): readonly WitnessReplica[] {
+  replicasOf(group: string, primary: string): readonly ConfirmingReplica[] {
     return [...this.entries]
       .filter(([id, instance]) => instance.group === group && id !== primary)
       .map(([id]) => ({ instance: id, pool: this.accesses.get(id) }));
@@ -128,7 +132,7 @@
     );
   }
 
-  private homed({ id, zone, group }: InstanceEntry): HomedInstance {
+  private homed({ id, zone, group }: InstanceEntry): OwnedInstance {
     const connectionLimit = this.surroundings.connectionLimitOf(group ?? '');
     return { id: id ?? '', zone: zone ?? '', connectionLimit };
   }
--- a/src/router/instance_load.ts
+++ b/src/appointed/connections/instance_load.ts
@@ -1,5 +1,5 @@
 /** What a router knows of one instance from its own statements: load, latency, position, failures. */
-import { type Position, covers } from '../session/position.js';
+import { type Position, covers } from '../../positions/position.js';
 
 const LATENCY_WEIGHT = 0.1;
 const INITIAL_LATENCY_MS = 10;
--- a/src/router/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -2,22 +2,22 @@
  * Connections of one proxy to one instance. A connection carries statements of the tenant for whom it was opened; where
  * there are no tenants, all are opened for the same.
  */
-import type { Clock, RandomSource, Timer } from '../runtime/runtime.js';
-import type { Position } from '../session/position.js';
+import type { Clock, RandomSource, Timer } from '../../runtime/runtime.js';
+import type { Position } from '../../positions/position.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
 import { AcquireError, type AcquireFailure } from './acquire_error.js';
-import { BusyWindow } from './busy_window.js';
+import { ConcurrencyLimit } from './concurrency_limit.js';
 import type { ConnectionShare } from './connection_share.js';
 import {
   ConnectError,
   type InstanceConnection,
   type InstanceConnector,
   type InstanceTarget,
-} from './instance_connection.js';
+} from '../instance/instance_connection.js';
 import { IdleConnections } from './idle_connections.js';
-import { IdlePatience } from './idle_patience.js';
+import { IdleTimeout } from './idle_timeout.js';
 import type { InstanceLoad } from './instance_load.js';
-import { OpeningGate } from './opening_gate.js';
+import { ConnectBackoff } from './connect_backoff.js';
 import { type ConnectionRequest, PooledConnection } from './pooled_connection.js';
 import { ServiceOrder } from '../scheduling/service_order.js';
 import { type WaitingRequest, WaiterQueue } from './waiter_queue.js';
@@ -91,8 +91,8 @@
   private readonly waiters: WaiterQueue;
   /** Requests that got no connection since the start, by cause. */
   readonly refused = new Map<AcquireFailure, number>();
-  private readonly window: BusyWindow;
-  private readonly gate: OpeningGate;
+  private readonly window: ConcurrencyLimit;
+  private readonly gate: ConnectBackoff;
   private pauseTimer: Timer | undefined;
   private openTimer: Timer | undefined;
   private readonly inUse = new Set<PooledConnection>();
@@ -102,7 +102,7 @@
   /** Smoothed time to open a connection, in milliseconds. */
   private connectMs = INITIAL_CONNECT_MS;
   private isClosed = false;
-  private readonly patience = new IdlePatience();
+  private readonly patience = new IdleTimeout();
   /** When the next spare connection is opened; undefined while none is missing. */
   private spareDueAt: number | undefined;
 
@@ -116,8 +116,8 @@
   ) {
     this.order = new ServiceOrder(options.weightOf);
     this.waiters = new WaiterQueue(clock, this.order);
-    this.window = new BusyWindow(options.random);
-    this.gate = new OpeningGate(clock, options.random, options.share);
+    this.window = new ConcurrencyLimit(options.random);
+    this.gate = new ConnectBackoff(clock, options.random, options.share);
   }
 
   /** Open connections, those being opened included. */
--- a/src/router/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -1,5 +1,5 @@
 /** One connection of a pool, and what it has loaded. */
-import type { InstanceConnection } from './instance_connection.js';
+import type { InstanceConnection } from '../instance/instance_connection.js';
 
 /** Steps that a reset counts as, more than a single value. */
 const RESET_STEPS = 3;
--- a/src/router/waiter_queue.ts
+++ b/src/appointed/connections/waiter_queue.ts
@@ -1,5 +1,5 @@
 /** Requests that wait for a connection, in the order of their turns. */
-import type { Clock, Timer } from '../runtime/runtime.js';
+import type { Clock, Timer } from '../../runtime/runtime.js';
 import type { QueuedRequest, ServiceOrder } from '../scheduling/service_order.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
--- a/src/coordinator/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -6,8 +6,8 @@
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceMonitor } from '../failover/instance_monitor.js';
 import { targetOf } from '../failover/instance_administrator.js';
-import { ConnectError, type InstanceConnector } from '../router/instance_connection.js';
-import type { Clock } from '../runtime/runtime.js';
+import { ConnectError, type InstanceConnector } from '../instance/instance_connection.js';
+import type { Clock } from '../../runtime/runtime.js';
 
 /** Whether the newcomer has the address. */
 export type ClaimOutcome = 'granted' | 'refused' | 'unclear';
--- a/src/coordinator/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -1,14 +1,14 @@
 /** Answers proxies that ask for operations of tenants, on the leader. */
 import { inflateSource } from '../catalog/document_source.js';
 import type { Catalog } from '../catalog/catalog.js';
-import type { RaftNode } from '../consensus/raft_node.js';
-import { messageOf } from '../errors/errors.js';
-import type { Proposer } from '../failover/appointment_duty.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { RoutingDocumentReader } from '../router/route_table.js';
-import type { Clock } from '../runtime/runtime.js';
+import type { RaftNode } from '../../consensus/raft_node.js';
+import { messageOf } from '../../errors/errors.js';
+import type { Proposer } from '../failover/appointment_lease.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { RoutingDocumentReader } from '../catalog/route_table.js';
+import type { Clock } from '../../runtime/runtime.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
 import {
   type AllowanceDemand,
--- a/src/coordinator/coordinator.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -1,24 +1,24 @@
 /** A control machine for groups whose primary is appointed: catalog, leases, changes of primary. */
 import { Catalog } from '../catalog/catalog.js';
-import { RaftLog } from '../consensus/raft_log.js';
-import { RaftNode } from '../consensus/raft_node.js';
-import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../consensus/raft_options.js';
-import { ClusterJoiner, loadIdentity } from '../control/cluster_joiner.js';
-import { AppointmentDuty, type Proposer } from '../failover/appointment_duty.js';
+import { RaftLog } from '../../consensus/raft_log.js';
+import { RaftNode } from '../../consensus/raft_node.js';
+import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../consensus/raft_options.js';
+import { ClusterJoiner, loadIdentity } from '../../consensus/cluster_joiner.js';
+import { AppointmentLease, type Proposer } from '../failover/appointment_lease.js';
 import { FailoverController } from '../failover/failover_controller.js';
 import { InstanceAdministrator } from '../failover/instance_administrator.js';
 import { InstanceMonitor } from '../failover/instance_monitor.js';
 import { LeaseLedger } from '../failover/lease_ledger.js';
 import type { PrimaryAppointer } from '../failover/primary_appointer.js';
 import { PrimaryHealthBoard } from '../failover/primary_health_board.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { InstanceConnector } from '../router/instance_connection.js';
-import type { RoutingDocumentReader } from '../router/route_table.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { InstanceConnector } from '../instance/instance_connection.js';
+import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import type { MessageBody, Runtime, Timer } from '../runtime/runtime.js';
-import { StallDetector } from '../runtime/stall_detector.js';
+import type { MessageBody, Runtime, Timer } from '../../runtime/runtime.js';
+import { StallDetector } from '../../runtime/stall_detector.js';
 import { AddressClaims } from './address_claim.js';
 import { AllowanceService } from './allowance_service.js';
 import { CatalogService } from './catalog_service.js';
@@ -26,7 +26,7 @@
 import { LEASE_MS, SyncService } from './sync_service.js';
 
 /** Identity and surroundings of a control machine. */
-export interface CoordinatorOptions {
+export interface AppointedControlOptions {
   /** Name under which this process holds the appointment duty. */
   readonly name: string;
   /** Address for messages of other processes. */
@@ -47,7 +47,7 @@
 }
 
 /** Timing of control machines that appoint primaries, in milliseconds. */
-export const COORDINATOR_RAFT_OPTIONS: RaftOptions = {
+export const APPOINTED_RAFT_OPTIONS: RaftOptions = {
   ...DEFAULT_RAFT_OPTIONS,
   heartbeatMs: 100,
   electionTimeoutMs: 300,
@@ -67,12 +67,12 @@
 const CONTACT_MS = 1000;
 
 /** One control machine. */
-export class Coordinator {
+export class AppointedControl {
   private readonly catalogService: CatalogService;
   private readonly syncService: SyncService;
   private readonly allowanceService: AllowanceService;
   private readonly controller: FailoverController;
-  private readonly duty: AppointmentDuty;
+  private readonly duty: AppointmentLease;
   private readonly ledger = new LeaseLedger();
   private readonly monitor = new InstanceMonitor();
   private readonly board = new PrimaryHealthBoard();
@@ -89,7 +89,7 @@
     readonly node: RaftNode,
     readonly catalog: Catalog,
     private readonly runtime: Runtime,
-    private readonly options: CoordinatorOptions,
+    private readonly options: AppointedControlOptions,
   ) {
     const { clock, messenger } = runtime;
     const propose: Proposer = (command) => this.propose(command);
@@ -126,7 +126,7 @@
       options.log,
     );
     const { name, address, appointer, log, connector } = options;
-    this.duty = new AppointmentDuty(
+    this.duty = new AppointmentLease(
       { name, address },
       catalog,
       messenger,
@@ -154,11 +154,11 @@
   }
 
   /** Reads the durable state and prepares everything; nothing is sent before `start`. */
-  static async open(runtime: Runtime, options: CoordinatorOptions): Promise<Coordinator> {
+  static async open(runtime: Runtime, options: AppointedControlOptions): Promise<AppointedControl> {
     const identity = await loadIdentity(runtime);
     const log = await RaftLog.open(runtime.folder);
     const catalog = new Catalog();
-    const raftOptions = { ...COORDINATOR_RAFT_OPTIONS, ...options.raft };
+    const raftOptions = { ...APPOINTED_RAFT_OPTIONS, ...options.raft };
     const node: RaftNode = new RaftNode(
       identity,
       options.address,
@@ -174,7 +174,7 @@
         onLeadership: () => coordinator.onLeadership(),
       },
     );
-    const coordinator = new Coordinator(node, catalog, runtime, options);
+    const coordinator = new AppointedControl(node, catalog, runtime, options);
     return coordinator;
   }
 
--- a/src/coordinator/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -5,14 +5,14 @@
  */
 import type { AddressClaims, ClaimOutcome } from './address_claim.js';
 import type { Catalog } from '../catalog/catalog.js';
-import type { RaftNode } from '../consensus/raft_node.js';
-import { messageOf } from '../errors/errors.js';
-import type { Proposer } from '../failover/appointment_duty.js';
+import type { RaftNode } from '../../consensus/raft_node.js';
+import { messageOf } from '../../errors/errors.js';
+import type { Proposer } from '../failover/appointment_lease.js';
 import type { InstanceMonitor } from '../failover/instance_monitor.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { Clock, Messenger } from '../runtime/runtime.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { Clock, Messenger } from '../../runtime/runtime.js';
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
--- a/src/coordinator/catalog_updates.ts
+++ b/src/appointed/control/catalog_updates.ts
@@ -1,6 +1,6 @@
 /** What changed in the catalog since a version, encoded once for all proxies that know the same version. */
 import type { Catalog } from '../catalog/catalog.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 const NOTHING = new Uint8Array(0);
 
--- a/src/coordinator/change_gate.ts
+++ b/src/appointed/control/change_gate.ts
@@ -3,8 +3,8 @@
  * gathered for a moment: each of them wakes every proxy, and at a start or in a storm of documents many come together.
  */
 import type { Catalog } from '../catalog/catalog.js';
-import type { Clock } from '../runtime/runtime.js';
-import { TimedWaiters } from '../runtime/timed_waiters.js';
+import type { Clock } from '../../runtime/runtime.js';
+import { TimedWaiters } from '../../runtime/timed_waiters.js';
 
 /**
  * How long changes that are not urgent are gathered, in milliseconds: a small part of the seconds within which a document
--- a/src/coordinator/position_board.ts
+++ b/src/appointed/control/position_board.ts
@@ -5,11 +5,11 @@
  */
 import type { Catalog, GroupEntry } from '../catalog/catalog.js';
 import { targetOf } from '../failover/instance_administrator.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { InstanceConnector } from '../router/instance_connection.js';
-import type { Clock } from '../runtime/runtime.js';
-import { type PrimaryPosition, START } from '../session/position.js';
-import { positionOf } from '../session/position_message.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { InstanceConnector } from '../instance/instance_connection.js';
+import type { Clock } from '../../runtime/runtime.js';
+import { type PrimaryPosition, START } from '../../positions/position.js';
+import { positionOf } from '../../positions/position_message.js';
 
 const { GroupPhase } = whinyoke;
 
--- a/src/coordinator/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -3,9 +3,9 @@
  * many proxies share the connections of an instance. Told only when it changed.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
-import type { RaftNode } from '../consensus/raft_node.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import type { Clock } from '../runtime/runtime.js';
+import type { RaftNode } from '../../consensus/raft_node.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import type { Clock } from '../../runtime/runtime.js';
 
 /** A proxy counts as live for the division of connections for this long, in milliseconds. */
 const LIVE_MS = 5000;
--- a/src/coordinator/proxy_registrar.ts
+++ b/src/appointed/control/proxy_registrar.ts
@@ -1,6 +1,6 @@
 /** Registers runs of proxies in the replicated log: one entry for all that wait. */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
-import type { Proposer } from '../failover/appointment_duty.js';
+import type { Proposer } from '../failover/appointment_lease.js';
 
 /** Registrar of one control machine. */
 export class ProxyRegistrar {
--- a/src/coordinator/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -1,12 +1,12 @@
 /** Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new. */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
-import type { RaftNode } from '../consensus/raft_node.js';
-import type { Proposer } from '../failover/appointment_duty.js';
+import type { RaftNode } from '../../consensus/raft_node.js';
+import type { Proposer } from '../failover/appointment_lease.js';
 import type { LeaseLedger } from '../failover/lease_ledger.js';
 import type { PrimaryHealthBoard } from '../failover/primary_health_board.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { Clock } from '../runtime/runtime.js';
-import { TimedWaiters } from '../runtime/timed_waiters.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Clock } from '../../runtime/runtime.js';
+import { TimedWaiters } from '../../runtime/timed_waiters.js';
 import { CatalogUpdates } from './catalog_updates.js';
 import { ChangeGate } from './change_gate.js';
 import type { PositionBoard } from './position_board.js';
--- a/src/daemon/coordinator_daemon.ts
+++ b/src/appointed/daemon/control_daemon.ts
@@ -1,19 +1,19 @@
-/** The daemon around {@link Coordinator}: logs, metrics, planned stop. */
+/** The daemon around {@link AppointedControl}: logs, metrics, planned stop. */
 import { Gauge, Registry } from 'prom-client';
-import { Coordinator } from '../coordinator/coordinator.js';
+import { AppointedControl } from '../control/appointed_control.js';
 import type { PrimaryAppointer } from '../failover/primary_appointer.js';
-import { addGauge } from '../observability/gauges.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { InstanceConnector } from '../router/instance_connection.js';
-import type { RoutingDocumentReader } from '../router/route_table.js';
+import { addGauge } from '../../observability/gauges.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { InstanceConnector } from '../instance/instance_connection.js';
+import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import { addDroppedLines, openMetrics, openProcess } from './managed_process.js';
-import { stopSignal } from './stop_signal.js';
+import { addDroppedLines, openMetrics, openProcess } from '../../daemon/managed_process.js';
+import { stopSignal } from '../../daemon/stop_signal.js';
 
 /** Settings of a control machine for groups with appointed primaries. */
-export interface CoordinatorSettings {
+export interface AppointedControlSettings {
   readonly id: string;
   /** Address for messages of other processes. */
   readonly internal: string;
@@ -27,8 +27,8 @@
 }
 
 /** A control machine that runs. */
-export interface RunningCoordinator {
-  readonly core: Coordinator;
+export interface RunningAppointedControl {
+  readonly core: AppointedControl;
   readonly log: DecisionLog;
   /** Takes over changed settings. */
   updateSeeds(seeds: readonly string[]): void;
@@ -36,7 +36,7 @@
   readonly stopped: Promise<void>;
 }
 
-function createRegistry(core: Coordinator): Registry {
+function createRegistry(core: AppointedControl): Registry {
   const registry = new Registry();
   const gauge = (name: string, help: string, value: () => number): void =>
     addGauge(registry, name, help, value);
@@ -72,18 +72,18 @@
 }
 
 /** Starts a control machine. */
-export async function startCoordinator(
-  settings: CoordinatorSettings,
+export async function startAppointedControl(
+  settings: AppointedControlSettings,
   connector: InstanceConnector,
   appointer: PrimaryAppointer,
   documents: RoutingDocumentReader,
-): Promise<RunningCoordinator> {
+): Promise<RunningAppointedControl> {
   const { runtime, logger, decisions, droppedLines } = await openProcess(
     'whinyoke-control',
     settings,
   );
   const readAt = performance.now();
-  const core = await Coordinator.open(runtime, {
+  const core = await AppointedControl.open(runtime, {
     name: settings.id,
     address: settings.internal,
     seeds: settings.seeds,
--- a/src/daemon/router_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -1,18 +1,18 @@
-/** The daemon around {@link RouterCore}: logs, metrics, listener, planned stop. */
-import type { RoutingDocumentReader } from '../router/route_table.js';
-import { Events } from '../observability/events.js';
-import type { InstanceConnector } from '../router/instance_connection.js';
-import { stopAsPlanned } from '../router/planned_stop.js';
+/** The daemon around {@link AppointedProxy}: logs, metrics, listener, planned stop. */
+import type { RoutingDocumentReader } from '../catalog/route_table.js';
+import { Events } from '../../observability/events.js';
+import type { InstanceConnector } from '../instance/instance_connection.js';
+import { stopAsPlanned } from '../proxy/planned_stop.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import { RouterCore } from '../router/router_core.js';
-import { type CallerCodec, SessionListener } from '../router/session_listener.js';
-import { addDroppedLines, openMetrics, openProcess } from './managed_process.js';
-import { SocketAcceptor } from '../runtime/socket_acceptor.js';
-import { RouterMetrics } from './router_metrics.js';
-import { stopSignal } from './stop_signal.js';
+import { AppointedProxy } from '../proxy/appointed_proxy.js';
+import { type CallerCodec, SessionListener } from '../sessions/session_listener.js';
+import { addDroppedLines, openMetrics, openProcess } from '../../daemon/managed_process.js';
+import { SocketAcceptor } from '../../runtime/socket_acceptor.js';
+import { ProxyMetrics } from './proxy_metrics.js';
+import { stopSignal } from '../../daemon/stop_signal.js';
 
 /** Settings of a proxy for groups with appointed primaries. */
-export interface RouterSettings {
+export interface AppointedProxySettings {
   readonly id: string;
   readonly zone: string;
   /** Address for callers. */
@@ -29,15 +29,15 @@
 }
 
 /** The protocols that the proxy speaks. */
-export interface RouterProtocols {
+export interface AppointedProxyProtocols {
   readonly callers: CallerCodec;
   readonly connector: InstanceConnector;
   readonly documents: RoutingDocumentReader;
 }
 
 /** A proxy that runs. */
-export interface RunningRouter {
-  readonly core: RouterCore;
+export interface RunningAppointedProxy {
+  readonly core: AppointedProxy;
   /** Takes over changed settings. */
   updateSeeds(seeds: readonly string[]): void;
   /** Resolves after a planned stop. */
@@ -52,18 +52,18 @@
 const CALLERS_HELD_MS = 600;
 
 /** Starts a proxy. Callers may wait at a listener that is open already. */
-export async function startRouter(
-  settings: RouterSettings,
-  protocols: RouterProtocols,
+export async function startAppointedProxy(
+  settings: AppointedProxySettings,
+  protocols: AppointedProxyProtocols,
   openAcceptor?: SocketAcceptor,
-): Promise<RunningRouter> {
+): Promise<RunningAppointedProxy> {
   const acceptor = openAcceptor ?? (await SocketAcceptor.open(settings.listen));
   const { runtime, logger, decisions, droppedLines } = await openProcess(
     'whinyoke-proxy',
     settings,
   );
-  const metrics = new RouterMetrics();
-  const core = new RouterCore(runtime, {
+  const metrics = new ProxyMetrics();
+  const core = new AppointedProxy(runtime, {
     id: settings.id,
     zone: settings.zone,
     address: settings.internal,
--- a/src/daemon/router_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -1,13 +1,13 @@
 /** Counters and latency histograms of a proxy for groups with appointed primaries. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
-import { addGauge } from '../observability/gauges.js';
-import type { RequestCounters } from '../router/router_context.js';
-import type { RouterCore } from '../router/router_core.js';
+import { addGauge } from '../../observability/gauges.js';
+import type { RequestCounters } from '../proxy/proxy_context.js';
+import type { AppointedProxy } from '../proxy/appointed_proxy.js';
 
 const LATENCY_BUCKETS_S = [0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1, 2];
 
 /** Metrics of one proxy. */
-export class RouterMetrics implements RequestCounters {
+export class ProxyMetrics implements RequestCounters {
   readonly registry = new Registry();
   private readonly latency = new Histogram({
     name: 'whinyoke_request_seconds',
@@ -43,7 +43,7 @@
   }
 
   /** Adds gauges that are read from a core. */
-  watch(core: RouterCore): void {
+  watch(core: AppointedProxy): void {
     addGauge(
       this.registry,
       'whinyoke_sync_age_seconds',
--- a/src/failover/appointment_fence.ts
+++ b/src/appointed/failover/appointment_fence.ts
@@ -1,16 +1,19 @@
 /**
  * When a replica may be appointed beside proxies that did not confirm the end of their leases. Such a proxy may trust the
- * old primary for as long as no replica that it knows is held (`src/router/replica_witness.ts`), so the chosen replica
+ * old primary for as long as no replica that it knows is held (`src/appointed/trust/replica_lease_confirmer.ts`), so the chosen replica
  * must have been held for longer than a lease that replicas confirm. Pure.
  */
-import { LONGEST_WITNESSED_SILENCE_MS, WITNESSED_LEASE_MS } from '../router/replica_witness.js';
+import {
+  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  REPLICA_LEASE_MS,
+} from '../trust/replica_lease_confirmer.js';
 
 /** Allowance for steady clocks that run differently, in milliseconds. */
 const CLOCK_MARGIN_MS = 100;
 
 /** From its last contact on, a proxy may have its leases confirmed by replicas for that long, in milliseconds. */
-export const LONGEST_WITNESSED_TRUST_MS =
-  LONGEST_WITNESSED_SILENCE_MS + WITNESSED_LEASE_MS + CLOCK_MARGIN_MS;
+export const LONGEST_REPLICA_LEASE_TRUST_MS =
+  LONGEST_REPLICA_LEASE_SILENCE_MS + REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
 
 /** What is known of the proxies that did not confirm. */
 export interface UnconfirmedProxies {
@@ -38,6 +41,6 @@
   if (replica.heldSince === undefined) return 'it is not held';
   if (replica.version > proxies.knownVersion) return 'a proxy out of reach may not know it';
   const heldMs = now - replica.heldSince;
-  const isLongEnough = heldMs > WITNESSED_LEASE_MS + CLOCK_MARGIN_MS;
+  const isLongEnough = heldMs > REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
   return isLongEnough ? undefined : `it has been held for ${Math.round(heldMs)} ms only`;
 }
--- a/src/failover/appointment_duty.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -3,8 +3,8 @@
  * replicated log. The duty stays with its holder while that is in touch, also when another machine leads.
  */
 import type { Catalog } from '../catalog/catalog.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { Messenger } from '../runtime/runtime.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Messenger } from '../../runtime/runtime.js';
 import type { AppointmentAuthority, PrimaryAppointer } from './primary_appointer.js';
 
 const REQUEST_TIMEOUT_MS = 2500;
@@ -13,7 +13,7 @@
 export type Proposer = (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>;
 
 /** Duty as seen by one control machine. */
-export class AppointmentDuty {
+export class AppointmentLease {
   constructor(
     private readonly self: { readonly name: string; readonly address: string },
     private readonly catalog: Catalog,
--- a/src/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -1,6 +1,6 @@
 /** Choice of the instance that becomes primary. Pure. */
-import type { InstanceStatus } from '../router/instance_connection.js';
-import { comparePositions, covers } from '../session/position.js';
+import type { InstanceStatus } from '../instance/instance_connection.js';
+import { comparePositions, covers } from '../../positions/position.js';
 import type { RevocationState } from './lease_ledger.js';
 
 /** A replica that answered after all leases had ended. */
--- a/src/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -1,9 +1,9 @@
 /** Watches the primaries of all groups on the leader, and begins and resumes changes of primary. */
 import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { messageOf } from '../errors/errors.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { Timer } from '../runtime/runtime.js';
+import { messageOf } from '../../errors/errors.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Timer } from '../../runtime/runtime.js';
 import { targetOf } from './instance_administrator.js';
 import type { InstanceMonitor } from './instance_monitor.js';
 import { type ChangerContext, PrimaryChanger } from './primary_changer.js';
--- a/src/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -4,8 +4,8 @@
   InstanceConnector,
   InstanceStatus,
   InstanceTarget,
-} from '../router/instance_connection.js';
-import type { InstanceCommand } from '../router/statement.js';
+} from '../instance/instance_connection.js';
+import type { InstanceCommand } from '../instance/statement.js';
 
 const TIMEOUT_MS = 500;
 
--- a/src/failover/instance_monitor.ts
+++ b/src/appointed/failover/instance_monitor.ts
@@ -1,5 +1,5 @@
 /** What the leader knows of instances from their heartbeats. Not replicated: a new leader learns it anew. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 /** After such a silence a lower sequence number is a restart, not a late heartbeat; in milliseconds. */
 const RESTART_SILENCE_MS = 3000;
--- a/src/failover/lease_ledger.ts
+++ b/src/appointed/failover/lease_ledger.ts
@@ -4,10 +4,10 @@
  * the ledger from when it answered.
  */
 import type { ProxyEntry } from '../catalog/catalog.js';
-import { type Position, START, latest } from '../session/position.js';
-import { positionOf } from '../session/position_message.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import { LONGEST_WITNESSED_TRUST_MS, type UnconfirmedProxies } from './appointment_fence.js';
+import { type Position, START, latest } from '../../positions/position.js';
+import { positionOf } from '../../positions/position_message.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import { LONGEST_REPLICA_LEASE_TRUST_MS, type UnconfirmedProxies } from './appointment_fence.js';
 
 /** What is known of the end of an epoch's leases. */
 export interface RevocationState {
@@ -96,7 +96,7 @@
       isConfirmedByAll = false;
       const contact = this.contacts.get(runOf(proxy)) ?? { at: this.begunAt, knownVersion: 0 };
       knownVersion = Math.min(knownVersion, contact.knownVersion);
-      trustUntil = Math.max(trustUntil, contact.at + LONGEST_WITNESSED_TRUST_MS);
+      trustUntil = Math.max(trustUntil, contact.at + LONGEST_REPLICA_LEASE_TRUST_MS);
       if (this.mayHold(group, proxy, now)) isComplete = false;
     }
     const unconfirmed = { knownVersion, trustUntil };
--- a/src/failover/primary_appointer.ts
+++ b/src/appointed/failover/primary_appointer.ts
@@ -1,5 +1,5 @@
 /** The call outside that makes an instance the primary of its group. */
-import type { whinyoke } from '../protocol/generated/messages.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /** Who makes the call. */
 export interface AppointmentAuthority {
--- a/src/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -10,14 +10,14 @@
  * 6. the epoch is raised and its phase is STEADY.
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { InstanceStatus } from '../router/instance_connection.js';
-import { objectionOf } from '../router/replica_witness.js';
-import { type Clock, delay } from '../runtime/runtime.js';
-import { formatPosition } from '../session/position.js';
-import type { AppointmentDuty, Proposer } from './appointment_duty.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { InstanceStatus } from '../instance/instance_connection.js';
+import { objectionOf } from '../trust/replica_lease_confirmer.js';
+import { type Clock, delay } from '../../runtime/runtime.js';
+import { formatPosition } from '../../positions/position.js';
+import type { AppointmentLease, Proposer } from './appointment_lease.js';
 import { appointmentObjection } from './appointment_fence.js';
 import { type CandidateReport, type Choice, chooseCandidate } from './candidate.js';
 import { type InstanceAdministrator, targetOf } from './instance_administrator.js';
@@ -41,7 +41,7 @@
   readonly catalog: Catalog;
   readonly ledger: LeaseLedger;
   readonly administrator: InstanceAdministrator;
-  readonly duty: AppointmentDuty;
+  readonly duty: AppointmentLease;
   readonly propose: Proposer;
   readonly log: DecisionLog;
   /** Whether this process still leads in the term in which the change was begun. */
--- a/src/failover/primary_health_board.ts
+++ b/src/appointed/failover/primary_health_board.ts
@@ -1,5 +1,5 @@
 /** Opinions of the proxies on the primaries of groups, and the verdict that follows from them. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
--- a/src/router/instance_connection.ts
+++ b/src/appointed/instance/instance_connection.ts
@@ -1,5 +1,5 @@
 /** What the router needs of a connection to a database instance, whatever protocol carries it. */
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 import type { InstanceCommand } from './statement.js';
 
 /** Transaction state of a connection: none, open, or open and failed. */
--- a/src/router/statement.ts
+++ b/src/appointed/instance/statement.ts
@@ -2,7 +2,7 @@
  * Statements of callers and commands to instances, independent of the protocol that carries them. Arguments
  * are passed on unread.
  */
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 
 /** Whether a statement may change data. */
 export type Access = 'read' | 'write';
--- a/src/router/router_core.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -1,39 +1,44 @@
 /** A proxy in front of groups whose primary is appointed by the control plane. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import { inflateSource } from '../catalog/document_source.js';
-import { Events } from '../observability/events.js';
+import { Events } from '../../observability/events.js';
 import {
   type Clock,
   type MessageBody,
   type Runtime,
   type Timer,
   delay,
-} from '../runtime/runtime.js';
-import type { ConnectionSource } from './connection_source.js';
-import { CoordinatorClient, type SyncContent, type SyncParticipant } from './coordinator_client.js';
-import type { ConnectError, InstanceConnector, InstanceTarget } from './instance_connection.js';
-import { InstanceDirectory } from './instance_directory.js';
-import type { InstancePool } from './instance_pool.js';
-import type { Position } from '../session/position.js';
-import { PositionFloor } from './position_floor.js';
-import type { PrimaryObserver } from './primary_observer.js';
-import { PrimaryObservers } from './primary_observers.js';
-import { PrimaryTrust } from './primary_trust.js';
-import type { ReadCandidate } from './replica_selector.js';
+} from '../../runtime/runtime.js';
+import type { ConnectionSource } from '../connections/connection_source.js';
+import { ControlClient, type SyncContent, type SyncParticipant } from './control_client.js';
+import type {
+  ConnectError,
+  InstanceConnector,
+  InstanceTarget,
+} from '../instance/instance_connection.js';
+import { InstanceDirectory } from '../connections/instance_directory.js';
+import type { InstancePool } from '../connections/instance_pool.js';
+import type { Position } from '../../positions/position.js';
+import { PositionFloor } from '../routing/position_floor.js';
+import type { PrimaryObserver } from '../trust/primary_observer.js';
+import { PrimaryObservers } from '../trust/primary_observers.js';
+import { PrimaryTrust } from '../trust/primary_trust.js';
+import type { ReadCandidate } from '../routing/replica_selector.js';
 import { SharedPositions, toldPositions } from './shared_positions.js';
 import { RelayServer } from '../relay/relay_server.js';
-import { ReplicaWitness, type WitnessReplica } from './replica_witness.js';
-import type { RouteTable, RoutingDocumentReader } from './route_table.js';
-import { RoutedSession } from './routed_session.js';
+import { ReplicaLeaseConfirmer, type ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
+import type { RouteTable, RoutingDocumentReader } from '../catalog/route_table.js';
+import { RoutedSession } from '../sessions/routed_session.js';
 import { Admission } from '../tenancy/admission.js';
 import { AllowanceClient } from '../tenancy/allowance_client.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import type { DecisionLog, RequestCounters, RouterContext } from './router_context.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { RequestCounters, ProxyContext } from './proxy_context.js';
 
 const { PrimaryHealth } = whinyoke;
 
 /** Identity and surroundings of a proxy. */
-export interface RouterOptions {
+export interface AppointedProxyOptions {
   readonly id: string;
   readonly zone: string;
   /** Address for messages of other processes. */
@@ -66,7 +71,7 @@
 const RELAY_TIMEOUT_MS = 400;
 
 /** Core of one proxy. */
-export class RouterCore implements RouterContext, SyncParticipant {
+export class AppointedProxy implements ProxyContext, SyncParticipant {
   readonly trust = new PrimaryTrust();
   readonly clock: Clock;
   readonly zone: string;
@@ -95,16 +100,16 @@
   private answeredRequestAt = -Infinity;
   private isControlLost = false;
   private maintenance: Timer | undefined;
-  private readonly client: CoordinatorClient;
+  private readonly client: ControlClient;
   /** Keeps leases while control is out of reach. */
-  readonly witness: ReplicaWitness;
+  readonly witness: ReplicaLeaseConfirmer;
   readonly admission: Admission;
   readonly allowances: AllowanceClient;
   private readonly relayServer: RelayServer;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly options: RouterOptions,
+    private readonly options: AppointedProxyOptions,
   ) {
     this.clock = runtime.clock;
     this.zone = options.zone;
@@ -116,7 +121,7 @@
       address: options.address,
       zone: options.zone,
     };
-    this.client = new CoordinatorClient(runtime, this, options.seeds);
+    this.client = new ControlClient(runtime, this, options.seeds);
     this.instances = new InstanceDirectory({
       runtime,
       ownAddress: options.address,
@@ -150,7 +155,7 @@
       incarnation: this.self.incarnation ?? '',
       leaderAddress: () => this.client.leaderAddress,
     });
-    this.witness = new ReplicaWitness({
+    this.witness = new ReplicaLeaseConfirmer({
       clock: this.clock,
       trust: this.trust,
       log: this.log,
@@ -287,7 +292,7 @@
     return this.instances.readCandidates(group, this.trust.entryOf(group)?.primary ?? '');
   }
 
-  private replicasOf(group: string): readonly WitnessReplica[] {
+  private replicasOf(group: string): readonly ConfirmingReplica[] {
     return this.instances.replicasOf(group, this.trust.entryOf(group)?.primary ?? '');
   }
 
--- a/src/router/coordinator_client.ts
+++ b/src/appointed/proxy/control_client.ts
@@ -2,9 +2,9 @@
  * Keeps a proxy in step with the leading control machine: configuration, instances, epochs and leases come
  * with the answer to one held request; opinions on primaries and confirmed revocations go with the next.
  */
-import { messageOf } from '../errors/errors.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import { type MessageBody, type Runtime, delay } from '../runtime/runtime.js';
+import { messageOf } from '../../errors/errors.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import { type MessageBody, type Runtime, delay } from '../../runtime/runtime.js';
 
 /** What a sync request carries, as of now. */
 export interface SyncContent {
@@ -91,7 +91,7 @@
 }
 
 /** Client of one proxy. */
-export class CoordinatorClient {
+export class ControlClient {
   private controls: readonly string[];
   private leader = '';
   private nextControl = 0;
--- a/src/router/planned_stop.ts
+++ b/src/appointed/proxy/planned_stop.ts
@@ -2,8 +2,8 @@
  * Planned stop of a proxy. First it says that it is not ready and goes on serving, until new callers go
  * elsewhere; then connections close as soon as nothing is under way on them; at last the rest ends.
  */
-import { type Clock, delay } from '../runtime/runtime.js';
-import type { SessionListener } from './session_listener.js';
+import { type Clock, delay } from '../../runtime/runtime.js';
+import type { SessionListener } from '../sessions/session_listener.js';
 
 /** Parts of the grace period. */
 const SERVE_SHARE = 0.4;
--- a/src/router/router_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -1,19 +1,15 @@
 /** What sessions need of the process that they run in. */
-import type { EventKind } from '../observability/events.js';
-import type { EventFields } from '../observability/logger.js';
-import type { Clock } from '../runtime/runtime.js';
-import type { Position } from '../session/position.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { Clock } from '../../runtime/runtime.js';
+import type { Position } from '../../positions/position.js';
 import type { Admission } from '../tenancy/admission.js';
 import type { AllowanceClient } from '../tenancy/allowance_client.js';
-import type { ConnectionSource } from './connection_source.js';
-import type { PositionFloor } from './position_floor.js';
-import type { PrimaryObserver } from './primary_observer.js';
-import type { PrimaryTrust } from './primary_trust.js';
-import type { ReadCandidate } from './replica_selector.js';
-import type { RouteTable } from './route_table.js';
-
-/** Writes one line for a decision. */
-export type DecisionLog = (kind: EventKind, fields: EventFields) => void;
+import type { ConnectionSource } from '../connections/connection_source.js';
+import type { PositionFloor } from '../routing/position_floor.js';
+import type { PrimaryObserver } from '../trust/primary_observer.js';
+import type { PrimaryTrust } from '../trust/primary_trust.js';
+import type { ReadCandidate } from '../routing/replica_selector.js';
+import type { RouteTable } from '../catalog/route_table.js';
 
 /** Counts how requests ended. */
 export interface RequestCounters {
@@ -26,7 +22,7 @@
 }
 
 /** Surroundings of a session. */
-export interface RouterContext {
+export interface ProxyContext {
   readonly clock: Clock;
   readonly zone: string;
   readonly trust: PrimaryTrust;
--- a/src/router/shared_positions.ts
+++ b/src/appointed/proxy/shared_positions.ts
@@ -7,8 +7,8 @@
  * position whose age the leader tells was asked no earlier than that age before the request was sent. Both err towards
  * positions that seem older than they are. See docs/design/reads-at-scale.md.
  */
-import type { whinyoke } from '../protocol/generated/messages.js';
-import type { Position, PrimaryPosition } from '../session/position.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import type { Position, PrimaryPosition } from '../../positions/position.js';
 
 /** Positions that are older are not reported, in milliseconds: others need young ones. */
 const LONGEST_REPORTED_AGE_MS = 1000;
--- a/src/relay/connection_homes.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -5,9 +5,13 @@
  *
  * See docs/design/connection-homes.md.
  */
-import { RendezvousTable } from '../pool/rendezvous.js';
-import { type ConnectionShare, connectionShare, isScarce } from '../router/connection_share.js';
-import { stableHash } from './stable_hash.js';
+import { RendezvousTable } from '../../hashing/rendezvous.js';
+import {
+  type ConnectionShare,
+  connectionShare,
+  isScarce,
+} from '../connections/connection_share.js';
+import { stableHash } from '../../hashing/stable_hash.js';
 
 /** Live proxies of one zone, by address. */
 export interface ZoneProxies {
@@ -16,7 +20,7 @@
 }
 
 /** What the choice of homes needs to know of an instance. */
-export interface HomedInstance {
+export interface OwnedInstance {
   readonly id: string;
   readonly zone: string;
   /** Connections that it takes from all together. */
@@ -44,13 +48,13 @@
 /** Proxies of one instance, the first choice first. */
 interface HomeOrder {
   /** For which the order was made. */
-  readonly instance: HomedInstance;
+  readonly instance: OwnedInstance;
   readonly homes: readonly string[];
   readonly standIns: readonly string[];
 }
 
 /** Homes as one proxy knows them. */
-export class ConnectionHomes {
+export class ConnectionOwners {
   private readonly tables = new Map<string, RendezvousTable>();
   /** Orders by instance, kept until the proxies change: each statement asks for one. */
   private readonly orders = new Map<string, HomeOrder>();
@@ -74,7 +78,7 @@
    * Proxies through which statements of a tenant reach an instance, the first choice first; empty where each proxy
    * keeps connections of its own.
    */
-  of(instance: HomedInstance, tenant: string): readonly string[] {
+  of(instance: OwnedInstance, tenant: string): readonly string[] {
     if (!isScarce(instance.connectionLimit, this.proxies)) return [];
     const { homes, standIns } = this.orderOf(instance);
     const first = homes.length < 2 ? 0 : Number(stableHash(tenant) % BigInt(homes.length));
@@ -82,7 +86,7 @@
   }
 
   /** Connections that this proxy may hold to an instance itself. */
-  shareOf(instance: HomedInstance, liveProxies: number): ConnectionShare {
+  shareOf(instance: OwnedInstance, liveProxies: number): ConnectionShare {
     const { connectionLimit } = instance;
     if (!this.isHomeOf(instance)) return connectionShare(connectionLimit, liveProxies);
     const left = connectionLimit * (1 - RESERVED_PART);
@@ -91,12 +95,12 @@
     return { most, minimumIdle: 0, idleTimeoutMs, clampMs: HOME_CLAMP_MS, isHome: true };
   }
 
-  private isHomeOf(instance: HomedInstance): boolean {
+  private isHomeOf(instance: OwnedInstance): boolean {
     if (!isScarce(instance.connectionLimit, this.proxies)) return false;
     return this.orderOf(instance).homes.includes(this.ownAddress);
   }
 
-  private orderOf(instance: HomedInstance): HomeOrder {
+  private orderOf(instance: OwnedInstance): HomeOrder {
     const { id, zone, connectionLimit } = instance;
     const known = this.orders.get(id);
     const isSame = known?.instance.zone === zone;
--- a/src/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -1,8 +1,8 @@
 /** How a proxy reaches one instance: by connections of its own, or through the instance's homes. */
-import type { ConnectionSource } from '../router/connection_source.js';
-import type { InstanceLoad } from '../router/instance_load.js';
-import type { InstancePool } from '../router/instance_pool.js';
-import { type ConnectionRequest, PooledConnection } from '../router/pooled_connection.js';
+import type { ConnectionSource } from '../connections/connection_source.js';
+import type { InstanceLoad } from '../connections/instance_load.js';
+import type { InstancePool } from '../connections/instance_pool.js';
+import { type ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
 import { RelayedConnection, type RelaySurroundings } from './relayed_connection.js';
 
--- a/src/relay/home_health.ts
+++ b/src/appointed/relay/owner_health.ts
@@ -2,7 +2,7 @@
  * Which homes did not answer, as one proxy has found. Such a home is left alone until it has answered a question of the
  * system's own, so that no statement of a caller finds out that it is still away.
  */
-import type { Clock, Messenger } from '../runtime/runtime.js';
+import type { Clock, Messenger } from '../../runtime/runtime.js';
 
 /** Time between two questions to a home that is away, in milliseconds. */
 const QUESTION_SPACING_MS = 250;
@@ -16,7 +16,7 @@
 }
 
 /** Health of all homes. */
-export class HomeHealth {
+export class OwnerHealth {
   private readonly absent = new Map<string, Absence>();
 
   constructor(
--- a/src/relay/relay_codec.ts
+++ b/src/appointed/relay/relay_codec.ts
@@ -1,14 +1,14 @@
 /** Commands and answers of relayed statements as messages. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import type {
   InstanceAnswer,
   InstanceErrorKind,
   InstanceStatus,
   TransactionState,
-} from '../router/instance_connection.js';
-import type { DataStatement, InstanceCommand } from '../router/statement.js';
-import { START } from '../session/position.js';
-import { positionOf } from '../session/position_message.js';
+} from '../instance/instance_connection.js';
+import type { DataStatement, InstanceCommand } from '../instance/statement.js';
+import { START } from '../../positions/position.js';
+import { positionOf } from '../../positions/position_message.js';
 
 /** Commands that travel; what a session needs on its connection travels beside them. */
 export type RelayedCommand = Extract<
--- a/src/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -1,13 +1,17 @@
 /** Runs statements of other proxies on the connections of this one. */
-import { messageOf } from '../errors/errors.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { InstancePool } from '../router/instance_pool.js';
-import type { RouterContext } from '../router/router_context.js';
-import type { SessionContent } from '../router/session_loader.js';
-import { type Attempt, type HeldConnection, StatementRunner } from '../router/statement_runner.js';
-import { type Target } from '../router/target_planner.js';
-import { durationOf } from '../runtime/duration.js';
+import { messageOf } from '../../errors/errors.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { InstancePool } from '../connections/instance_pool.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
+import type { SessionContent } from '../sessions/session_loader.js';
+import {
+  type Attempt,
+  type HeldConnection,
+  StatementRunner,
+} from '../sessions/statement_runner.js';
+import { type Target } from '../routing/target_planner.js';
+import { durationOf } from '../../runtime/duration.js';
 import { type RelayedCommand, decodeRelayCommand, encodeRelayAnswer } from './relay_codec.js';
 
 const { RelayOutcome } = whinyoke;
@@ -34,7 +38,7 @@
   private nextConnection = 1;
 
   constructor(
-    private readonly context: RouterContext,
+    private readonly context: ProxyContext,
     /** Connections of this process to an instance. */
     private readonly poolOf: (instance: string) => InstancePool | undefined,
     private readonly incarnation: string,
--- a/src/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -4,15 +4,15 @@
  */
 import {
   BackendConnectionLostError,
-  HomeUnreachableError,
+  OwnerUnreachableError,
   PeerUnreachableError,
   messageOf,
-} from '../errors/errors.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { InstanceAnswer, InstanceConnection } from '../router/instance_connection.js';
-import type { InstanceCommand } from '../router/statement.js';
-import type { Messenger } from '../runtime/runtime.js';
-import type { HomeHealth } from './home_health.js';
+} from '../../errors/errors.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { InstanceAnswer, InstanceConnection } from '../instance/instance_connection.js';
+import type { InstanceCommand } from '../instance/statement.js';
+import type { Messenger } from '../../runtime/runtime.js';
+import type { OwnerHealth } from './owner_health.js';
 import { type RelayedCommand, decodeRelayAnswer, encodeRelayCommand } from './relay_codec.js';
 
 const { RelayOutcome } = whinyoke;
@@ -34,12 +34,12 @@
 /** What the connections of a process share. */
 export interface RelaySurroundings {
   readonly messenger: Messenger;
-  readonly health: HomeHealth;
+  readonly health: OwnerHealth;
 }
 
 /** What one home said, or why it said nothing. */
 type HomeReply =
-  { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: HomeUnreachableError };
+  { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: OwnerUnreachableError };
 
 /** Time for a request and its reply on the way, in milliseconds. */
 const TRAVEL_MS = 40;
@@ -133,7 +133,7 @@
   /** Tries one home after the other until one has sent the command, or refuses it for want of a connection. */
   private async send(command: RelayedCommand, timeoutMs: number): Promise<InstanceAnswer> {
     const homes = this.kept ? [this.kept.home] : this.route.homes;
-    let unreachable = new HomeUnreachableError('no home can be reached', { sent: false });
+    let unreachable = new OwnerUnreachableError('no home can be reached', { sent: false });
     for (const home of homes) {
       const reply = await Promise.race([this.exchange(home, command, timeoutMs), this.closing]);
       if ('reply' in reply) return this.judge(home, reply.reply);
@@ -162,11 +162,11 @@
       }
       health.noteFailure(home);
       const cause = relayReply?.cause ?? 'it relays nothing';
-      return { unreachable: new HomeUnreachableError(`${home}: ${cause}`, { sent: false }) };
+      return { unreachable: new OwnerUnreachableError(`${home}: ${cause}`, { sent: false }) };
     } catch (error) {
       health.noteFailure(home);
       const sent = !(error instanceof PeerUnreachableError) || error.sent;
-      return { unreachable: new HomeUnreachableError(messageOf(error), { sent }) };
+      return { unreachable: new OwnerUnreachableError(messageOf(error), { sent }) };
     }
   }
 
--- a/src/router/position_floor.ts
+++ b/src/appointed/routing/position_floor.ts
@@ -2,7 +2,7 @@
  * Positions of a trusted primary over the last seconds. A position counts from the moment its request was
  * sent: it covers every commit that was acknowledged before. See docs/design/appointed-primaries.md.
  */
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 
 interface Sample {
   readonly sentAt: number;
--- a/src/router/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -1,12 +1,12 @@
 /** Refusals told to callers, each with its cause and when to come back. */
-import { Events } from '../observability/events.js';
-import { type CallerErrorKind, type CallerReply, refused } from './caller_reply.js';
-import type { TransactionState } from './instance_connection.js';
+import { Events } from '../../observability/events.js';
+import { type CallerErrorKind, type CallerReply, refused } from '../sessions/caller_reply.js';
+import type { TransactionState } from '../instance/instance_connection.js';
 import type { RequestDeadline } from './request_deadline.js';
-import type { RouterContext } from './router_context.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { Target } from './target_planner.js';
-import { formatPosition } from '../session/position.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+import { formatPosition } from '../../positions/position.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 /** A request that is answered with an error. */
 export interface RefusedRequest {
@@ -25,7 +25,7 @@
 export const USUAL_CHANGE_MS = 800;
 
 /** When a caller should come back, in milliseconds. */
-export function retryAfter(context: RouterContext, group: string): number {
+export function retryAfter(context: ProxyContext, group: string): number {
   const now = context.clock.now();
   const entry = context.trust.entryOf(group);
   if (entry?.phase === whinyoke.GroupPhase.CHANGING) {
@@ -35,7 +35,7 @@
 }
 
 function logRefusal(
-  context: RouterContext,
+  context: ProxyContext,
   request: RefusedRequest,
   kind: CallerErrorKind,
   cause: string,
@@ -64,7 +64,7 @@
 
 /** Answer to a request that did not run; says when to come back. */
 export function refuse(
-  context: RouterContext,
+  context: ProxyContext,
   request: RefusedRequest,
   kind: CallerErrorKind,
   cause: string,
@@ -80,7 +80,7 @@
 
 /** The same, with the time to come back in milliseconds. */
 export function refuseFor(
-  context: RouterContext,
+  context: ProxyContext,
   request: RefusedRequest,
   kind: CallerErrorKind,
   cause: string,
@@ -93,7 +93,7 @@
 
 /** Answer to a request whose credential does not allow it, or can't be checked now. */
 export function refuseCredential(
-  context: RouterContext,
+  context: ProxyContext,
   request: RefusedRequest,
   outcome: 'unknown' | 'unproven',
 ): CallerReply {
@@ -108,7 +108,7 @@
 
 /** Notes an attempt after which the request may be tried again. */
 export function noteRetry(
-  context: RouterContext,
+  context: ProxyContext,
   request: Pick<RefusedRequest, 'id' | 'deadline'>,
   target: Target,
   cause: string,
@@ -129,7 +129,7 @@
 
 /** Answer to a request whose outcome is unknown. */
 export function inDoubt(
-  context: RouterContext,
+  context: ProxyContext,
   request: RefusedRequest,
   cause: string,
 ): CallerReply {
--- a/src/router/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -1,6 +1,6 @@
 /** Order in which instances are tried for a read. */
-import type { Position } from '../session/position.js';
-import type { InstanceLoad } from './instance_load.js';
+import type { Position } from '../../positions/position.js';
+import type { InstanceLoad } from '../connections/instance_load.js';
 
 /** An instance that may serve a read. */
 export interface ReadCandidate {
--- a/src/router/request_deadline.ts
+++ b/src/appointed/routing/request_deadline.ts
@@ -1,6 +1,6 @@
 /** Time limits of one request. */
-import type { Clock } from '../runtime/runtime.js';
-import type { Route } from './route_table.js';
+import type { Clock } from '../../runtime/runtime.js';
+import type { Route } from '../catalog/route_table.js';
 
 /** Share of the target latency that a request may wait without being offered to an instance. */
 const OFFER_SHARE = 0.4;
--- a/src/router/retry_pause.ts
+++ b/src/appointed/routing/retry_pause.ts
@@ -1,5 +1,5 @@
 /** Pauses between the attempts of one request, each twice as long as the one before. */
-import { type Clock, delay } from '../runtime/runtime.js';
+import { type Clock, delay } from '../../runtime/runtime.js';
 
 const FIRST_MS = 10;
 const LONGEST_MS = 80;
--- a/src/router/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -1,9 +1,9 @@
 /** Decides which instances may run a statement, and in which order they are tried. */
-import { type Position, latest } from '../session/position.js';
-import type { ConnectionSource } from './connection_source.js';
+import { type Position, latest } from '../../positions/position.js';
+import type { ConnectionSource } from '../connections/connection_source.js';
 import { orderCandidates } from './replica_selector.js';
-import type { Route } from './route_table.js';
-import type { RouterContext } from './router_context.js';
+import type { Route } from '../catalog/route_table.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 
 /** Clocks, and answers that were slow to be read: floors are taken this much younger, in milliseconds. */
 const FLOOR_MARGIN_MS = 100;
@@ -29,7 +29,7 @@
 }
 
 /** The trusted primary of a group. */
-export function primaryTarget(context: RouterContext, group: string): Target | undefined {
+export function primaryTarget(context: ProxyContext, group: string): Target | undefined {
   const primary = context.trust.primaryOf(group, context.clock.now());
   const pool = primary && context.poolOf(primary.instance);
   if (!primary || !pool) return undefined;
@@ -37,14 +37,14 @@
 }
 
 /** Whether answers of a target count now: those of replicas always, those of a primary under its lease. */
-export function isTargetTrusted(context: RouterContext, target: Target): boolean {
+export function isTargetTrusted(context: ProxyContext, target: Target): boolean {
   const { primaryEpoch, group } = target;
   if (primaryEpoch === undefined) return true;
   return context.trust.accepts(group, primaryEpoch, context.clock.now());
 }
 
 /** Position that a replica must have applied for a read; undefined when only the primary may serve it. */
-export function readFloor(context: RouterContext, request: ReadPlanRequest): Position | undefined {
+export function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
   const { policy, group } = request.route;
   if (policy.kind === 'primary') return undefined;
   context.noteReplicaRead(group);
@@ -56,7 +56,7 @@
 
 /** Targets of a read, best first. */
 export function planRead(
-  context: RouterContext,
+  context: ProxyContext,
   request: ReadPlanRequest,
   tried: ReadonlySet<string>,
 ): Target[] {
--- a/src/router/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -1,6 +1,6 @@
 /** Answers to callers, independent of the protocol that carries them. */
-import type { Position } from '../session/position.js';
-import type { TransactionState } from './instance_connection.js';
+import type { Position } from '../../positions/position.js';
+import type { TransactionState } from '../instance/instance_connection.js';
 
 /**
  * Kinds of errors told to callers. `busy`, `aborted`, `lagging`, `readOnly` and `unauthenticated` promise that nothing of the
--- a/src/router/transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -2,25 +2,25 @@
  * A caller's transaction. It owns one instance connection from its first statement to its end; before that
  * it holds nothing.
  */
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
-import type { InstanceAnswer, InstanceError } from './instance_connection.js';
-import { type RefusedRequest, inDoubt, noteRetry, refuse } from './refusal.js';
-import { RequestDeadline } from './request_deadline.js';
-import { RetryPause } from './retry_pause.js';
-import type { Route } from './route_table.js';
-import type { RouterContext } from './router_context.js';
+import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
+import { type RefusedRequest, inDoubt, noteRetry, refuse } from '../routing/refusal.js';
+import { RequestDeadline } from '../routing/request_deadline.js';
+import { RetryPause } from '../routing/retry_pause.js';
+import type { Route } from '../catalog/route_table.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 import type { SessionContent } from './session_loader.js';
-import { type DataStatement, type InstanceCommand, accessOf } from './statement.js';
+import { type DataStatement, type InstanceCommand, accessOf } from '../instance/statement.js';
 import {
   type Attempt,
   type HeldConnection,
   type StatementRunner,
   isNotRun,
 } from './statement_runner.js';
-import { type Target, isTargetTrusted, planRead } from './target_planner.js';
-import { awaitPrimary } from './trust_waiter.js';
+import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
+import { awaitPrimary } from '../trust/trust_waiter.js';
 
 /** Identifier of statements that no caller asked for. */
 const OWN_REQUEST = '-';
@@ -30,7 +30,7 @@
 const ROLLBACK_TIMEOUT_MS = 1000;
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
-export class Transaction {
+export class CallerTransaction {
   private held: HeldConnection | undefined;
   private hasWritten = false;
   private isEnded = false;
@@ -38,7 +38,7 @@
   private binding: Promise<string | undefined> | undefined;
 
   constructor(
-    private readonly context: RouterContext,
+    private readonly context: ProxyContext,
     private readonly runner: StatementRunner,
     /** Route as of BEGIN. */
     readonly route: Route,
--- a/src/router/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -1,23 +1,23 @@
 /** One caller's session: its values, prepared names and transaction. */
-import type { Timer } from '../runtime/runtime.js';
-import type { Position } from '../session/position.js';
+import type { Timer } from '../../runtime/runtime.js';
+import type { Position } from '../../positions/position.js';
 import { AdmittedOperation } from '../tenancy/admitted_operation.js';
 import { type CallerReply, completed, refused } from './caller_reply.js';
-import type { TransactionState } from './instance_connection.js';
-import { refuseCredential, refuseFor } from './refusal.js';
-import { RequestDeadline } from './request_deadline.js';
-import type { Route } from './route_table.js';
-import type { RouterContext } from './router_context.js';
+import type { TransactionState } from '../instance/instance_connection.js';
+import { refuseCredential, refuseFor } from '../routing/refusal.js';
+import { RequestDeadline } from '../routing/request_deadline.js';
+import type { Route } from '../catalog/route_table.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type SingleRequest, SingleStatements } from './single_statement.js';
 import {
   type CallerStatement,
   type DataStatement,
   type PreparedShape,
   accessOf,
-} from './statement.js';
+} from '../instance/statement.js';
 import type { SessionContent } from './session_loader.js';
 import { StatementRunner } from './statement_runner.js';
-import { Transaction } from './transaction.js';
+import { CallerTransaction } from './caller_transaction.js';
 
 const FAILED_TEXT = 'the transaction has failed; roll back';
 
@@ -42,7 +42,7 @@
   private readonly preparedByName = new Map<string, PreparedShape>();
   private readonly runner: StatementRunner;
   private readonly singles: SingleStatements;
-  private transaction: Transaction | undefined;
+  private transaction: CallerTransaction | undefined;
   private transactionState: TransactionState = 'idle';
   private ownCommit: OwnCommit | undefined;
   private idleTimer: Timer | undefined;
@@ -50,7 +50,7 @@
   private isClosed = false;
 
   constructor(
-    private readonly context: RouterContext,
+    private readonly context: ProxyContext,
     private readonly database: string,
     private readonly credential: string,
   ) {
@@ -58,7 +58,7 @@
     this.singles = new SingleStatements(context, this.runner);
   }
 
-  /** Transaction state as the caller sees it. */
+  /** CallerTransaction state as the caller sees it. */
   get state(): TransactionState {
     return this.transactionState;
   }
@@ -143,7 +143,7 @@
     const entry = await this.enter(id);
     if ('refusal' in entry) return entry.refusal;
     const { route, operation } = entry;
-    this.transaction = new Transaction(
+    this.transaction = new CallerTransaction(
       this.context,
       this.runner,
       route,
@@ -219,7 +219,7 @@
   }
 
   /** Whether the open transaction may go on: its tenant still holds the caller's credential. */
-  private mayGoOn({ route, operation }: Transaction): boolean {
+  private mayGoOn({ route, operation }: CallerTransaction): boolean {
     const verdict = this.context.admission.check(this.credential, route);
     return verdict.outcome === 'admitted' && verdict.tenant.name === operation.tenant.name;
   }
--- a/src/router/session_listener.ts
+++ b/src/appointed/sessions/session_listener.ts
@@ -1,10 +1,10 @@
 /** Accepts callers of a text protocol and runs their statements one after the other. */
 import type { Socket } from 'node:net';
-import type { SocketAcceptor } from '../runtime/socket_acceptor.js';
+import type { SocketAcceptor } from '../../runtime/socket_acceptor.js';
 import type { CallerErrorKind, CallerReply } from './caller_reply.js';
-import type { TransactionState } from './instance_connection.js';
+import type { TransactionState } from '../instance/instance_connection.js';
 import type { RoutedSession } from './routed_session.js';
-import type { CallerStatement } from './statement.js';
+import type { CallerStatement } from '../instance/statement.js';
 
 /** A message of a caller. */
 export type CallerMessage =
--- a/src/router/session_loader.ts
+++ b/src/appointed/sessions/session_loader.ts
@@ -1,6 +1,6 @@
 /** What an instance connection must be told before it can run a statement of a session. */
-import type { PooledConnection } from './pooled_connection.js';
-import { type InstanceCommand, type PreparedShape, sharedName } from './statement.js';
+import type { PooledConnection } from '../connections/pooled_connection.js';
+import { type InstanceCommand, type PreparedShape, sharedName } from '../instance/statement.js';
 
 /** What a connection must hold before a statement. */
 export interface SessionContent {
--- a/src/router/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -1,14 +1,14 @@
 /** Runs one statement outside a transaction. */
-import { type Position } from '../session/position.js';
+import { type Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
-import type { InstanceAnswer, InstanceError } from './instance_connection.js';
-import { AcquireError } from './acquire_error.js';
-import { inDoubt, noteRetry, refuse } from './refusal.js';
-import type { RequestDeadline } from './request_deadline.js';
-import { RetryPause } from './retry_pause.js';
-import type { RouterContext } from './router_context.js';
+import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
+import { AcquireError } from '../connections/acquire_error.js';
+import { inDoubt, noteRetry, refuse } from '../routing/refusal.js';
+import type { RequestDeadline } from '../routing/request_deadline.js';
+import { RetryPause } from '../routing/retry_pause.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { SessionContent } from './session_loader.js';
-import type { DataStatement } from './statement.js';
+import type { DataStatement } from '../instance/statement.js';
 import {
   type Attempt,
   type HeldConnection,
@@ -16,8 +16,8 @@
   type StatementRunner,
   isNotRun,
 } from './statement_runner.js';
-import { type Target, isTargetTrusted, planRead } from './target_planner.js';
-import { awaitPrimary } from './trust_waiter.js';
+import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
+import { awaitPrimary } from '../trust/trust_waiter.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
 const MINIMUM_ATTEMPT_MS = 5;
@@ -46,7 +46,7 @@
 /** Runs single statements. */
 export class SingleStatements {
   constructor(
-    private readonly context: RouterContext,
+    private readonly context: ProxyContext,
     private readonly runner: StatementRunner,
   ) {}
 
--- a/src/router/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -1,13 +1,13 @@
 /** Runs statements on instances: takes a connection, loads the session onto it, judges the answer. */
-import { BackendConnectionLostError, HomeUnreachableError } from '../errors/errors.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { InstanceAnswer, InstanceErrorKind } from './instance_connection.js';
-import { AcquireError, type AcquireFailure } from './acquire_error.js';
-import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
-import type { RouterContext } from './router_context.js';
+import { BackendConnectionLostError, OwnerUnreachableError } from '../../errors/errors.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { InstanceAnswer, InstanceErrorKind } from '../instance/instance_connection.js';
+import { AcquireError, type AcquireFailure } from '../connections/acquire_error.js';
+import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type SessionContent, loadingSteps, noteLoaded } from './session_loader.js';
-import type { InstanceCommand } from './statement.js';
-import type { Target } from './target_planner.js';
+import type { InstanceCommand } from '../instance/statement.js';
+import type { Target } from '../routing/target_planner.js';
 
 const { PrimaryHealth } = whinyoke;
 
@@ -62,7 +62,7 @@
 
 /** Runner of one process. */
 export class StatementRunner {
-  constructor(private readonly context: RouterContext) {}
+  constructor(private readonly context: ProxyContext) {}
 
   /** Takes a connection to a target. @throws AcquireError when none could be had in time */
   async hold(
@@ -200,7 +200,7 @@
 /** Whether a failure tells of the instance; one of a home, or a refusal of its queue, does not. */
 function isInstanceFault({ pooled }: HeldConnection, error: unknown): boolean {
   if (!pooled.isRelayed) return true;
-  const isOfHome = error instanceof HomeUnreachableError;
+  const isOfHome = error instanceof OwnerUnreachableError;
   return !isOfHome && error instanceof BackendConnectionLostError && error.sent;
 }
 
--- a/src/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -3,11 +3,11 @@
  * this process knows; that document counts only as long as control confirmed lately that it is the newest, so that a
  * credential that was taken away is soon refused everywhere, also by a proxy that nobody reaches.
  */
-import { LEADERSHIP_PROOF_MS } from '../consensus/raft_options.js';
-import { Events } from '../observability/events.js';
-import type { Route, RouteTable } from '../router/route_table.js';
-import type { DecisionLog } from '../router/router_context.js';
-import type { Clock } from '../runtime/runtime.js';
+import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
+import { Events } from '../../observability/events.js';
+import type { Route, RouteTable } from '../catalog/route_table.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { Clock } from '../../runtime/runtime.js';
 import { NO_TENANT, type Tenant } from './tenant.js';
 
 /** What a credential allows. */
--- a/src/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -3,11 +3,11 @@
  * where it has none. One request at a time carries everything that waits, so the number of requests is bounded by the
  * time of a trip, whatever tenants send.
  */
-import { messageOf } from '../errors/errors.js';
-import { Events } from '../observability/events.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DecisionLog } from '../router/router_context.js';
-import { type Runtime, type Timer, delay } from '../runtime/runtime.js';
+import { messageOf } from '../../errors/errors.js';
+import { Events } from '../../observability/events.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import { type Runtime, type Timer, delay } from '../../runtime/runtime.js';
 import type { AdmittedOperation } from './admitted_operation.js';
 import {
   GIVE_BACK_MS,
--- a/src/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -7,7 +7,7 @@
  * allowance for a request that waits is used within {@link WAITING_ALLOWANCE_MS}, or given back within
  * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof.
  */
-import { LEADERSHIP_PROOF_MS } from '../consensus/raft_options.js';
+import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
 import type { OperationLimit } from './tenant.js';
 
 /** How strictly the limit is judged, as the operator's settings tell. */
--- a/src/tenancy/tenant.ts
+++ b/src/appointed/tenancy/tenant.ts
@@ -1,5 +1,5 @@
 /** Tenants: who holds which credential, and how many operations each may run over all proxies. */
-import { InvalidDocumentError } from '../errors/errors.js';
+import { InvalidDocumentError } from '../../errors/errors.js';
 
 /** Limit on the operations of a tenant, over all proxies. */
 export interface OperationLimit {
--- a/src/router/primary_observer.ts
+++ b/src/appointed/trust/primary_observer.ts
@@ -1,5 +1,5 @@
 /** What a proxy sees of the primary of a group through its own statements, for failure detection. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
--- a/src/router/primary_observers.ts
+++ b/src/appointed/trust/primary_observers.ts
@@ -1,5 +1,5 @@
 /** What a proxy sees of the primaries of all groups, and what of it control is to hear. */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import { PrimaryObserver } from './primary_observer.js';
 import type { PrimaryTrust } from './primary_trust.js';
 
--- a/src/router/primary_trust.ts
+++ b/src/appointed/trust/primary_trust.ts
@@ -2,9 +2,9 @@
  * Leases of a proxy on the primaries of its groups. A lease is counted from the moment its request was sent,
  * on this process's own clock, and holds for one epoch only.
  */
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import { type GroupEntry, compareNames } from '../catalog/catalog.js';
-import { type Position, latest } from '../session/position.js';
+import { type Position, latest } from '../../positions/position.js';
 
 /** A primary that may be used now. */
 export interface TrustedPrimary {
--- a/src/router/replica_witness.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -2,31 +2,31 @@
  * Leases while control is out of reach. A change of primary holds the replica that it appoints: the replica receives
  * nothing from the old primary any more, and tells so. As long as no replica of a group is held, no change has come
  * that far, so the primary may be trusted for a moment longer. Control appoints a replica beside proxies that it can't
- * reach only after it was held for longer than that moment (`src/failover/appointment_fence.ts`).
+ * reach only after it was held for longer than that moment (`src/appointed/failover/appointment_fence.ts`).
  *
  * Only primaries that statements wait for are confirmed: each round takes a slot of every replica of the group, and with
  * many proxies in front of many groups all rounds together would take the slots of callers.
  *
  * See docs/design/appointed-primaries.md.
  */
-import { Events } from '../observability/events.js';
-import type { Clock } from '../runtime/runtime.js';
-import type { InstanceStatus } from './instance_connection.js';
-import type { ConnectionSource } from './connection_source.js';
-import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
+import { Events } from '../../observability/events.js';
+import type { Clock } from '../../runtime/runtime.js';
+import type { InstanceStatus } from '../instance/instance_connection.js';
+import type { ConnectionSource } from '../connections/connection_source.js';
+import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import type { PrimaryTrust } from './primary_trust.js';
-import type { DecisionLog } from './router_context.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
 
 /**
  * Life of a lease that replicas confirm, from the moment when they were asked, in milliseconds: three rounds, so that
  * one or two may fail. A change of primary waits that long for proxies that are out of reach.
  */
-export const WITNESSED_LEASE_MS = 700;
+export const REPLICA_LEASE_MS = 700;
 /**
  * Longest silence of control in which replicas are asked, in milliseconds: a proxy that is cut off for longer knows too
  * little of the group's members. Less than the time after which control forgets a silent proxy (20 s).
  */
-export const LONGEST_WITNESSED_SILENCE_MS = 12_000;
+export const LONGEST_REPLICA_LEASE_SILENCE_MS = 12_000;
 /** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. */
 const FIRST_SILENCE_MS = 1200;
 /** Time between two rounds of a group, in milliseconds. */
@@ -45,23 +45,23 @@
 const QUESTION: ConnectionRequest = { tenant: undefined, values: new Map(), priority: PRIORITY };
 
 /** A replica of a group as the proxy knows it. */
-export interface WitnessReplica {
+export interface ConfirmingReplica {
   readonly instance: string;
   /** Undefined when the proxy has no connections to it. */
   readonly pool: ConnectionSource | undefined;
 }
 
 /** What the witness needs of its proxy. */
-export interface WitnessSurroundings {
+export interface ConfirmerSurroundings {
   readonly clock: Clock;
   readonly trust: PrimaryTrust;
   readonly log: DecisionLog;
   /** All instances of a group but its primary, whatever their state. */
-  replicasOf(group: string): readonly WitnessReplica[];
+  replicasOf(group: string): readonly ConfirmingReplica[];
 }
 
 /** Outcome of asking one replica. */
-type WitnessAnswer =
+type ConfirmerAnswer =
   | { readonly instance: string; readonly status: InstanceStatus }
   | { readonly instance: string; readonly problem: string };
 
@@ -73,7 +73,7 @@
 }
 
 /** Why an answer does not confirm a primary of `term`; undefined when it does. */
-export function objectionOf(answer: WitnessAnswer, term: number): string | undefined {
+export function objectionOf(answer: ConfirmerAnswer, term: number): string | undefined {
   const { instance } = answer;
   if ('problem' in answer) return `${instance}: ${answer.problem}`;
   const { role, term: ownTerm, heldTerm } = answer.status;
@@ -84,14 +84,14 @@
 }
 
 /** Asks the replicas of all groups of one proxy. */
-export class ReplicaWitness {
+export class ReplicaLeaseConfirmer {
   private readonly rounds = new Map<string, GroupRounds>();
   private readonly wantedAt = new Map<string, number>();
   private isAsking = false;
   /** Group that is confirmed though nobody wants its primary, so that the proxy knows whether it can serve at all. */
   private keptGroup = '';
 
-  constructor(private readonly surroundings: WitnessSurroundings) {}
+  constructor(private readonly surroundings: ConfirmerSurroundings) {}
 
   /** A statement wants the primary of a group. */
   noteWanted(group: string): void {
@@ -108,7 +108,7 @@
    */
   maintain(controlSilenceMs: number): void {
     this.isAsking =
-      controlSilenceMs > FIRST_SILENCE_MS && controlSilenceMs < LONGEST_WITNESSED_SILENCE_MS;
+      controlSilenceMs > FIRST_SILENCE_MS && controlSilenceMs < LONGEST_REPLICA_LEASE_SILENCE_MS;
     if (!this.isAsking) {
       this.rounds.clear();
       return;
@@ -161,12 +161,12 @@
     const objections = answers.map((answer) => objectionOf(answer, term ?? 0));
     const objection =
       replicas.length === 0 ? 'no replica is known' : objections.find((text) => text !== undefined);
-    const until = rounds.startedAt + WITNESSED_LEASE_MS;
+    const until = rounds.startedAt + REPLICA_LEASE_MS;
     if (objection === undefined) trust.extend(group, epoch ?? 0, until);
     this.note(group, rounds, objection ?? CONFIRMED);
   }
 
-  private async statusOf({ instance, pool }: WitnessReplica): Promise<WitnessAnswer> {
+  private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ConfirmerAnswer> {
     if (!pool) return { instance, problem: 'not connected' };
     let pooled: PooledConnection | undefined;
     try {
--- a/src/router/trust_waiter.ts
+++ b/src/appointed/trust/trust_waiter.ts
@@ -1,13 +1,13 @@
 /** Waiting for a trusted primary. */
-import { whinyoke } from '../protocol/generated/messages.js';
-import { delay } from '../runtime/runtime.js';
-import { USUAL_CHANGE_MS } from './refusal.js';
-import type { RequestDeadline } from './request_deadline.js';
-import type { RouterContext } from './router_context.js';
-import { type Target, primaryTarget } from './target_planner.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import { delay } from '../../runtime/runtime.js';
+import { USUAL_CHANGE_MS } from '../routing/refusal.js';
+import type { RequestDeadline } from '../routing/request_deadline.js';
+import type { ProxyContext } from '../proxy/proxy_context.js';
+import { type Target, primaryTarget } from '../routing/target_planner.js';
 
 /** How long a request may wait for a primary, in milliseconds from now. */
-function patience(context: RouterContext, deadline: RequestDeadline): number {
+function patience(context: ProxyContext, deadline: RequestDeadline): number {
   const { group } = deadline.route;
   const entry = context.trust.entryOf(group);
   if (entry?.phase !== whinyoke.GroupPhase.CHANGING) return deadline.trustRemaining;
@@ -18,7 +18,7 @@
 
 /** The trusted primary, or undefined when it is not worth waiting longer for one. */
 export async function awaitPrimary(
-  context: RouterContext,
+  context: ProxyContext,
   deadline: RequestDeadline,
 ): Promise<Target | undefined> {
   for (;;) {
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -2,8 +2,8 @@
 /** Entry point of the `whinyoke` program. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
-import { runControl } from '../daemon/control_daemon.js';
-import { runProxy } from '../daemon/proxy_daemon.js';
+import { runControl } from '../mysql/daemon/control_daemon.js';
+import { runProxy } from '../mysql/daemon/proxy_daemon.js';
 import { messageOf } from '../errors/errors.js';
 import {
   type SubmissionOptions,
--- a/src/cli/operator_commands.ts
+++ b/src/cli/operator_commands.ts
@@ -2,7 +2,7 @@
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
-import { conflictBetween, readConfiguration } from '../config/configuration.js';
+import { conflictBetween, readConfiguration } from '../mysql/configuration/configuration.js';
 import { InvalidDocumentError, WhinyokeError, messageOf } from '../errors/errors.js';
 import { whinyoke } from '../protocol/generated/messages.js';
 import { RealClock } from '../runtime/real_clock.js';
--- a/src/control/cluster_joiner.ts
+++ b/src/consensus/cluster_joiner.ts
@@ -5,9 +5,9 @@
  * a learner, and votes only when the leader made it a voter in place of the lost one: an old name with
  * an empty disk could forget what it had confirmed. See docs/design/control-membership.md.
  */
-import { type Member, Membership } from '../consensus/membership.js';
-import { nextMembership } from '../consensus/elastic_membership.js';
-import type { RaftNode } from '../consensus/raft_node.js';
+import { type Member, Membership } from './membership.js';
+import { nextMembership } from './elastic_membership.js';
+import type { RaftNode } from './raft_node.js';
 import type { whinyoke } from '../protocol/generated/messages.js';
 import { type Runtime, type Timer } from '../runtime/runtime.js';
 
--- a/src/errors/errors.ts
+++ b/src/errors/errors.ts
@@ -63,7 +63,7 @@
 });
 
 /** Another proxy that has connections to a back end did not answer; it says nothing of the back end. */
-export const HomeUnreachableError = BackendConnectionLostError.subclass('HomeUnreachableError');
+export const OwnerUnreachableError = BackendConnectionLostError.subclass('OwnerUnreachableError');
 
 /** An error that the database itself answered; the statement had no effect of its own. */
 export const DatabaseError = WhinyokeError.subclass('DatabaseError', {
@@ -131,8 +131,8 @@
 /** See {@link BackendConnectionLostError}. */
 export type BackendConnectionLostError = InstanceType<typeof BackendConnectionLostError>;
 
-/** See {@link HomeUnreachableError}. */
-export type HomeUnreachableError = InstanceType<typeof HomeUnreachableError>;
+/** See {@link OwnerUnreachableError}. */
+export type OwnerUnreachableError = InstanceType<typeof OwnerUnreachableError>;
 
 /** Instance type of {@link RequestError}. */
 export type RequestError = InstanceType<typeof RequestError>;
--- a/src/backend/mysql_connector.ts
+++ b/src/mysql/backend/mysql_connector.ts
@@ -1,8 +1,8 @@
 /** Connections to instances through the `mysql2` client. */
 import { type Connection, createConnection } from 'mysql2';
 import type { Socket } from 'node:net';
-import { BackendConnectionLostError, messageOf } from '../errors/errors.js';
-import { splitAddress } from '../runtime/address.js';
+import { BackendConnectionLostError, messageOf } from '../../errors/errors.js';
+import { splitAddress } from '../../runtime/address.js';
 import type { BackendConnection, BackendConnector, Completion, ResultSink } from './backend.js';
 import { CommandRequest, type LibraryCommand } from './raw_command.js';
 
--- a/src/backend/raw_command.ts
+++ b/src/mysql/backend/raw_command.ts
@@ -2,7 +2,7 @@
  * A command for the `mysql2` client that passes result packets on without decoding them. Decoding and
  * encoding each row would be most of the proxy's work.
  */
-import { DatabaseError } from '../errors/errors.js';
+import { DatabaseError } from '../../errors/errors.js';
 import { type Packet, framed, payloadOf } from '../frontend/packet.js';
 import type { Completion, ResultSink } from './backend.js';
 import type { ClientConnection } from './mysql_connector.js';
--- a/src/config/configuration.ts
+++ b/src/mysql/configuration/configuration.ts
@@ -3,8 +3,8 @@
  * nothing sets a single value.
  */
 import { z } from 'zod';
-import { InvalidDocumentError } from '../errors/errors.js';
-import { readYaml } from './yaml_document.js';
+import { InvalidDocumentError } from '../../errors/errors.js';
+import { readYaml } from '../../settings/yaml_document.js';
 
 const nameSchema = z
   .string()
--- a/src/control/configuration_store.ts
+++ b/src/mysql/control/configuration_store.ts
@@ -1,6 +1,6 @@
 /** The replicated state machine of accepted configurations. */
-import type { StateMachine } from '../consensus/log_applier.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+import type { StateMachine } from '../../consensus/log_applier.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { SubmissionKind, SubmissionOutcome, Verdict } = whinyoke;
 
--- a/src/control/control_core.ts
+++ b/src/mysql/control/control_core.ts
@@ -1,11 +1,11 @@
 /** A control machine: replicated configurations, their distribution, and the list of proxies. */
-import { RaftLog } from '../consensus/raft_log.js';
-import { RaftNode, type RaftObserver } from '../consensus/raft_node.js';
-import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../consensus/raft_options.js';
+import { RaftLog } from '../../consensus/raft_log.js';
+import { RaftNode, type RaftObserver } from '../../consensus/raft_node.js';
+import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../consensus/raft_options.js';
 import { ProtectionSet } from '../gateway/protections.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import type { MessageBody, Runtime } from '../runtime/runtime.js';
-import { ClusterJoiner, loadIdentity } from './cluster_joiner.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import type { MessageBody, Runtime } from '../../runtime/runtime.js';
+import { ClusterJoiner, loadIdentity } from '../../consensus/cluster_joiner.js';
 import { ConfigurationStore } from './configuration_store.js';
 import { type PlatformSource, PlatformWatcher } from './platform_watcher.js';
 import { ProxyRegistry } from './proxy_registry.js';
--- a/src/control/platform_watcher.ts
+++ b/src/mysql/control/platform_watcher.ts
@@ -1,5 +1,5 @@
 /** Follows the platform's list of machines. The list lags, so it is used as advice only. */
-import { type Clock, type Timer } from '../runtime/runtime.js';
+import { type Clock, type Timer } from '../../runtime/runtime.js';
 
 /** A machine on the platform's list. */
 export interface PlatformMachine {
--- a/src/control/proxy_registry.ts
+++ b/src/mysql/control/proxy_registry.ts
@@ -2,8 +2,8 @@
  * Proxies that send heartbeats to this control machine. Changes are numbered, so that a heartbeat's
  * answer carries only what its sender does not know yet.
  */
-import type { whinyoke } from '../protocol/generated/messages.js';
-import type { Clock } from '../runtime/runtime.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import type { Clock } from '../../runtime/runtime.js';
 
 /** A proxy silent for longer counts as gone, in milliseconds. */
 export const PROXY_LIFETIME_MS = 3000;
--- a/src/control/submission_service.ts
+++ b/src/mysql/control/submission_service.ts
@@ -3,11 +3,11 @@
   type ConfigurationDocument,
   conflictBetween,
   readConfiguration,
-} from '../config/configuration.js';
-import { LeadershipLostError, NotLeaderError } from '../consensus/raft_errors.js';
-import type { RaftNode } from '../consensus/raft_node.js';
-import { messageOf } from '../errors/errors.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+} from '../configuration/configuration.js';
+import { LeadershipLostError, NotLeaderError } from '../../consensus/raft_errors.js';
+import type { RaftNode } from '../../consensus/raft_node.js';
+import { messageOf } from '../../errors/errors.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import type { ConfigurationStore } from './configuration_store.js';
 
 const { SubmissionKind, SubmissionOutcome, Verdict } = whinyoke;
--- a/src/daemon/control_daemon.ts
+++ b/src/mysql/daemon/control_daemon.ts
@@ -2,13 +2,13 @@
 import { Registry } from 'prom-client';
 import { ControlCore } from '../control/control_core.js';
 import type { PlatformMachine, PlatformSource } from '../control/platform_watcher.js';
-import { addGauge } from '../observability/gauges.js';
-import { Events } from '../observability/events.js';
-import { EventLogger } from '../observability/logger.js';
-import { controlSettingsSchema, readSettings } from '../settings/settings.js';
-import { startMetricsServer } from './metrics_server.js';
-import { openRuntime } from './process_runtime.js';
-import { stopSignal } from './stop_signal.js';
+import { addGauge } from '../../observability/gauges.js';
+import { Events } from '../../observability/events.js';
+import { EventLogger } from '../../observability/logger.js';
+import { controlSettingsSchema, readSettings } from '../../settings/settings.js';
+import { startMetricsServer } from '../../daemon/metrics_server.js';
+import { openRuntime } from '../../daemon/process_runtime.js';
+import { stopSignal } from '../../daemon/stop_signal.js';
 
 const PLATFORM_TIMEOUT_MS = 2000;
 
--- a/src/daemon/proxy_daemon.ts
+++ b/src/mysql/daemon/proxy_daemon.ts
@@ -1,20 +1,20 @@
 /** The proxy daemon: listeners, logs and metrics around {@link ProxyCore}. */
-import { splitAddress } from '../runtime/address.js';
+import { splitAddress } from '../../runtime/address.js';
 import { Counter, Gauge, Registry } from 'prom-client';
 import { MysqlConnector } from '../backend/mysql_connector.js';
 import { MysqlListener } from '../frontend/mysql_listener.js';
-import { Events } from '../observability/events.js';
-import { EventLogger } from '../observability/logger.js';
+import { Events } from '../../observability/events.js';
+import { EventLogger } from '../../observability/logger.js';
 import { ProxyCore } from '../proxy/proxy_core.js';
 import {
   type ProxySettings,
   proxySettingsSchema,
   readSecret,
   readSettings,
-} from '../settings/settings.js';
-import { startMetricsServer } from './metrics_server.js';
-import { type ProcessRuntime, openRuntime } from './process_runtime.js';
-import { stopSignal } from './stop_signal.js';
+} from '../../settings/settings.js';
+import { startMetricsServer } from '../../daemon/metrics_server.js';
+import { type ProcessRuntime, openRuntime } from '../../daemon/process_runtime.js';
+import { stopSignal } from '../../daemon/stop_signal.js';
 
 const SERVER_VERSION = '8.4.0-whinyoke';
 
--- a/src/frontend/caller_connection.ts
+++ b/src/mysql/frontend/caller_connection.ts
@@ -1,6 +1,6 @@
 /** One caller's connection: handshake, then one command after the other. */
 import type { Socket } from 'node:net';
-import { DatabaseError, RequestError, messageOf } from '../errors/errors.js';
+import { DatabaseError, RequestError, messageOf } from '../../errors/errors.js';
 import type { CallerIdentity, CallerSession } from './caller_session.js';
 import { ConnectionActivity } from './connection_activity.js';
 import { errorAnswer, stoppingAnswer } from './error_answer.js';
--- a/src/frontend/error_answer.ts
+++ b/src/mysql/frontend/error_answer.ts
@@ -1,5 +1,5 @@
 /** Errors as callers see them: code, SQLSTATE and a text with verdict and retry-after. */
-import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../errors/errors.js';
+import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../../errors/errors.js';
 
 /** An error packet's content. */
 export interface ErrorAnswer {
--- a/src/frontend/mysql_listener.ts
+++ b/src/mysql/frontend/mysql_listener.ts
@@ -1,7 +1,7 @@
 /** Accepts callers of the MySQL protocol through the `mysql2` library and runs their commands. */
 import { createServer, type Connection } from 'mysql2';
 import type { Server, Socket } from 'node:net';
-import { messageOf } from '../errors/errors.js';
+import { messageOf } from '../../errors/errors.js';
 import { CallerConnection, type ServerConnection } from './caller_connection.js';
 import type { CallerIdentity, CallerSession } from './caller_session.js';
 
--- a/src/frontend/prepared_statement.ts
+++ b/src/mysql/frontend/prepared_statement.ts
@@ -4,7 +4,7 @@
  * Source: MySQL internals manual, "COM_STMT_PREPARE Response" and "COM_STMT_EXECUTE".
  */
 import type { Value } from '../backend/backend.js';
-import { DatabaseError } from '../errors/errors.js';
+import { DatabaseError } from '../../errors/errors.js';
 import { quoteString } from '../sql/tokenizer.js';
 import type { Packet } from './packet.js';
 
--- a/src/gateway/gateway_session.ts
+++ b/src/mysql/gateway/gateway_session.ts
@@ -5,9 +5,9 @@
   DISCARD,
   type ResultSink,
 } from '../backend/backend.js';
-import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../errors/errors.js';
+import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../../errors/errors.js';
 import { Priority } from '../pool/slot_queue.js';
-import { delay } from '../runtime/runtime.js';
+import { delay } from '../../runtime/runtime.js';
 import type { GroupGateway, InstanceResources } from './group_gateway.js';
 import {
   createOnceTable,
@@ -23,7 +23,7 @@
   type StatementRequest,
   emptyCompletion,
 } from './statement_request.js';
-import { executeWithTimeout, inSlot, isRefusal } from './statement_runner.js';
+import { executeWithTimeout, inSlot, isRefusal } from './slot_execution.js';
 import {
   backoff,
   confirmWrite,
--- a/src/gateway/group_gateway.ts
+++ b/src/mysql/gateway/group_gateway.ts
@@ -3,14 +3,18 @@
  * two ways to be sure of a position (commit evidence and read barrier).
  */
 import type { BackendConnection, BackendConnector } from '../backend/backend.js';
-import type { GroupConfiguration } from '../config/configuration.js';
-import { DEFAULT_POOL_OPTIONS, InstancePool, type PoolOptions } from '../pool/instance_pool.js';
+import type { GroupConfiguration } from '../configuration/configuration.js';
+import {
+  DEFAULT_BACKEND_POOL_OPTIONS,
+  BackendPool,
+  type BackendPoolOptions,
+} from '../pool/backend_pool.js';
 import { SeatKeeper } from '../pool/seat_keeper.js';
 import type { InstanceLimits } from '../pool/shares.js';
 import { SessionTerminator } from '../pool/session_terminator.js';
 import { SlotQueue } from '../pool/slot_queue.js';
 import { RetryBudget } from '../routing/retry_budget.js';
-import type { Clock, RandomSource } from '../runtime/runtime.js';
+import type { Clock, RandomSource } from '../../runtime/runtime.js';
 import {
   DEFAULT_EVIDENCE_OPTIONS,
   type EvidenceOptions,
@@ -18,7 +22,7 @@
   type EvidenceTarget,
   findCommitEvidence,
 } from '../session/commit_evidence.js';
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 import { quorumBarrier } from '../session/read_barrier.js';
 import {
   type GroupDescription,
@@ -39,7 +43,7 @@
 export interface GatewayOptions {
   readonly monitor: MonitorOptions;
   readonly evidence: EvidenceOptions;
-  readonly pool: PoolOptions;
+  readonly pool: BackendPoolOptions;
   /** Longest time for one statement on an instance, in milliseconds. */
   readonly statementTimeoutMs: number;
   /** Longest wait for a slot or a connection, in milliseconds. */
@@ -55,7 +59,7 @@
 export const DEFAULT_GATEWAY_OPTIONS: GatewayOptions = {
   monitor: DEFAULT_MONITOR_OPTIONS,
   evidence: DEFAULT_EVIDENCE_OPTIONS,
-  pool: DEFAULT_POOL_OPTIONS,
+  pool: DEFAULT_BACKEND_POOL_OPTIONS,
   statementTimeoutMs: 10_000,
   queueTimeoutMs: 2000,
   barrierTimeoutMs: 300,
@@ -83,7 +87,7 @@
 /** Connections and slots of one instance. */
 export interface InstanceResources {
   readonly address: string;
-  readonly pool: InstancePool;
+  readonly pool: BackendPool;
   readonly slots: SlotQueue;
   readonly seats: SeatKeeper;
   readonly terminator: SessionTerminator;
@@ -341,7 +345,7 @@
   private createResources(address: string, limits: InstanceLimits): InstanceResources {
     const { clock, connector } = this.runtime;
     const terminator = new SessionTerminator();
-    const pool = new InstancePool(address, clock, connector, this.options.pool, terminator);
+    const pool = new BackendPool(address, clock, connector, this.options.pool, terminator);
     const slots = new SlotQueue(clock, this.configuration.limits.queue);
     const seats = new SeatKeeper(limits, clock, pool, slots, terminator);
     return { address, pool, slots, seats, terminator };
--- a/src/gateway/once_key.ts
+++ b/src/mysql/gateway/once_key.ts
@@ -5,11 +5,11 @@
  */
 import { type BackendConnection, type Completion, DISCARD } from '../backend/backend.js';
 import type { ResultSink } from '../backend/backend.js';
-import { DatabaseError } from '../errors/errors.js';
+import { DatabaseError } from '../../errors/errors.js';
 import { quoteString } from '../sql/tokenizer.js';
 import { queryText } from '../topology/instance_report.js';
 import type { GroupGateway } from './group_gateway.js';
-import { executeWithTimeout } from './statement_runner.js';
+import { executeWithTimeout } from './slot_execution.js';
 
 const TABLE = 'whinyoke.once_keys';
 const CREATE_TABLE =
--- a/src/gateway/read_path.ts
+++ b/src/mysql/gateway/read_path.ts
@@ -10,14 +10,14 @@
   RequestError,
   messageOf,
   notRun,
-} from '../errors/errors.js';
+} from '../../errors/errors.js';
 import { Priority } from '../pool/slot_queue.js';
-import { delay } from '../runtime/runtime.js';
-import { type Position, START, covers, latest } from '../session/position.js';
+import { delay } from '../../runtime/runtime.js';
+import { type Position, START, covers, latest } from '../../positions/position.js';
 import { type InstanceDescription, readableSecondaries } from '../topology/group_description.js';
 import type { GroupGateway } from './group_gateway.js';
 import type { StatementOutcome, StatementRequest } from './statement_request.js';
-import { executeWithTimeout, isRefusal, withConnection } from './statement_runner.js';
+import { executeWithTimeout, isRefusal, withConnection } from './slot_execution.js';
 
 const MAXIMUM_ATTEMPTS = 4;
 const CATCH_UP_PROBE_MS = 3;
--- a/src/gateway/statement_runner.ts
+++ b/src/mysql/gateway/slot_execution.ts
@@ -1,6 +1,6 @@
 /** Runs single statements on instance connections, with slot, timeout and a truthful error. */
 import type { BackendConnection, Completion, ResultSink } from '../backend/backend.js';
-import { BackendConnectionLostError, ErrorCode, notRun } from '../errors/errors.js';
+import { BackendConnectionLostError, ErrorCode, notRun } from '../../errors/errors.js';
 import { type Priority } from '../pool/slot_queue.js';
 import type { GroupGateway, InstanceResources } from './group_gateway.js';
 
--- a/src/gateway/statement_request.ts
+++ b/src/mysql/gateway/statement_request.ts
@@ -1,7 +1,7 @@
 /** Requests to a gateway and their outcomes, the same for local and forwarded sessions. */
 import type { Completion, ResultSink } from '../backend/backend.js';
 import type { StatementClass } from '../routing/statement_class.js';
-import type { Position } from '../session/position.js';
+import type { Position } from '../../positions/position.js';
 
 /** One statement of one session. */
 export interface StatementRequest {
--- a/src/gateway/write_path.ts
+++ b/src/mysql/gateway/write_path.ts
@@ -8,14 +8,14 @@
   mayHaveRun,
   messageOf,
   notRun,
-} from '../errors/errors.js';
+} from '../../errors/errors.js';
 import { Priority } from '../pool/slot_queue.js';
-import { delay } from '../runtime/runtime.js';
+import { delay } from '../../runtime/runtime.js';
 import { newestPosition } from '../topology/gtid.js';
 import type { GroupGateway } from './group_gateway.js';
 import { runOnce } from './once_key.js';
 import type { StatementOutcome, StatementRequest } from './statement_request.js';
-import { executeWithTimeout, isRefusal, withConnection } from './statement_runner.js';
+import { executeWithTimeout, isRefusal, withConnection } from './slot_execution.js';
 
 const MAXIMUM_ATTEMPTS = 20;
 const BACKOFF_BASE_MS = 5;
--- a/src/pool/instance_pool.ts
+++ b/src/mysql/pool/backend_pool.ts
@@ -1,11 +1,11 @@
 /** Connections to one instance: opened on demand within a limit, reset before reuse, never leaked. */
 import type { BackendConnection, BackendConnector } from '../backend/backend.js';
-import { BackendConnectionLostError, ErrorCode, notRun } from '../errors/errors.js';
-import type { Clock, Timer } from '../runtime/runtime.js';
+import { BackendConnectionLostError, ErrorCode, notRun } from '../../errors/errors.js';
+import type { Clock, Timer } from '../../runtime/runtime.js';
 import type { SessionTerminator } from './session_terminator.js';
 
 /** Limits of a pool. */
-export interface PoolOptions {
+export interface BackendPoolOptions {
   /** Time to open a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
   /** Time for an instance to reset a connection, in milliseconds. */
@@ -15,7 +15,7 @@
 }
 
 /** Defaults. */
-export const DEFAULT_POOL_OPTIONS: PoolOptions = {
+export const DEFAULT_BACKEND_POOL_OPTIONS: BackendPoolOptions = {
   connectTimeoutMs: 1000,
   resetTimeoutMs: 500,
   maximumWaiting: 500,
@@ -30,7 +30,7 @@
 }
 
 /** Pool of one instance. */
-export class InstancePool {
+export class BackendPool {
   private readonly idle: BackendConnection[] = [];
   private readonly open = new Set<BackendConnection>();
   private readonly waiting: Waiter[] = [];
@@ -45,7 +45,7 @@
     readonly address: string,
     private readonly clock: Clock,
     private readonly connector: BackendConnector,
-    private readonly options: PoolOptions,
+    private readonly options: BackendPoolOptions,
     private readonly terminator: SessionTerminator,
   ) {}
 
--- a/src/pool/seat_keeper.ts
+++ b/src/mysql/pool/seat_keeper.ts
@@ -1,9 +1,9 @@
 /** Holds this process's seats at one instance and keeps its pool and slots within their shares. */
 import type { BackendConnection } from '../backend/backend.js';
-import { BackendConnectionLostError } from '../errors/errors.js';
-import { type Clock, type Timer, delay } from '../runtime/runtime.js';
+import { BackendConnectionLostError } from '../../errors/errors.js';
+import { type Clock, type Timer, delay } from '../../runtime/runtime.js';
 import { queryText } from '../topology/instance_report.js';
-import type { InstancePool } from './instance_pool.js';
+import type { BackendPool } from './backend_pool.js';
 import {
   type InstanceLimits,
   NO_SHARE,
@@ -33,7 +33,7 @@
   constructor(
     private readonly limits: InstanceLimits,
     private readonly clock: Clock,
-    private readonly pool: InstancePool,
+    private readonly pool: BackendPool,
     private readonly slots: SlotQueue,
     private readonly terminator: SessionTerminator,
   ) {
--- a/src/pool/session_terminator.ts
+++ b/src/mysql/pool/session_terminator.ts
@@ -6,7 +6,7 @@
  * Source: MySQL 8.4 reference manual, "KILL Statement".
  */
 import type { BackendConnection } from '../backend/backend.js';
-import { DatabaseError } from '../errors/errors.js';
+import { DatabaseError } from '../../errors/errors.js';
 import { queryText } from '../topology/instance_report.js';
 
 const ER_NO_SUCH_THREAD = 1094;
--- a/src/pool/slot_queue.ts
+++ b/src/mysql/pool/slot_queue.ts
@@ -2,8 +2,8 @@
  * Admission to the slots of one instance. Waiting is bounded by a count and by the time a statement can
  * still wait; whoever can't be served in time is refused at once, with when to come back.
  */
-import { ErrorCode, notRun } from '../errors/errors.js';
-import type { Clock, Timer } from '../runtime/runtime.js';
+import { ErrorCode, notRun } from '../../errors/errors.js';
+import type { Clock, Timer } from '../../runtime/runtime.js';
 
 /** Classes of work, most urgent first. */
 export const Priority = {
--- a/src/proxy/configuration_keeper.ts
+++ b/src/mysql/proxy/configuration_keeper.ts
@@ -4,11 +4,11 @@
  * Files: `configuration` holds a whole configuration, `configuration-changes` the changes accepted since, one
  * record each. A change costs its own size on disk; the whole is written anew once the changes outgrow it.
  */
-import { type ConfigurationDocument, readConfiguration } from '../config/configuration.js';
+import { type ConfigurationDocument, readConfiguration } from '../configuration/configuration.js';
 import { ProtectionSet } from '../gateway/protections.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { DataFolder } from '../runtime/runtime.js';
-import { RecordFile, decodeRecords, encodeRecord } from '../storage/record_file.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { DataFolder } from '../../runtime/runtime.js';
+import { RecordFile, decodeRecords, encodeRecord } from '../../storage/record_file.js';
 
 const WHOLE_FILE = 'configuration';
 const CHANGES_FILE = 'configuration-changes';
--- a/src/proxy/configuration_subscriber.ts
+++ b/src/mysql/proxy/configuration_subscriber.ts
@@ -2,7 +2,7 @@
  * Receives configurations from control machines by long polling: each request names the revision in
  * force here and is answered as soon as there is a newer one.
  */
-import { type Clock, type Messenger, type RandomSource, delay } from '../runtime/runtime.js';
+import { type Clock, type Messenger, type RandomSource, delay } from '../../runtime/runtime.js';
 import type { ConfigurationKeeper } from './configuration_keeper.js';
 
 /** Timing of the subscriber, in milliseconds. */
--- a/src/proxy/forward_codec.ts
+++ b/src/mysql/proxy/forward_codec.ts
@@ -6,11 +6,11 @@
   RequestError,
   type Verdict,
   messageOf,
-} from '../errors/errors.js';
+} from '../../errors/errors.js';
 import type { StatementOutcome, StatementRequest } from '../gateway/statement_request.js';
-import { whinyoke } from '../protocol/generated/messages.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import { classifyStatement } from '../routing/statement_class.js';
-import { formatPosition, parsePosition } from '../session/position.js';
+import { formatPosition, parsePosition } from '../../positions/position.js';
 
 const VERDICTS: readonly Verdict[] = ['not_run', 'ran', 'may_have_run'];
 
--- a/src/proxy/forward_server.ts
+++ b/src/mysql/proxy/forward_server.ts
@@ -7,9 +7,9 @@
 import { textRow } from '../frontend/result_writer.js';
 import { GatewaySession } from '../gateway/gateway_session.js';
 import type { GroupGateway } from '../gateway/group_gateway.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import type { Clock, MessageBody, Timer } from '../runtime/runtime.js';
-import { parsePosition } from '../session/position.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Clock, MessageBody, Timer } from '../../runtime/runtime.js';
+import { parsePosition } from '../../positions/position.js';
 import { decodeRequest, encodeError, encodeOutcome } from './forward_codec.js';
 
 /** Bytes of rows collected before they are sent or the instance is made to wait. */
--- a/src/proxy/gateway_client.ts
+++ b/src/mysql/proxy/gateway_client.ts
@@ -3,9 +3,9 @@
  * requests are under way each gateway is asked now and then whether it is alive, and all requests to one
  * that does not answer fail at once.
  */
-import { PeerUnreachableError } from '../errors/errors.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import { type Clock, type Messenger, type Timer, delay } from '../runtime/runtime.js';
+import { PeerUnreachableError } from '../../errors/errors.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import { type Clock, type Messenger, type Timer, delay } from '../../runtime/runtime.js';
 import type { ForwardedSessionName } from './forward_codec.js';
 
 /** Timing, in milliseconds. */
--- a/src/proxy/group_directory.ts
+++ b/src/mysql/proxy/group_directory.ts
@@ -1,5 +1,5 @@
 /** Which database group holds which schema, from the configuration in force. */
-import type { ConfigurationDocument, GroupConfiguration } from '../config/configuration.js';
+import type { ConfigurationDocument, GroupConfiguration } from '../configuration/configuration.js';
 
 /** Immutable directory of groups. */
 export class GroupDirectory {
--- a/src/proxy/membership_client.ts
+++ b/src/mysql/proxy/membership_client.ts
@@ -2,8 +2,8 @@
  * Tells control machines that this proxy lives, and learns from them which other proxies do. Each control
  * machine keeps its own list; a proxy merges the lists of all it can reach.
  */
-import type { whinyoke } from '../protocol/generated/messages.js';
-import { type Clock, type Messenger, type Timer } from '../runtime/runtime.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import { type Clock, type Messenger, type Timer } from '../../runtime/runtime.js';
 
 /** Another proxy. */
 export interface ProxyMember {
--- a/src/proxy/proxy_core.ts
+++ b/src/mysql/proxy/proxy_core.ts
@@ -1,6 +1,6 @@
 /** A proxy without its listeners: configuration, membership, gateways and sessions. */
 import type { BackendConnector } from '../backend/backend.js';
-import { type GroupConfiguration, MAXIMUM_GATEWAYS } from '../config/configuration.js';
+import { type GroupConfiguration, MAXIMUM_GATEWAYS } from '../configuration/configuration.js';
 import type { CallerIdentity } from '../frontend/caller_session.js';
 import { GatewaySession } from '../gateway/gateway_session.js';
 import {
@@ -9,12 +9,12 @@
   GroupGateway,
 } from '../gateway/group_gateway.js';
 import type { GroupSession } from '../gateway/statement_request.js';
-import { fastHash } from '../pool/fast_hash.js';
-import { RendezvousTable } from '../pool/rendezvous.js';
+import { fastHash } from '../../hashing/fast_hash.js';
+import { RendezvousTable } from '../../hashing/rendezvous.js';
 import { seatsFor } from '../pool/shares.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import { type MessageBody, type Runtime, delay } from '../runtime/runtime.js';
-import { StallDetector } from '../runtime/stall_detector.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import { type MessageBody, type Runtime, delay } from '../../runtime/runtime.js';
+import { StallDetector } from '../../runtime/stall_detector.js';
 import {
   ConfigurationKeeper,
   type ConfigurationState,
--- a/src/proxy/proxy_session.ts
+++ b/src/mysql/proxy/proxy_session.ts
@@ -1,6 +1,6 @@
 /** One caller's session at a proxy: marks, session token, default schema, choice of group. */
 import type { Completion, ResultSink } from '../backend/backend.js';
-import { ErrorCode, notRun } from '../errors/errors.js';
+import { ErrorCode, notRun } from '../../errors/errors.js';
 import type { CallerIdentity, CallerSession } from '../frontend/caller_session.js';
 import {
   type GroupSession,
--- a/src/proxy/remote_session.ts
+++ b/src/mysql/proxy/remote_session.ts
@@ -9,16 +9,16 @@
   mayHaveRun,
   messageOf,
   notRun,
-} from '../errors/errors.js';
+} from '../../errors/errors.js';
 import type {
   GroupSession,
   StatementOutcome,
   StatementRequest,
 } from '../gateway/statement_request.js';
-import { type Position, formatPosition } from '../session/position.js';
-import type { StallDetector } from '../runtime/stall_detector.js';
-import { whinyoke } from '../protocol/generated/messages.js';
-import { type Clock, delay } from '../runtime/runtime.js';
+import { type Position, formatPosition } from '../../positions/position.js';
+import type { StallDetector } from '../../runtime/stall_detector.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import { type Clock, delay } from '../../runtime/runtime.js';
 import {
   type ForwardedSessionName,
   decodeError,
--- a/src/proxy/status_report.ts
+++ b/src/mysql/proxy/status_report.ts
@@ -1,7 +1,7 @@
 /** Summary of a gateway for operators. */
 import type { GroupGateway } from '../gateway/group_gateway.js';
-import type { whinyoke } from '../protocol/generated/messages.js';
-import { START } from '../session/position.js';
+import type { whinyoke } from '../../protocol/generated/messages.js';
+import { START } from '../../positions/position.js';
 import type { InstanceDescription } from '../topology/group_description.js';
 
 function newestSequence(instances: readonly InstanceDescription[]): number {
--- a/src/routing/marks.ts
+++ b/src/mysql/routing/marks.ts
@@ -2,7 +2,7 @@
  * Marks that callers put in a trailing comment of a statement, in the published sqlcommenter form:
  * `key='value'` pairs, URL-encoded, joined by commas.
  */
-import { ErrorCode, notRun } from '../errors/errors.js';
+import { ErrorCode, notRun } from '../../errors/errors.js';
 import { SessionToken } from '../session/token.js';
 
 /** What a caller marked on one statement. */
--- a/src/session/commit_evidence.ts
+++ b/src/mysql/session/commit_evidence.ts
@@ -7,11 +7,11 @@
  * the primary had not been replaced, and every later primary holds the commit. That moment is the
  * linearization point of the acknowledgement. See docs/design/commit-evidence.md.
  */
-import { type Clock, delay } from '../runtime/runtime.js';
+import { type Clock, delay } from '../../runtime/runtime.js';
 import { majorityOf } from '../topology/group_description.js';
 import type { InstanceProber } from '../topology/instance_prober.js';
 import type { InstanceReport } from '../topology/instance_report.js';
-import { type Position, covers } from './position.js';
+import { type Position, covers } from '../../positions/position.js';
 
 /** Limits of a search for evidence, in milliseconds. */
 export interface EvidenceOptions {
--- a/src/session/read_barrier.ts
+++ b/src/mysql/session/read_barrier.ts
@@ -5,11 +5,11 @@
  * the newest received position among any majority, asked after the read arrived, covers every commit
  * acknowledged before. No primary is needed, so reads go on during a failover.
  */
-import { type Clock } from '../runtime/runtime.js';
+import { type Clock } from '../../runtime/runtime.js';
 import { majorityOf } from '../topology/group_description.js';
 import type { InstanceProber } from '../topology/instance_prober.js';
 import type { InstanceReport } from '../topology/instance_report.js';
-import { type Position, START, latest } from './position.js';
+import { type Position, START, latest } from '../../positions/position.js';
 
 /**
  * The newest position that a majority reports, or undefined when no majority answered in time.
--- a/src/session/token.ts
+++ b/src/mysql/session/token.ts
@@ -4,7 +4,14 @@
  * Text form: `group:term-sequence` joined by commas. A caller hands it back in a statement's
  * trailing comment or as a connect attribute, and so keeps read-your-writes across proxies.
  */
-import { type Position, START, covers, formatPosition, latest, parsePosition } from './position.js';
+import {
+  type Position,
+  START,
+  covers,
+  formatPosition,
+  latest,
+  parsePosition,
+} from '../../positions/position.js';
 
 /** An immutable map from group name to position. */
 export class SessionToken {
--- a/src/topology/group_description.ts
+++ b/src/mysql/topology/group_description.ts
@@ -2,7 +2,7 @@
  * Immutable description of a database group, replaced by pure functions on each report. Which member may
  * be trusted as primary follows from terms alone, never from clocks.
  */
-import type { GroupConfiguration } from '../config/configuration.js';
+import type { GroupConfiguration } from '../configuration/configuration.js';
 import type { InstanceReport } from './instance_report.js';
 
 /** One instance as last seen. */
--- a/src/topology/group_monitor.ts
+++ b/src/mysql/topology/group_monitor.ts
@@ -1,7 +1,7 @@
 /** Keeps the description of one group current by probing its instances. */
 import type { BackendConnection, BackendConnector } from '../backend/backend.js';
-import type { GroupConfiguration } from '../config/configuration.js';
-import type { Clock } from '../runtime/runtime.js';
+import type { GroupConfiguration } from '../configuration/configuration.js';
+import type { Clock } from '../../runtime/runtime.js';
 import {
   type GroupDescription,
   initialDescription,
--- a/src/topology/gtid.ts
+++ b/src/mysql/topology/gtid.ts
@@ -2,7 +2,7 @@
  * Positions in tagged GTID sets. Each change of primary starts a new tag `t<term>`, so the last tag of a
  * set tells its newest transaction. Source: MySQL 8.4 reference manual, "GTID Format and Storage".
  */
-import { type Position, START } from '../session/position.js';
+import { type Position, START } from '../../positions/position.js';
 
 const TAG_PATTERN = /:t(\d+):(\d+)(?:-(\d+))?/g;
 
--- a/src/topology/instance_prober.ts
+++ b/src/mysql/topology/instance_prober.ts
@@ -3,8 +3,8 @@
  * who ask while a probe is under way share the next one, so cost does not grow with callers.
  */
 import type { BackendConnection, BackendConnector } from '../backend/backend.js';
-import { BackendConnectionLostError } from '../errors/errors.js';
-import type { Clock, Timer } from '../runtime/runtime.js';
+import { BackendConnectionLostError } from '../../errors/errors.js';
+import type { Clock, Timer } from '../../runtime/runtime.js';
 import { type InstanceReport, probe } from './instance_report.js';
 
 /** Timing of probes, in milliseconds. */
--- a/src/observability/decision_logger.ts
+++ b/src/observability/decision_logger.ts
@@ -10,6 +10,9 @@
 /** Lines of one kind of event in an interval. */
 const LINES_PER_INTERVAL = 20;
 
+/** Writes one line for a decision; the line is left out while the budget of its kind is spent. */
+export type DecisionLog = (kind: EventKind, fields: EventFields) => void;
+
 interface Budget {
   intervalStart: number;
   used: number;
@@ -26,7 +29,7 @@
   ) {}
 
   /** Writes one line for a decision, unless the budget of its kind is spent. */
-  readonly log = (kind: EventKind, fields: EventFields): void => {
+  readonly log: DecisionLog = (kind, fields) => {
     const budget = this.budgetOf(kind);
     if (budget.used >= LINES_PER_INTERVAL) {
       budget.leftOut++;
--- a/test/simulation/large_fleet.test.ts
+++ b/test/simulation/large_fleet.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import type { AppointedDeployment } from '../../lab/appointed/appointed_deployment.js';
 import { AppointedWorld, POLICIES, databaseOf } from '../../lab/appointed/appointed_world.js';
-import type { RouterCore } from '../../src/router/router_core.js';
+import type { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
 import { hostOf } from '../../src/runtime/address.js';
 
 const SEED = 1;
@@ -160,7 +160,7 @@
   await world.run(CONTROL_DELAY_MS);
   for (const control of world.coordinators) control.start();
   const cores = world.routers.map((router) => router.running!.core);
-  const knows = (core: RouterCore): boolean =>
+  const knows = (core: AppointedProxy): boolean =>
     core.trust.groupNames.length > 0 &&
     core.trust.groupNames.every((group) => core.floorOf(group).newestSentAt !== undefined);
   while (!cores.some(knows)) await world.run(1);
--- a/test/simulation/protections.test.ts
+++ b/test/simulation/protections.test.ts
@@ -4,7 +4,7 @@
 import type { CheckName } from '../../lab/history/violation.js';
 import { FAULT_KINDS, type FaultKind } from '../../lab/simulation/faults.js';
 import { runSeeds } from '../../lab/simulation/simulate_command.js';
-import { PROTECTIONS, type Protection } from '../../src/gateway/protections.js';
+import { PROTECTIONS, type Protection } from '../../src/mysql/gateway/protections.js';
 
 const JOBS = 4;
 const SEEDS_WITHOUT_PROTECTION = 50;
--- a/test/simulation/silent_primary.test.ts
+++ b/test/simulation/silent_primary.test.ts
@@ -2,8 +2,8 @@
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
 import { AppointedWorld, databaseOf } from '../../lab/appointed/appointed_world.js';
-import type { RoutedSession } from '../../src/router/routed_session.js';
-import type { CallerStatement } from '../../src/router/statement.js';
+import type { RoutedSession } from '../../src/appointed/sessions/routed_session.js';
+import type { CallerStatement } from '../../src/appointed/instance/statement.js';
 
 const SEEDS = 10;
 const SETTLED_MS = 2000;
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -5,7 +5,7 @@
 import { FAULT_KINDS } from '../../lab/simulation/faults.js';
 import { runSeeds } from '../../lab/simulation/simulate_command.js';
 import { simulate } from '../../lab/simulation/simulation.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 
 const JOBS = 4;
 const SEEDS_IN_CI = 20;
--- a/test/tools/connection_request.ts
+++ b/test/tools/connection_request.ts
@@ -1,5 +1,5 @@
 /** Requests for connections, for tests of pools. */
-import type { ConnectionRequest } from '../../src/router/pooled_connection.js';
+import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
 
 const NO_VALUES: ReadonlyMap<string, string> = new Map();
 
--- a/test/tools/consensus_group.ts
+++ b/test/tools/consensus_group.ts
@@ -2,7 +2,7 @@
 import { RaftLog } from '../../src/consensus/raft_log.js';
 import { RaftNode, type RaftRole } from '../../src/consensus/raft_node.js';
 import type { Member } from '../../src/consensus/membership.js';
-import { COORDINATOR_RAFT_OPTIONS } from '../../src/coordinator/coordinator.js';
+import { APPOINTED_RAFT_OPTIONS } from '../../src/appointed/control/appointed_control.js';
 import { hostOf } from '../../src/runtime/address.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
@@ -57,7 +57,7 @@
     const { id, address } = this.member;
     const onRole = (role: RaftRole, term: number): void =>
       this.note({ at: this.surroundings.scheduler.now, member: id, role, term });
-    const node = new RaftNode(id, address, runtime, log, machine, COORDINATOR_RAFT_OPTIONS, {
+    const node = new RaftNode(id, address, runtime, log, machine, APPOINTED_RAFT_OPTIONS, {
       onRole,
     });
     runtime.messenger.serve((body) => node.handle(body));
--- a/test/tools/control_cluster.ts
+++ b/test/tools/control_cluster.ts
@@ -1,6 +1,6 @@
 /** Control machines on the simulated runtime, without proxies and databases. */
-import type { ControlCore } from '../../src/control/control_core.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import type { ControlCore } from '../../src/mysql/control/control_core.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { OperatorClient } from '../../src/cli/operator_client.js';
 import { QUETZAL } from '../../lab/fleet/deployment.js';
--- a/test/tools/fake_connection.ts
+++ b/test/tools/fake_connection.ts
@@ -1,5 +1,5 @@
 /** A connection to an instance that can only be closed, for tests of pools. */
-import type { InstanceConnection } from '../../src/router/instance_connection.js';
+import type { InstanceConnection } from '../../src/appointed/instance/instance_connection.js';
 
 /** Fake of one connection. */
 export class FakeConnection implements InstanceConnection {
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -1,16 +1,16 @@
 /** Heartbeats that come after their sender has crashed and another instance has its address. */
 import t from 'tap';
-import { Catalog } from '../../src/catalog/catalog.js';
-import { AddressClaims } from '../../src/coordinator/address_claim.js';
-import { CatalogService } from '../../src/coordinator/catalog_service.js';
-import { InstanceMonitor } from '../../src/failover/instance_monitor.js';
+import { Catalog } from '../../src/appointed/catalog/catalog.js';
+import { AddressClaims } from '../../src/appointed/control/address_claim.js';
+import { CatalogService } from '../../src/appointed/control/catalog_service.js';
+import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import type { RaftNode } from '../../src/consensus/raft_node.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import {
   ConnectError,
   type ConnectFailure,
   type InstanceConnector,
-} from '../../src/router/instance_connection.js';
+} from '../../src/appointed/instance/instance_connection.js';
 
 const { InstanceState, CatalogOutcome } = whinyoke;
 const ADDRESS = '10.0.0.1:1';
--- a/test/unit/allowance_client.test.ts
+++ b/test/unit/allowance_client.test.ts
@@ -5,8 +5,8 @@
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { Messenger } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { AllowanceClient } from '../../src/tenancy/allowance_client.js';
-import type { OperationVerdict } from '../../src/tenancy/tenant_allowance.js';
+import { AllowanceClient } from '../../src/appointed/tenancy/allowance_client.js';
+import type { OperationVerdict } from '../../src/appointed/tenancy/tenant_allowance.js';
 
 const RULES = { windowMs: 5000, overage: 0.1, tolerance: 20 };
 const TENANT = { name: 'ana', limit: { ratePerSecond: 100, burst: 100 } };
--- a/test/unit/appointment_duty.test.ts
+++ b/test/unit/appointment_duty.test.ts
@@ -1,7 +1,7 @@
 /** Who may call the platform: a holder of the duty that stood still must not use its former token. */
 import t from 'tap';
-import { Catalog } from '../../src/catalog/catalog.js';
-import { AppointmentDuty } from '../../src/failover/appointment_duty.js';
+import { Catalog } from '../../src/appointed/catalog/catalog.js';
+import { AppointmentLease } from '../../src/appointed/failover/appointment_lease.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 
 const { AppointOutcome } = whinyoke;
@@ -13,7 +13,7 @@
   catalog.apply(1, whinyoke.CatalogCommand.encode({ takeDuty }).finish());
   const calls: number[] = [];
   let isCurrent = true;
-  const duty = new AppointmentDuty(
+  const duty = new AppointmentLease(
     SELF,
     catalog,
     { request: () => Promise.reject(new Error('unused')), serve: () => undefined },
--- a/test/unit/configuration.test.ts
+++ b/test/unit/configuration.test.ts
@@ -1,8 +1,8 @@
 /** Configuration documents, and the store of accepted ones against a simple oracle. */
 import fc from 'fast-check';
 import t from 'tap';
-import { readConfiguration } from '../../src/config/configuration.js';
-import { ConfigurationStore } from '../../src/control/configuration_store.js';
+import { readConfiguration } from '../../src/mysql/configuration/configuration.js';
+import { ConfigurationStore } from '../../src/mysql/control/configuration_store.js';
 import { messageOf } from '../../src/errors/errors.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 
--- a/test/unit/connection_homes.test.ts
+++ b/test/unit/connection_homes.test.ts
@@ -2,11 +2,11 @@
 import t from 'tap';
 import { BackendConnectionLostError, PeerUnreachableError } from '../../src/errors/errors.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { ConnectionHomes } from '../../src/relay/connection_homes.js';
-import { HomeHealth } from '../../src/relay/home_health.js';
-import { RelayedConnection } from '../../src/relay/relayed_connection.js';
+import { ConnectionOwners } from '../../src/appointed/relay/connection_owners.js';
+import { OwnerHealth } from '../../src/appointed/relay/owner_health.js';
+import { RelayedConnection } from '../../src/appointed/relay/relayed_connection.js';
 import { durationOf } from '../../src/runtime/duration.js';
-import { connectionShare } from '../../src/router/connection_share.js';
+import { connectionShare } from '../../src/appointed/connections/connection_share.js';
 import type { Clock, Messenger } from '../../src/runtime/runtime.js';
 
 const { RelayOutcome } = whinyoke;
@@ -25,7 +25,7 @@
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
   const addresses = zones.flatMap((zone) => zone.addresses);
   const views = addresses.map((address) => {
-    const homes = new ConnectionHomes(address);
+    const homes = new ConnectionOwners(address);
     homes.update(zones);
     return homes;
   });
@@ -47,7 +47,7 @@
 });
 
 void t.test('where each proxy can have its own, none has a home', (t) => {
-  const homes = new ConnectionHomes('a:0');
+  const homes = new ConnectionOwners('a:0');
   homes.update(zonesOf({ a: 6 }));
   const instance = { id: 'i', zone: 'a', connectionLimit: 34 };
   t.same(homes.of(instance, ''), []);
@@ -61,11 +61,11 @@
     // 193 proxies on 400 connections keep two each; with 36 more each had fewer than two, and kept none.
     const zones = zonesOf({ a: 80, b: 80, c: 69 });
     const instance = { id: 'i', zone: 'a', connectionLimit: 400 };
-    const homes = new ConnectionHomes('a:0');
+    const homes = new ConnectionOwners('a:0');
     homes.update(zones);
     const [first] = homes.of(instance, '');
     t.ok(first, 'statements go through a home');
-    const home = new ConnectionHomes(first!);
+    const home = new ConnectionOwners(first!);
     home.update(zones);
     const { most, idleTimeoutMs } = home.shareOf(instance, 229);
     t.ok(most >= 24, 'which has connections for all');
@@ -75,7 +75,7 @@
 );
 
 void t.test('an instance in a zone without proxies has homes elsewhere', (t) => {
-  const homes = new ConnectionHomes('a:0');
+  const homes = new ConnectionOwners('a:0');
   homes.update(zonesOf({ a: 40 }));
   t.ok(homes.of({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
   t.end();
@@ -89,7 +89,7 @@
 function connectionVia(said: Readonly<Record<string, Said>>): {
   readonly connection: RelayedConnection;
   readonly asked: whinyoke.IRelayRequest[];
-  readonly health: HomeHealth;
+  readonly health: OwnerHealth;
 } {
   const asked: whinyoke.IRelayRequest[] = [];
   const messenger: Messenger = {
@@ -101,7 +101,7 @@
     },
     serve: () => undefined,
   };
-  const health = new HomeHealth(STILL_CLOCK, messenger);
+  const health = new OwnerHealth(STILL_CLOCK, messenger);
   const homes = Object.keys(said);
   const route = {
     instance: 'i',
@@ -178,7 +178,7 @@
     request: () => new Promise(() => undefined),
     serve: () => undefined,
   };
-  const health = new HomeHealth(STILL_CLOCK, messenger);
+  const health = new OwnerHealth(STILL_CLOCK, messenger);
   const route = {
     instance: 'i',
     tenant: 'ana',
@@ -215,7 +215,7 @@
     },
     serve: () => undefined,
   };
-  const health = new HomeHealth(clock, messenger);
+  const health = new OwnerHealth(clock, messenger);
   const tick = async (): Promise<void> => {
     now += 250;
     timers.shift()?.();
--- a/test/unit/emulated_database.test.ts
+++ b/test/unit/emulated_database.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import { QUETZAL } from '../../lab/fleet/deployment.js';
 import { World } from '../../lab/simulation/world.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 
 const GROUP = 'payments';
 
--- a/test/unit/examples.test.ts
+++ b/test/unit/examples.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import t from 'tap';
-import { readConfiguration } from '../../src/config/configuration.js';
+import { readConfiguration } from '../../src/mysql/configuration/configuration.js';
 import {
   clientSettingsSchema,
   controlSettingsSchema,
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -1,24 +1,27 @@
 /** Decisions around a change of primary: trust, ledger, opinions, choice, catalog, membership. */
 import t from 'tap';
-import { Catalog } from '../../src/catalog/catalog.js';
-import { documentOf, inflateSource } from '../../src/catalog/document_source.js';
+import { Catalog } from '../../src/appointed/catalog/catalog.js';
+import { documentOf, inflateSource } from '../../src/appointed/catalog/document_source.js';
 import { nextMembership } from '../../src/consensus/elastic_membership.js';
 import { Membership } from '../../src/consensus/membership.js';
-import { type ChoiceInput, chooseCandidate } from '../../src/failover/candidate.js';
-import { FailoverController } from '../../src/failover/failover_controller.js';
-import { InstanceMonitor } from '../../src/failover/instance_monitor.js';
-import { type FencedReplica, appointmentObjection } from '../../src/failover/appointment_fence.js';
-import { LeaseLedger, type RevocationState } from '../../src/failover/lease_ledger.js';
-import type { ChangerContext } from '../../src/failover/primary_changer.js';
-import { PrimaryHealthBoard } from '../../src/failover/primary_health_board.js';
+import { type ChoiceInput, chooseCandidate } from '../../src/appointed/failover/candidate.js';
+import { FailoverController } from '../../src/appointed/failover/failover_controller.js';
+import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
+import {
+  type FencedReplica,
+  appointmentObjection,
+} from '../../src/appointed/failover/appointment_fence.js';
+import { LeaseLedger, type RevocationState } from '../../src/appointed/failover/lease_ledger.js';
+import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
+import { PrimaryHealthBoard } from '../../src/appointed/failover/primary_health_board.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import type { InstanceStatus } from '../../src/router/instance_connection.js';
+import type { InstanceStatus } from '../../src/appointed/instance/instance_connection.js';
 import {
-  LONGEST_WITNESSED_SILENCE_MS,
-  WITNESSED_LEASE_MS,
+  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  REPLICA_LEASE_MS,
   objectionOf,
-} from '../../src/router/replica_witness.js';
-import { PrimaryTrust } from '../../src/router/primary_trust.js';
+} from '../../src/appointed/trust/replica_lease_confirmer.js';
+import { PrimaryTrust } from '../../src/appointed/trust/primary_trust.js';
 
 const { GroupPhase, InstanceRole, InstanceState, PrimaryHealth } = whinyoke;
 
@@ -136,9 +139,9 @@
   const proxies = { knownVersion: 20, trustUntil: 50_000 };
   const objection = (replica: Partial<FencedReplica>, now: number): string | undefined =>
     appointmentObjection({ version: 20, heldSince: 1000, ...replica }, proxies, now);
-  const longEnough = 1000 + WITNESSED_LEASE_MS + 200;
+  const longEnough = 1000 + REPLICA_LEASE_MS + 200;
   t.equal(objection({}, longEnough), undefined);
-  t.match(objection({}, 1000 + WITNESSED_LEASE_MS), /only/, 'a lease that it confirmed may hold');
+  t.match(objection({}, 1000 + REPLICA_LEASE_MS), /only/, 'a lease that it confirmed may hold');
   t.match(objection({ heldSince: undefined }, longEnough), /not held/);
   t.match(objection({ version: 21 }, longEnough), /not know/, 'nobody would ask it');
   t.equal(objection({ version: 21 }, 50_001), undefined, 'they have stopped to ask');
@@ -155,7 +158,7 @@
   t.equal(state().unconfirmed.knownVersion, 7);
   ledger.confirm(PROXIES[0]!, { group: 'g', epoch: 2 });
   t.equal(state().unconfirmed.knownVersion, 9);
-  t.ok(state().unconfirmed.trustUntil > 2000 + LONGEST_WITNESSED_SILENCE_MS);
+  t.ok(state().unconfirmed.trustUntil > 2000 + LONGEST_REPLICA_LEASE_SILENCE_MS);
   t.end();
 });
 
--- a/test/unit/kept_data.test.ts
+++ b/test/unit/kept_data.test.ts
@@ -6,14 +6,14 @@
 import { join } from 'node:path';
 import { inflateRawSync } from 'node:zlib';
 import t, { type Test } from 'tap';
-import { ControlCore } from '../../src/control/control_core.js';
-import { Coordinator } from '../../src/coordinator/coordinator.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import { ControlCore } from '../../src/mysql/control/control_core.js';
+import { AppointedControl } from '../../src/appointed/control/appointed_control.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import {
   ConfigurationKeeper,
   type ConfigurationState,
-} from '../../src/proxy/configuration_keeper.js';
+} from '../../src/mysql/proxy/configuration_keeper.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 import { RealFolder } from '../../src/runtime/real_folder.js';
 import { type Runtime, delay } from '../../src/runtime/runtime.js';
@@ -81,7 +81,7 @@
   'a control machine of appointed primaries opens a kept folder and goes on',
   async (t) => {
     const runtime = await openKept(t, 'control_data_appointed');
-    const core = await Coordinator.open(runtime, {
+    const core = await AppointedControl.open(runtime, {
       name: 'control-1',
       address: COORDINATOR_ADDRESS,
       seeds: [COORDINATOR_ADDRESS],
--- a/test/unit/limits.test.ts
+++ b/test/unit/limits.test.ts
@@ -1,14 +1,14 @@
 /** Shares, slots and connections against simple models. */
 import fc from 'fast-check';
 import t from 'tap';
-import type { BackendConnection } from '../../src/backend/backend.js';
+import type { BackendConnection } from '../../src/mysql/backend/backend.js';
 import { RequestError } from '../../src/errors/errors.js';
-import { DEFAULT_POOL_OPTIONS, InstancePool } from '../../src/pool/instance_pool.js';
-import { SessionTerminator } from '../../src/pool/session_terminator.js';
-import { fastHash } from '../../src/pool/fast_hash.js';
-import { RendezvousTable } from '../../src/pool/rendezvous.js';
-import { seatsFor, shareOfUnit, sumShares, unitsOfSeat } from '../../src/pool/shares.js';
-import { Priority, type ReleaseSlot, SlotQueue } from '../../src/pool/slot_queue.js';
+import { DEFAULT_BACKEND_POOL_OPTIONS, BackendPool } from '../../src/mysql/pool/backend_pool.js';
+import { SessionTerminator } from '../../src/mysql/pool/session_terminator.js';
+import { fastHash } from '../../src/hashing/fast_hash.js';
+import { RendezvousTable } from '../../src/hashing/rendezvous.js';
+import { seatsFor, shareOfUnit, sumShares, unitsOfSeat } from '../../src/mysql/pool/shares.js';
+import { Priority, type ReleaseSlot, SlotQueue } from '../../src/mysql/pool/slot_queue.js';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
@@ -181,7 +181,13 @@
         },
       } as unknown as BackendConnection;
       const clock = newProcess().clock;
-      const pool = new InstancePool('i', clock, { connect }, DEFAULT_POOL_OPTIONS, terminator);
+      const pool = new BackendPool(
+        'i',
+        clock,
+        { connect },
+        DEFAULT_BACKEND_POOL_OPTIONS,
+        terminator,
+      );
       let limit = 2;
       let highest = limit;
       pool.setLimit(limit);
--- a/test/unit/platform_codec.test.ts
+++ b/test/unit/platform_codec.test.ts
@@ -12,7 +12,7 @@
 import { LineReader } from '../../platform/line_reader.js';
 import { PlatformDocumentReader } from '../../platform/routing_document.js';
 import { readControlSettings, readProxySettings } from '../../platform/settings.js';
-import { completed, refused } from '../../src/router/caller_reply.js';
+import { completed, refused } from '../../src/appointed/sessions/caller_reply.js';
 
 void t.test('lines are cut at any byte and keep every byte', (t) => {
   const text = 'START db who\r\nQUERY 1 WRITE k \xff\xfe x\r\n';
--- a/test/unit/position.test.ts
+++ b/test/unit/position.test.ts
@@ -8,8 +8,8 @@
   formatPosition,
   latest,
   parsePosition,
-} from '../../src/session/position.js';
-import { SessionToken } from '../../src/session/token.js';
+} from '../../src/positions/position.js';
+import { SessionToken } from '../../src/mysql/session/token.js';
 
 const positions: fc.Arbitrary<Position> = fc.record({
   term: fc.nat({ max: 1000 }),
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -1,19 +1,22 @@
 /** Parts of the router: floors, order of instances, pool, logs that never block. */
 import t from 'tap';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { connectionShare } from '../../src/router/connection_share.js';
+import { connectionShare } from '../../src/appointed/connections/connection_share.js';
 import { Events } from '../../src/observability/events.js';
 import { BoundedOutput } from '../../src/observability/bounded_output.js';
 import { DecisionLogger } from '../../src/observability/decision_logger.js';
-import { ConnectError, type InstanceConnector } from '../../src/router/instance_connection.js';
-import { BusyWindow } from '../../src/router/busy_window.js';
-import { IdlePatience } from '../../src/router/idle_patience.js';
-import { InstanceLoad } from '../../src/router/instance_load.js';
-import { AcquireError } from '../../src/router/acquire_error.js';
-import { InstancePool, type PoolObserver } from '../../src/router/instance_pool.js';
-import { PositionFloor } from '../../src/router/position_floor.js';
-import { PrimaryObserver } from '../../src/router/primary_observer.js';
-import { orderCandidates } from '../../src/router/replica_selector.js';
+import {
+  ConnectError,
+  type InstanceConnector,
+} from '../../src/appointed/instance/instance_connection.js';
+import { ConcurrencyLimit } from '../../src/appointed/connections/concurrency_limit.js';
+import { IdleTimeout } from '../../src/appointed/connections/idle_timeout.js';
+import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
+import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
+import { InstancePool, type PoolObserver } from '../../src/appointed/connections/instance_pool.js';
+import { PositionFloor } from '../../src/appointed/routing/position_floor.js';
+import { PrimaryObserver } from '../../src/appointed/trust/primary_observer.js';
+import { orderCandidates } from '../../src/appointed/routing/replica_selector.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
 import { FakeConnection } from '../tools/fake_connection.js';
@@ -314,7 +317,7 @@
 });
 
 void t.test('idle connections are kept for longer while the instance has some left', (t) => {
-  const patience = new IdlePatience();
+  const patience = new IdleTimeout();
   const longestMs = 600;
   t.equal(patience.current(longestMs), longestMs);
   for (let count = 0; count < 100; count++) patience.noteOpened();
@@ -399,7 +402,7 @@
 void t.test(
   'the window of an instance halves when it is busy, pauses at one, and grows again',
   (t) => {
-    const window = new BusyWindow(new SeededRandom(1));
+    const window = new ConcurrencyLimit(new SeededRandom(1));
     t.ok(window.allows(1000, 0), 'no limit at first');
     window.noteBusy(8, 0);
     t.ok(window.allows(3, 0));
--- a/test/unit/routing.test.ts
+++ b/test/unit/routing.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import t from 'tap';
 import { RequestError } from '../../src/errors/errors.js';
-import { readMarks } from '../../src/routing/marks.js';
-import { type StatementClass, classifyStatement } from '../../src/routing/statement_class.js';
+import { readMarks } from '../../src/mysql/routing/marks.js';
+import { type StatementClass, classifyStatement } from '../../src/mysql/routing/statement_class.js';
 
 const classes: Readonly<Record<string, StatementClass>> = {
   'SELECT * FROM slots': 'read',
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -1,12 +1,12 @@
 /** Whose turn it is at a full instance: replays of load, without a network, against the order by priority and arrival. */
 import t from 'tap';
-import { InstanceLoad } from '../../src/router/instance_load.js';
-import { InstancePool } from '../../src/router/instance_pool.js';
-import type { ConnectionRequest } from '../../src/router/pooled_connection.js';
+import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
+import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
+import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { FakeConnection } from '../tools/fake_connection.js';
-import { type QueuedRequest, ServiceOrder } from '../../src/scheduling/service_order.js';
+import { type QueuedRequest, ServiceOrder } from '../../src/appointed/scheduling/service_order.js';
 
 /** One kind of request: how often it comes, how long it takes, by when it is useful. */
 interface Kind {
--- a/test/unit/storage.test.ts
+++ b/test/unit/storage.test.ts
@@ -5,11 +5,11 @@
 import { VirtualDisk } from '../../lab/simulation/virtual_disk.js';
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { StorageCorruptionError } from '../../src/errors/errors.js';
-import { ProtectionSet } from '../../src/gateway/protections.js';
+import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import {
   ConfigurationKeeper,
   type ConfigurationState,
-} from '../../src/proxy/configuration_keeper.js';
+} from '../../src/mysql/proxy/configuration_keeper.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { RecordFile, decodeRecords, encodeRecord } from '../../src/storage/record_file.js';
 
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -1,14 +1,17 @@
 /** What the leader keeps for many proxies at once: registrations, encoded updates, positions and their times. */
 import fc from 'fast-check';
 import t from 'tap';
-import { Catalog } from '../../src/catalog/catalog.js';
-import { documentOf } from '../../src/catalog/document_source.js';
-import { CatalogUpdates } from '../../src/coordinator/catalog_updates.js';
-import { PositionBoard } from '../../src/coordinator/position_board.js';
-import { ProxyRegistrar } from '../../src/coordinator/proxy_registrar.js';
+import { Catalog } from '../../src/appointed/catalog/catalog.js';
+import { documentOf } from '../../src/appointed/catalog/document_source.js';
+import { CatalogUpdates } from '../../src/appointed/control/catalog_updates.js';
+import { PositionBoard } from '../../src/appointed/control/position_board.js';
+import { ProxyRegistrar } from '../../src/appointed/control/proxy_registrar.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { ConnectError, type InstanceConnector } from '../../src/router/instance_connection.js';
-import { SharedPositions, toldPositions } from '../../src/router/shared_positions.js';
+import {
+  ConnectError,
+  type InstanceConnector,
+} from '../../src/appointed/instance/instance_connection.js';
+import { SharedPositions, toldPositions } from '../../src/appointed/proxy/shared_positions.js';
 import type { Clock } from '../../src/runtime/runtime.js';
 
 const { GroupPhase } = whinyoke;
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -4,26 +4,29 @@
 import t from 'tap';
 import { LineCallerCodec } from '../../platform/caller_codec.js';
 import { PlatformDocumentReader } from '../../platform/routing_document.js';
-import { type ConnectionRequest, PooledConnection } from '../../src/router/pooled_connection.js';
-import { IdleConnections } from '../../src/router/idle_connections.js';
-import { InstanceLoad } from '../../src/router/instance_load.js';
-import { InstancePool } from '../../src/router/instance_pool.js';
+import {
+  type ConnectionRequest,
+  PooledConnection,
+} from '../../src/appointed/connections/pooled_connection.js';
+import { IdleConnections } from '../../src/appointed/connections/idle_connections.js';
+import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
+import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
 import { FakeConnection } from '../tools/fake_connection.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { freshnessWithin } from '../../src/tenancy/admission.js';
+import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
 import {
   LEADER_OVERLAP_MS,
   RESERVE_LIFE_MS,
   WAITING_ALLOWANCE_MS,
-} from '../../src/tenancy/operation_budget.js';
+} from '../../src/appointed/tenancy/operation_budget.js';
 import {
   type Allowance,
   type AllowanceDemand,
   OperationLedger,
-} from '../../src/tenancy/operation_ledger.js';
-import { TenantAllowance } from '../../src/tenancy/tenant_allowance.js';
-import { type OperationLimit, TenantDirectory } from '../../src/tenancy/tenant.js';
+} from '../../src/appointed/tenancy/operation_ledger.js';
+import { TenantAllowance } from '../../src/appointed/tenancy/tenant_allowance.js';
+import { type OperationLimit, TenantDirectory } from '../../src/appointed/tenancy/tenant.js';
 
 const SECRET = 'k3y-that-nobody-may-see';
 
