--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -10,6 +10,7 @@
   type HeldConnection,
   StatementRunner,
 } from '../sessions/statement_runner.js';
+import { textOf } from '../routing/refusal_cause.js';
 import { type Target } from '../routing/target_planner.js';
 import { durationOf } from '../../runtime/duration.js';
 import { type RelayedCommand, decodeRelayCommand, encodeRelayAnswer } from './relay_codec.js';
@@ -206,8 +207,8 @@
         answer: encodeRelayAnswer(attempt.answer),
       };
     case 'notRun':
-      return notRun(attempt.cause);
+      return notRun(textOf(attempt.cause));
     case 'lost':
-      return { outcome: RelayOutcome.LOST, cause: attempt.cause };
+      return { outcome: RelayOutcome.LOST, cause: textOf(attempt.cause) };
   }
 }
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -1,12 +1,26 @@
-/** Refusals told to callers, each with its cause and when to come back. */
+/**
+ * Answers that refuse a request, or tell that its outcome is unknown, and the log lines of refusals and retries.
+ *
+ * Owns: which event is logged, with which fields. The causes and their texts are in refusal_cause.ts, the time to come
+ * back in retry_after.ts.
+ * Relies on: the proxy's trust, positions and admission, for the fields of the lines; none of them can fail here.
+ */
 import { Events } from '../../observability/events.js';
-import { type CallerErrorKind, type CallerReply, refused } from '../sessions/caller_reply.js';
+import {
+  type CallerErrorKind,
+  type CallerReply,
+  type PromiseKind,
+  refused,
+  verdictOf,
+} from '../sessions/caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 import type { RequestDeadline } from './request_deadline.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { Target } from './target_planner.js';
 import { formatPosition } from '../../positions/position.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
+import { type RefusalCause, type RetryCause, textOf } from './refusal_cause.js';
+import { type GroupSituation, retryAfterMs } from './retry_after.js';
 
 /** A request that is answered with an error. */
 export interface RefusedRequest {
@@ -17,77 +31,65 @@
   readonly tenant?: string;
 }
 
-/** Ages beyond this are told as this, in milliseconds: the document was never confirmed. */
-const LONGEST_TOLD_AGE_MS = 1_000_000;
-const SHORT_RETRY_MS = 50;
-const NO_LEASE_RETRY_MS = 300;
-/** Usual duration of a change of primary, in milliseconds, for the time told to callers. */
-export const USUAL_CHANGE_MS = 800;
+/** Age of the document that log lines tell at most, in milliseconds: it may never have been confirmed. */
+const LONGEST_LOGGED_AGE_MS = 1_000_000;
 
-/** When a caller should come back, in milliseconds. */
-export function retryAfter(context: ProxyContext, group: string): number {
-  const now = context.clock.now();
-  const entry = context.trust.entryOf(group);
-  if (entry?.phase === whinyoke.GroupPhase.CHANGING) {
-    return Math.max(SHORT_RETRY_MS, USUAL_CHANGE_MS - context.trust.phaseAge(group, now));
-  }
-  return context.trust.primaryOf(group, now) ? SHORT_RETRY_MS : NO_LEASE_RETRY_MS;
+function isChanging(context: ProxyContext, group: string): boolean {
+  return context.trust.entryOf(group)?.phase === whinyoke.GroupPhase.CHANGING;
+}
+
+/** How long a change of the group's primary has been under way, in milliseconds; undefined when there is none. */
+export function changeAge(context: ProxyContext, group: string): number | undefined {
+  if (!isChanging(context, group)) return undefined;
+  return context.trust.phaseAge(group, context.clock.now());
+}
+
+function situationOf(context: ProxyContext, group: string): GroupSituation {
+  return {
+    changeAgeMs: changeAge(context, group),
+    hasTrustedPrimary: context.trust.primaryOf(group, context.clock.now()) !== undefined,
+  };
 }
 
 function logRefusal(
   context: ProxyContext,
   request: RefusedRequest,
   kind: CallerErrorKind,
-  cause: string,
+  cause: RefusalCause,
 ): void {
   const { group, name } = request.deadline.route;
   const now = context.clock.now();
   const entry = context.trust.entryOf(group);
   const floorAt = context.floorOf(group).newestSentAt;
-  context.log(kind === 'inDoubt' ? Events.requestInDoubt : Events.requestRefused, {
+  const event = verdictOf(kind) === 'not_run' ? Events.requestRefused : Events.requestInDoubt;
+  context.log(event, {
     request: request.id,
     route: name,
     group,
     outcome: kind,
-    cause,
+    cause: textOf(cause),
     elapsed_ms: Math.round(request.deadline.elapsed),
     epoch: entry?.epoch ?? 0,
-    phase: entry?.phase === whinyoke.GroupPhase.CHANGING ? 'changing' : 'steady',
+    phase: isChanging(context, group) ? 'changing' : 'steady',
     phase_age_ms: Math.round(context.trust.phaseAge(group, now)),
     leased: context.trust.primaryOf(group, now) !== undefined,
     floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
     document: context.table?.version ?? 0,
-    document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_TOLD_AGE_MS)),
+    document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_LOGGED_AGE_MS)),
     tenant: request.tenant,
   });
 }
 
-/** Answer to a request that did not run; says when to come back. */
+/** Answer to a request that did not run; tells when to come back. */
 export function refuse(
   context: ProxyContext,
   request: RefusedRequest,
-  kind: CallerErrorKind,
-  cause: string,
-): CallerReply {
-  return refuseFor(
-    context,
-    request,
-    kind,
-    cause,
-    retryAfter(context, request.deadline.route.group),
-  );
-}
-
-/** The same, with the time to come back in milliseconds. */
-export function refuseFor(
-  context: ProxyContext,
-  request: RefusedRequest,
-  kind: CallerErrorKind,
-  cause: string,
-  retryAfterMs: number,
+  kind: PromiseKind,
+  cause: RefusalCause,
 ): CallerReply {
   logRefusal(context, request, kind, cause);
-  const text = `${cause}; retry after ${Math.round(retryAfterMs)} ms`;
+  const retryMs = retryAfterMs(cause, situationOf(context, request.deadline.route.group));
+  const text = `${textOf(cause)}; retry after ${Math.round(retryMs)} ms`;
   return refused(kind, text, request.state);
 }
 
@@ -98,22 +100,23 @@
   outcome: 'unknown' | 'unproven',
 ): CallerReply {
   if (outcome === 'unproven') {
-    const cause = 'whether the credential still holds is not known';
-    return refuseFor(context, request, 'busy', cause, NO_LEASE_RETRY_MS);
+    return refuse(context, request, 'busy', { kind: 'credentialUnproven' });
   }
-  const cause = 'no tenant holds the credential';
+  // Coming back with the same credential makes no sense, so no time is told.
+  const cause = { kind: 'credentialUnknown' as const };
   logRefusal(context, request, 'unauthenticated', cause);
-  return refused('unauthenticated', cause, request.state);
+  return refused('unauthenticated', textOf(cause), request.state);
 }
 
-/** Notes an attempt after which the request may be tried again. */
-export function noteRetry(
+/** Counts and logs an attempt that brought nothing, after which the request may be tried again. */
+export function logRetry(
   context: ProxyContext,
   request: Pick<RefusedRequest, 'id' | 'deadline'>,
   target: Target,
-  cause: string,
+  retryCause: RetryCause,
 ): void {
   const { route, elapsed } = request.deadline;
+  const cause = textOf(retryCause);
   context.counters.retried(route.name, cause);
   context.log(Events.requestRetried, {
     request: request.id,
@@ -131,8 +134,8 @@
 export function inDoubt(
   context: ProxyContext,
   request: RefusedRequest,
-  cause: string,
+  cause: RefusalCause,
 ): CallerReply {
   logRefusal(context, request, 'inDoubt', cause);
-  return refused('inDoubt', cause, request.state);
+  return refused('inDoubt', textOf(cause), request.state);
 }
--- /dev/null
+++ b/src/appointed/routing/retry_after.ts
@@ -0,0 +1,69 @@
+/**
+ * When a refused caller is told to come back.
+ *
+ * Situation: callers that were refused come back. Too early, they load instances and control machines that can't serve
+ * them yet; too late, their deadline has passed.
+ * Inputs: the cause of the refusal; the situation of the group that the request is for (ages in milliseconds).
+ * Rule: a cause that names its own time decides. Where control must be reached first, the time of an election is told.
+ * Otherwise the group decides: the rest of a change of primary, a short time while a primary is trusted, the time of an
+ * election while this proxy has no lease.
+ * Relies on nothing: pure functions.
+ */
+import type { RefusalCause } from './refusal_cause.js';
+
+/**
+ * The request may be served at once, by another proxy or after a short queue; milliseconds. Guess, not measured;
+ * docs/design/scheduling.md names that it does not follow the queue.
+ */
+const SHORT_RETRY_MS = 50;
+/**
+ * Control must be reached first: for a lease, a configuration, a confirmation or a grant; milliseconds. About the time of
+ * an election. Guess, not measured (docs/design/quota.md tells that it is used for grants).
+ */
+const CONTROL_RETRY_MS = 300;
+/** Usual duration of a change of primary, in milliseconds. Guess, not measured. */
+export const USUAL_CHANGE_MS = 800;
+/**
+ * Callers of a tenant over its limit come back spread over this many times the wait, not all at once; without unit.
+ * Guess, not measured.
+ */
+const RETRY_SPREAD = 1.5;
+
+/** What decides when callers of a group should come back. */
+export interface GroupSituation {
+  /** How long the change of primary has been under way, in milliseconds; undefined when there is none. */
+  readonly changeAgeMs: number | undefined;
+  /** Whether this proxy trusts a primary now. */
+  readonly hasTrustedPrimary: boolean;
+}
+
+/**
+ * Time after which a caller should come back, in milliseconds.
+ * @param situation - left out where nothing is known of a group
+ */
+export function retryAfterMs(cause: RefusalCause, situation?: GroupSituation): number {
+  switch (cause.kind) {
+    case 'tenantOverLimit':
+      return cause.retryAfterMs;
+    case 'noGrant':
+    case 'credentialUnproven':
+    case 'noConfiguration':
+      return CONTROL_RETRY_MS;
+    default:
+      return situation ? groupRetryMs(situation) : CONTROL_RETRY_MS;
+  }
+}
+
+function groupRetryMs({ changeAgeMs, hasTrustedPrimary }: GroupSituation): number {
+  if (changeAgeMs !== undefined) return Math.max(SHORT_RETRY_MS, USUAL_CHANGE_MS - changeAgeMs);
+  return hasTrustedPrimary ? SHORT_RETRY_MS : CONTROL_RETRY_MS;
+}
+
+/**
+ * Time told to a caller of a tenant that is over its limit, in milliseconds.
+ * @param waitMs - time until the leader may have an operation again
+ * @param drawn - a random number from 0 to 1, so that callers come back at different times
+ */
+export function overLimitRetryMs(waitMs: number, drawn: number): number {
+  return Math.ceil(waitMs * (1 + RETRY_SPREAD * drawn));
+}
--- a/src/appointed/sessions/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -1,23 +1,39 @@
 /** Answers to callers, independent of the protocol that carries them. */
+import type { Verdict } from '../../errors/errors.js';
 import type { Position } from '../../positions/position.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 
 /**
- * Kinds of errors told to callers. `busy`, `aborted`, `lagging`, `readOnly` and `unauthenticated` promise that nothing of the
- * caller's operation is kept (verdict `not_run`); `inDoubt`, `timeout` and `failed` do not.
+ * Kinds of errors told to callers, and what each tells of the caller's operation. `not_run` is a promise that nothing of
+ * it is kept. See docs/operations/errors.md.
  */
-export type CallerErrorKind =
-  | 'busy'
-  | 'aborted'
-  | 'lagging'
-  | 'readOnly'
-  | 'inDoubt'
-  | 'timeout'
-  | 'failed'
-  | 'malformed'
-  | 'unknownName'
-  | 'noDatabase'
-  | 'unauthenticated';
+const VERDICT_OF_KIND = {
+  busy: 'not_run',
+  aborted: 'not_run',
+  lagging: 'not_run',
+  readOnly: 'not_run',
+  unauthenticated: 'not_run',
+  noDatabase: 'not_run',
+  unknownName: 'not_run',
+  // Instances promise nothing with this answer, and it is passed on.
+  malformed: 'may_have_run',
+  inDoubt: 'may_have_run',
+  timeout: 'may_have_run',
+  failed: 'may_have_run',
+} as const satisfies Record<string, Verdict>;
+
+/** Kind of an error told to a caller. */
+export type CallerErrorKind = keyof typeof VERDICT_OF_KIND;
+
+/** Kinds that promise that nothing of the caller's operation is kept. */
+export type PromiseKind = {
+  [Kind in CallerErrorKind]: (typeof VERDICT_OF_KIND)[Kind] extends 'not_run' ? Kind : never;
+}[CallerErrorKind];
+
+/** What a kind of error tells of the caller's operation. */
+export function verdictOf(kind: CallerErrorKind): Verdict {
+  return VERDICT_OF_KIND[kind];
+}
 
 /** An error told to a caller. */
 export interface CallerError {
@@ -28,7 +44,7 @@
 /** A whole answer to a caller. */
 export interface CallerReply {
   readonly rows: readonly string[];
-  /** Signature of the instance, or `-` for what the router answered by itself. */
+  /** Signature of the instance, or `-` for what the proxy answers by itself. */
   readonly signature: string;
   readonly error?: CallerError;
   readonly state: TransactionState;
@@ -45,12 +61,12 @@
 /** Signature of answers that no instance gave. */
 export const OWN_SIGNATURE = '-';
 
-/** A success that the router answers by itself. */
+/** A success that the proxy answers by itself. */
 export function completed(state: TransactionState): CallerReply {
   return { rows: [], signature: OWN_SIGNATURE, state };
 }
 
-/** An error. */
+/** An answer of the proxy that tells an error. */
 export function refused(kind: CallerErrorKind, text: string, state: TransactionState): CallerReply {
   return { rows: [], signature: OWN_SIGNATURE, error: { kind, text }, state };
 }
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -5,7 +5,8 @@
 import type { Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
-import { type RefusedRequest, inDoubt, noteRetry, refuse } from '../routing/refusal.js';
+import { type RefusedRequest, inDoubt, logRetry, refuse } from '../routing/refusal.js';
+import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
 import { RequestDeadline } from '../routing/request_deadline.js';
 import { RetryPause } from '../routing/retry_pause.js';
 import type { Route } from '../catalog/route_table.js';
@@ -35,7 +36,7 @@
   private hasWritten = false;
   private isEnded = false;
   /** The begin at an instance that is under way; resolves with why it failed. */
-  private binding: Promise<string | undefined> | undefined;
+  private binding: Promise<RefusalCause | undefined> | undefined;
 
   constructor(
     private readonly context: ProxyContext,
@@ -73,7 +74,7 @@
     if (answer.error) return this.failStatement(answer.error, refusal);
     if (!this.isTrusted()) {
       this.drop();
-      return refuse(this.context, refusal, 'aborted', 'the lease on the primary ended');
+      return refuse(this.context, refusal, 'aborted', { kind: 'leaseEnded' });
     }
     this.countServed();
     return {
@@ -94,7 +95,7 @@
     }
     if (!this.isTrusted()) {
       this.drop();
-      return { reply: refuse(this.context, refusal, 'aborted', 'the lease on the primary ended') };
+      return { reply: refuse(this.context, refusal, 'aborted', { kind: 'leaseEnded' }) };
     }
     this.context.trust.commitStarted(this.route.group);
     try {
@@ -136,7 +137,7 @@
     }
     if (!answer || answer.error) return { reply: this.commitFailed(refusal, cause) };
     if (this.hasWritten && !isTargetTrusted(this.context, held.target)) {
-      return { reply: this.commitFailed(refusal, 'the lease on the primary ended') };
+      return { reply: this.commitFailed(refusal, { kind: 'leaseEnded' }) };
     }
     const { rows, signature, position } = answer;
     const reply: CallerReply = { rows, signature, state: 'idle', position };
@@ -146,7 +147,7 @@
   }
 
   /** A commit without a trusted answer is in doubt, unless there was nothing to commit. */
-  private commitFailed(refusal: RefusedRequest, cause: string): CallerReply {
+  private commitFailed(refusal: RefusedRequest, cause: RefusalCause): CallerReply {
     if (this.hasWritten) return inDoubt(this.context, refusal, cause);
     return refuse(this.context, refusal, 'aborted', cause);
   }
@@ -177,7 +178,8 @@
     if (error.kind === 'malformed' || error.kind === 'unknownName') {
       return refused(error.kind, error.text, 'failed');
     }
-    return refuse(this.context, refusal, 'aborted', `the instance answered ${error.kind}`);
+    const cause = { kind: 'transactionAnswered' as const, error: error.kind };
+    return refuse(this.context, refusal, 'aborted', cause);
   }
 
   /** Begins at an instance, unless done; returns why it could not. Nothing ran then. */
@@ -185,7 +187,7 @@
     id: string,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
+  ): Promise<RefusalCause | undefined> {
     await this.binding;
     if (this.held) return undefined;
     this.binding = this.tryTargets(id, deadline, content);
@@ -198,19 +200,19 @@
     id: string,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
+  ): Promise<RefusalCause | undefined> {
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
-    let cause = 'no trusted primary';
+    let cause: RefusalCause = { kind: 'noTrustedPrimary' };
     if (this.mayUseReplicas) await this.context.awaitFloor(this.route.group);
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       const target = await this.nextTarget(deadline, tried, pause);
       if (!target) break;
       tried.add(target.instance);
-      const result = await this.beginAt(target, deadline, content);
-      if (result === undefined) return undefined;
-      cause = `${target.instance}: ${result}`;
-      noteRetry(this.context, { id, deadline }, target, result);
+      const failure = await this.beginAt(target, deadline, content);
+      if (failure === undefined) return undefined;
+      cause = { kind: 'attemptFailed', instance: target.instance, failure };
+      logRetry(this.context, { id, deadline }, target, failure);
     }
     return cause;
   }
@@ -238,7 +240,7 @@
     target: Target,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
+  ): Promise<AttemptFailure | undefined> {
     const waitMs = Math.max(MINIMUM_ATTEMPT_MS, deadline.offerRemaining);
     const { priority } = this.route;
     let held: HeldConnection;
@@ -248,7 +250,7 @@
       const needed = { tenant, values: content.values, priority, usefulMs };
       held = await this.runner.hold(target, needed, waitMs);
     } catch {
-      return 'no connection';
+      return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
     const timeoutMs = Math.min(deadline.remaining, this.patienceOf(target));
@@ -260,7 +262,7 @@
     }
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     return attempt.outcome === 'answered'
-      ? `answered ${attempt.answer.error!.kind}`
+      ? { kind: 'beginAnswered', error: attempt.answer.error!.kind }
       : attempt.cause;
   }
 
@@ -291,7 +293,7 @@
 /** Stands for an answer after which a connection can't be used again. */
 const UNKNOWN_ANSWER: InstanceAnswer = { rows: [], signature: '', state: 'failed' };
 
-function causeOfFailure(attempt: Attempt): string {
+function causeOfFailure(attempt: Attempt): RefusalCause {
   if (attempt.outcome !== 'answered') return attempt.cause;
-  return `the instance answered ${attempt.answer.error?.kind ?? 'without an error'}`;
+  return { kind: 'transactionAnswered', error: attempt.answer.error?.kind };
 }
--- a/src/appointed/sessions/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -4,7 +4,7 @@
 import { AdmittedOperation } from '../tenancy/admitted_operation.js';
 import { type CallerReply, completed, refused } from './caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
-import { refuseCredential, refuseFor } from '../routing/refusal.js';
+import { refuse, refuseCredential } from '../routing/refusal.js';
 import { RequestDeadline } from '../routing/request_deadline.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -213,9 +213,8 @@
     if (allowance.isGranted) {
       return { route, deadline, operation: new AdmittedOperation(tenant, context.clock.now()) };
     }
-    const { cause, retryAfterMs } = allowance;
     const named = { ...request, tenant: tenant.name };
-    return { refusal: refuseFor(context, named, 'busy', cause, retryAfterMs) };
+    return { refusal: refuse(context, named, 'busy', allowance.cause) };
   }
 
   /** Whether the open transaction may go on: its tenant still holds the caller's credential. */
--- a/src/appointed/sessions/session_listener.ts
+++ b/src/appointed/sessions/session_listener.ts
@@ -4,6 +4,8 @@
 import type { CallerErrorKind, CallerReply } from './caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 import type { RoutedSession } from './routed_session.js';
+import { textOf } from '../routing/refusal_cause.js';
+import { retryAfterMs } from '../routing/retry_after.js';
 import type { CallerStatement } from '../instance/statement.js';
 
 /** A message of a caller. */
@@ -40,7 +42,6 @@
 const KEEP_ALIVE_MS = 2000;
 /** A caller that comes while the process starts waits for its configuration, in milliseconds. */
 const START_PATIENCE_MS = 1200;
-const START_RETRY_MS = 300;
 
 /** One caller. */
 class CallerConnection {
@@ -125,12 +126,13 @@
       return;
     }
     if (!(await this.source.awaitTable(START_PATIENCE_MS))) {
-      const text = `no configuration yet; retry after ${START_RETRY_MS} ms`;
+      const cause = { kind: 'noConfiguration' as const };
+      const text = `${textOf(cause)}; retry after ${retryAfterMs(cause)} ms`;
       this.finish(this.codec.encodeError('busy', text));
       return;
     }
     if (!(await this.source.isCredentialKnown(database, credential))) {
-      this.finish(this.codec.encodeError('unauthenticated', 'no tenant holds the credential'));
+      this.finish(this.codec.encodeError('unauthenticated', textOf({ kind: 'credentialUnknown' })));
       return;
     }
     if (this.isEnded) return;
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -3,7 +3,8 @@
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
 import { AcquireError } from '../connections/acquire_error.js';
-import { inDoubt, noteRetry, refuse } from '../routing/refusal.js';
+import { inDoubt, logRetry, refuse } from '../routing/refusal.js';
+import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
 import { RetryPause } from '../routing/retry_pause.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -38,7 +39,7 @@
 
 /** A write that certainly did not run. */
 interface NotRunWrite {
-  readonly cause: string;
+  readonly cause: RefusalCause;
   /** Whether an instance was asked at all. */
   readonly wasOffered: boolean;
 }
@@ -58,7 +59,7 @@
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
-    let cause = 'no instance may serve the read';
+    let cause: RefusalCause = { kind: 'noInstanceForRead' };
     if (route.policy.kind !== 'primary') await this.context.awaitFloor(route.group);
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
@@ -75,11 +76,13 @@
         const { answer } = attempt;
         if (!answer.error) return this.succeed(request, target, answer);
         if (answer.error.kind === 'malformed') return fail(answer.error);
-        cause = `${target.instance} answered ${answer.error.kind}`;
+        const error = answer.error.kind;
+        cause = { kind: 'instanceAnswered', instance: target.instance, error };
+        logRetry(this.context, request, target, { kind: 'readAttempt', ending: error });
       } else {
-        cause = `${target.instance}: ${attempt.cause}`;
+        cause = attemptFailed(target, attempt.cause);
+        logRetry(this.context, request, target, { kind: 'readAttempt', ending: attempt.outcome });
       }
-      noteRetry(this.context, request, target, causeOf(attempt));
     }
     const refusal = { id: request.id, deadline, state: 'idle' as const };
     return refuse(this.context, refusal, 'busy', cause);
@@ -92,7 +95,7 @@
     const refusal = { id: request.id, deadline, state: 'idle' as const };
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
-    let cause = 'no trusted primary';
+    let cause: RefusalCause = { kind: 'noTrustedPrimary' };
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       const target = await awaitPrimary(this.context, deadline);
       if (!target) break;
@@ -104,7 +107,7 @@
       cause = result.cause;
       wasOffered ||= result.wasOffered;
       if (!deadline.allowsRetry(wasOffered)) break;
-      noteRetry(this.context, request, target, result.cause);
+      logRetry(this.context, request, target, result.cause);
       await pause.wait();
     }
     return { reply: refuse(this.context, refusal, 'busy', cause) };
@@ -150,7 +153,7 @@
     noteRun(request.operation, attempt);
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'answered' && !isTargetTrusted(this.context, target)) {
-      return { outcome: 'lost', cause: 'the lease on the primary ended' };
+      return { outcome: 'lost', cause: { kind: 'leaseEnded' } };
     }
     return attempt;
   }
@@ -166,7 +169,7 @@
     if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
     if (!isTargetTrusted(this.context, target)) {
       this.runner.release(held);
-      return { cause: 'the lease on the primary ended', wasOffered: false };
+      return { cause: { kind: 'leaseEnded' }, wasOffered: false };
     }
     const command = { kind: 'data' as const, id, statement };
     const attempt = await this.runner.attempt(held, request.content, command, deadline.remaining);
@@ -174,15 +177,18 @@
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'notRun') return { cause: attempt.cause, wasOffered: false };
     if (attempt.outcome === 'lost') {
-      return { reply: inDoubt(this.context, refusal, `${target.instance}: ${attempt.cause}`) };
+      const cause = attemptFailed(target, attempt.cause);
+      return { reply: inDoubt(this.context, refusal, cause) };
     }
     const { answer } = attempt;
     if (answer.error && isNotRun(answer.error.kind)) {
-      return { cause: `${target.instance} answered ${answer.error.kind}`, wasOffered: true };
+      const { kind: error } = answer.error;
+      const cause = { kind: 'instanceAnswered' as const, instance: target.instance, error };
+      return { cause, wasOffered: true };
     }
     if (answer.error) return { reply: fail(answer.error) };
     if (!isTargetTrusted(this.context, target) || !answer.position) {
-      return { reply: inDoubt(this.context, refusal, 'the lease on the primary ended') };
+      return { reply: inDoubt(this.context, refusal, { kind: 'leaseEnded' }) };
     }
     this.context.trust.noteAcknowledged(target.group, answer.position);
     return { reply: this.succeed(request, target, answer), committedAt: answer.position };
@@ -209,8 +215,8 @@
       const needed = { tenant: request.operation.tenant.name, values, priority, usefulMs };
       return await this.runner.hold(target, needed, waitMs);
     } catch (error) {
-      const cause = error instanceof AcquireError ? error.failure : 'no connection';
-      return { outcome: 'notRun', cause: `no connection: ${cause}` };
+      const failure = error instanceof AcquireError ? error.failure : 'no connection';
+      return { outcome: 'notRun', cause: { kind: 'noConnection', failure } };
     }
   }
 
@@ -243,10 +249,8 @@
   if (!isHarmless) operation.noteRun();
 }
 
-/** Why an attempt brought nothing, in few words. */
-function causeOf(attempt: Attempt): string {
-  if (attempt.outcome !== 'answered') return attempt.outcome;
-  return attempt.answer.error?.kind ?? 'untrusted';
+function attemptFailed({ instance }: Target, failure: AttemptFailure): RefusalCause {
+  return { kind: 'attemptFailed', instance, failure };
 }
 
 /** Passes on an error that promises nothing. */
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -7,6 +7,7 @@
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type SessionContent, loadingSteps, noteLoaded } from './session_loader.js';
 import type { InstanceCommand } from '../instance/statement.js';
+import type { AttemptFailure } from '../routing/refusal_cause.js';
 import type { Target } from '../routing/target_planner.js';
 
 const { PrimaryHealth } = whinyoke;
@@ -50,7 +51,7 @@
 /** The statement certainly did not run. */
 export interface NotRunAttempt {
   readonly outcome: 'notRun';
-  readonly cause: string;
+  readonly cause: AttemptFailure;
 }
 
 /** How an attempt at one instance ended. */
@@ -58,7 +59,7 @@
   | { readonly outcome: 'answered'; readonly answer: InstanceAnswer }
   | NotRunAttempt
   /** It may have run. */
-  | { readonly outcome: 'lost'; readonly cause: string };
+  | { readonly outcome: 'lost'; readonly cause: AttemptFailure };
 
 /** Runner of one process. */
 export class StatementRunner {
@@ -120,7 +121,7 @@
     if (loaded.every((isLoaded) => isLoaded)) return { outcome: 'answered', answer };
     // The statement met a session other than the caller's.
     held.pooled.connection.close();
-    const cause = 'the session could not be loaded';
+    const cause = { kind: 'sessionNotLoaded' as const };
     const isHarmless = answer.error !== undefined && isNotRun(answer.error.kind);
     return { outcome: isHarmless ? 'notRun' : 'lost', cause };
   }
@@ -205,9 +206,9 @@
 }
 
 function failedAttempt(reason: unknown): Attempt {
-  const cause = reason instanceof Error ? reason.message : 'connection lost';
+  const message = reason instanceof Error ? reason.message : 'connection lost';
   const wasSent = !(reason instanceof BackendConnectionLostError) || reason.sent;
-  return { outcome: wasSent ? 'lost' : 'notRun', cause };
+  return { outcome: wasSent ? 'lost' : 'notRun', cause: { kind: 'connectionLost', message } };
 }
 
 function isWrite(command: InstanceCommand): boolean {
--- a/src/appointed/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -8,6 +8,7 @@
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import { type Runtime, type Timer, delay } from '../../runtime/runtime.js';
+import { overLimitRetryMs } from '../routing/retry_after.js';
 import type { AdmittedOperation } from './admitted_operation.js';
 import {
   GIVE_BACK_MS,
@@ -46,10 +47,6 @@
 const FIRST_ANSWER_MS = 10;
 /** Pause after a request that failed, in milliseconds. */
 const RETRY_PAUSE_MS = 25;
-/** Time to come back that is told while the leader is unknown, in milliseconds: an election takes about that. */
-const NO_LEADER_RETRY_MS = 300;
-/** Callers that were refused come back spread over this many times the wait, not all at once. */
-const RETRY_SPREAD = 1.5;
 /** A tenant over its limit is told at most so often, in milliseconds. */
 const DRY_LOG_SPACING_MS = 1000;
 /** Tenants that nobody asked for are forgotten after this time, in milliseconds. */
@@ -123,7 +120,7 @@
     const { clock, random } = this.surroundings.runtime;
     const now = clock.now();
     this.counts.refused++;
-    const retryAfterMs = Math.ceil(waitMs * (1 + RETRY_SPREAD * random.next()));
+    const retryAfterMs = overLimitRetryMs(waitMs, random.next());
     if (now - allowance.toldDryAt >= DRY_LOG_SPACING_MS) {
       allowance.toldDryAt = now;
       const leader = this.surroundings.leaderAddress();
@@ -133,7 +130,7 @@
         retry_after_ms: retryAfterMs,
       });
     }
-    return { isGranted: false, cause: 'the tenant is over its limit', retryAfterMs };
+    return { isGranted: false, cause: { kind: 'tenantOverLimit', retryAfterMs } };
   }
 
   private wait(allowance: TenantAllowance, patienceMs: number): Promise<OperationVerdict> {
@@ -142,8 +139,7 @@
       const timer = clock.setTimer(patienceMs, () => {
         allowance.waiting.delete(operation);
         this.counts.ungranted++;
-        const cause = 'no control machine grants operations';
-        resolve({ isGranted: false, cause, retryAfterMs: NO_LEADER_RETRY_MS });
+        resolve({ isGranted: false, cause: { kind: 'noGrant' } });
       });
       const operation = {
         settle: (verdict: OperationVerdict): void => {
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -1,4 +1,5 @@
 /** What one proxy may run for one tenant: its reserve, the requests that wait, and how many are to be expected. */
+import type { RefusalCause } from '../routing/refusal_cause.js';
 import { type QuotaRules, RESERVE_LIFE_MS, quotaBudget } from './operation_budget.js';
 import type { AllowanceDemand } from './operation_ledger.js';
 import type { OperationLimit } from './tenant.js';
@@ -7,7 +8,7 @@
 export type OperationVerdict =
   | { readonly isGranted: true }
   /** Nothing may run; the caller should come back later. */
-  | { readonly isGranted: false; readonly cause: string; readonly retryAfterMs: number };
+  | { readonly isGranted: false; readonly cause: RefusalCause };
 
 /** A request that waits for an allowance. */
 export interface WaitingOperation {
--- a/src/appointed/trust/trust_waiter.ts
+++ b/src/appointed/trust/trust_waiter.ts
@@ -1,7 +1,7 @@
 /** Waiting for a trusted primary. */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { delay } from '../../runtime/runtime.js';
-import { USUAL_CHANGE_MS } from '../routing/refusal.js';
+import { USUAL_CHANGE_MS } from '../routing/retry_after.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type Target, primaryTarget } from '../routing/target_planner.js';
--- /dev/null
+++ b/test/unit/refusals.test.ts
@@ -0,0 +1,72 @@
+/** Refusals of the appointed interface: texts, verdicts and times to come back, which callers and operators rely on. */
+import t from 'tap';
+import { type RetryCause, textOf } from '../../src/appointed/routing/refusal_cause.js';
+import { overLimitRetryMs, retryAfterMs } from '../../src/appointed/routing/retry_after.js';
+import { type CallerErrorKind, verdictOf } from '../../src/appointed/sessions/caller_reply.js';
+
+void t.test('each cause has the text that operators search for', (t) => {
+  const expected: readonly (readonly [RetryCause, string])[] = [
+    [{ kind: 'noConnection' }, 'no connection'],
+    [{ kind: 'noConnection', failure: 'displaced' }, 'no connection: displaced'],
+    [{ kind: 'noConnection', failure: 'no connection' }, 'no connection: no connection'],
+    [{ kind: 'connectionLost', message: 'a-1: ended' }, 'a-1: ended'],
+    [{ kind: 'sessionNotLoaded' }, 'the session could not be loaded'],
+    [{ kind: 'leaseEnded' }, 'the lease on the primary ended'],
+    [{ kind: 'beginAnswered', error: 'busy' }, 'answered busy'],
+    [
+      {
+        kind: 'attemptFailed',
+        instance: 'a-1',
+        failure: { kind: 'noConnection', failure: 'full' },
+      },
+      'a-1: no connection: full',
+    ],
+    [
+      {
+        kind: 'attemptFailed',
+        instance: 'a-1',
+        failure: { kind: 'beginAnswered', error: 'lagging' },
+      },
+      'a-1: answered lagging',
+    ],
+    [{ kind: 'instanceAnswered', instance: 'a-1', error: 'readOnly' }, 'a-1 answered readOnly'],
+    [{ kind: 'transactionAnswered', error: 'failed' }, 'the instance answered failed'],
+    [{ kind: 'transactionAnswered', error: undefined }, 'the instance answered without an error'],
+    [{ kind: 'noTrustedPrimary' }, 'no trusted primary'],
+    [{ kind: 'noInstanceForRead' }, 'no instance may serve the read'],
+    [{ kind: 'tenantOverLimit', retryAfterMs: 1 }, 'the tenant is over its limit'],
+    [{ kind: 'noGrant' }, 'no control machine grants operations'],
+    [{ kind: 'credentialUnknown' }, 'no tenant holds the credential'],
+    [{ kind: 'credentialUnproven' }, 'whether the credential still holds is not known'],
+    [{ kind: 'noConfiguration' }, 'no configuration yet'],
+    [{ kind: 'readAttempt', ending: 'lost' }, 'lost'],
+  ];
+  for (const [cause, text] of expected) t.equal(textOf(cause), text, cause.kind);
+  t.end();
+});
+
+void t.test('callers are told to come back when they may be served', (t) => {
+  const cause = { kind: 'noTrustedPrimary' as const };
+  const steady = { changeAgeMs: undefined, hasTrustedPrimary: true };
+  t.equal(retryAfterMs(cause, steady), 50, 'a primary is trusted');
+  t.equal(retryAfterMs(cause, { ...steady, hasTrustedPrimary: false }), 300, 'no lease');
+  t.equal(retryAfterMs(cause, { ...steady, changeAgeMs: 300 }), 500, 'the rest of a change');
+  t.equal(retryAfterMs(cause, { ...steady, changeAgeMs: 5000 }), 50, 'a change that lasts');
+  for (const kind of ['noGrant', 'credentialUnproven', 'noConfiguration'] as const) {
+    t.equal(retryAfterMs({ kind }, steady), 300, kind);
+  }
+  t.equal(retryAfterMs({ kind: 'noConfiguration' }), 300, 'no group is known');
+  t.equal(retryAfterMs({ kind: 'tenantOverLimit', retryAfterMs: 71 }, steady), 71);
+  t.equal(overLimitRetryMs(100, 0), 100);
+  t.equal(overLimitRetryMs(100, 0.5), 175, 'spread over one and a half times the wait');
+  t.end();
+});
+
+void t.test('each kind of error has a verdict', (t) => {
+  const promises: CallerErrorKind[] = ['busy', 'aborted', 'lagging', 'readOnly', 'unauthenticated'];
+  for (const kind of promises) t.equal(verdictOf(kind), 'not_run', kind);
+  for (const kind of ['inDoubt', 'timeout', 'failed', 'malformed'] as const) {
+    t.equal(verdictOf(kind), 'may_have_run', kind);
+  }
+  t.end();
+});
