--- a/src/appointed/routing/position_floor.ts
+++ b/src/appointed/routing/position_floor.ts
@@ -1,6 +1,12 @@
 /**
- * Positions of a trusted primary over the last seconds. A position counts from the moment its request was
- * sent: it covers every commit that was acknowledged before. See docs/design/appointed-primaries.md.
+ * Position floors of one group: which position a replica must have applied so that its answer is fresh enough.
+ *
+ * Situation: a read may go to a replica only if that replica has applied every commit acknowledged before a given time.
+ * Inputs: positions that the trusted primary answered, each with the time its request was sent (milliseconds, clock of this
+ * process). A position counts from that time: it covers every commit that was acknowledged before.
+ * Rule: the floor of a read is the oldest known position whose request was sent at the wanted time or later: young enough
+ * to be right, and old enough that replicas have probably applied it. See docs/design/appointed-primaries.md.
+ * Relies on nothing: no I/O; the caller vouches that the primary was trusted.
  */
 import type { Position } from '../../positions/position.js';
 
@@ -9,7 +15,9 @@
   readonly position: Position;
 }
 
+/** Positions closer together than this are left out, in milliseconds; it bounds memory. Guess, not measured. */
 const SAMPLE_SPACING_MS = 25;
+/** Positions are kept for this long, in milliseconds; wider staleness bounds get no older floor. Guess, not measured. */
 const HISTORY_MS = 10_000;
 
 /** History of one group in one epoch. */
@@ -17,7 +25,7 @@
   private samples: Sample[] = [];
   private epoch = 0;
 
-  /** Notes a position that the primary of `epoch` answered to a request sent at `sentAt`. */
+  /** Adds a position that the primary of `epoch` answered to a request sent at `sentAt`. */
   note(epoch: number, sentAt: number, position: Position): void {
     if (epoch < this.epoch) return;
     if (epoch > this.epoch) this.reset(epoch);
--- a/src/appointed/routing/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -1,26 +1,48 @@
-/** Order in which instances are tried for a read. */
+/**
+ * Order in which instances are tried for a read.
+ *
+ * Situation: several instances could serve a read; some are slow, failing, far away, or needed for writes.
+ * Inputs: for each instance its zone, whether it is the primary, and what this proxy saw of it: smoothed latency in
+ * milliseconds, statements under way, fraction of recent answers that failed (0 to 1), whether it is avoided now.
+ * Rule: the cheapest first; cost = latency × (statements under way + 1) × the factors below. Replicas that lacked the wanted
+ * position a moment ago are left out. The factors have no unit; no ablation of them was played
+ * (docs/measurements/pieraksts.md, "Ablation").
+ * Relies on nothing: a pure function.
+ */
 import type { Position } from '../../positions/position.js';
 import type { InstanceLoad } from '../connections/instance_load.js';
 
 /** An instance that may serve a read. */
 export interface ReadCandidate {
   readonly id: string;
+  /** Zone of the instance. */
   readonly zone: string;
+  /** What this proxy saw of the instance. */
   readonly load: InstanceLoad;
+  /** Whether it leads its group. */
   readonly isPrimary: boolean;
 }
 
-/** Reads on a primary compete with writes, so that a replica of another zone is preferred. */
+/**
+ * Reads on a primary compete with its writes, so a replica of another zone is preferred. Guess, not measured by itself: set
+ * in the round "reads stay in their zone more" (docs/measurements/platform.md).
+ */
 const PRIMARY_FACTOR = 6;
-/** Traffic to another zone costs latency and bytes. */
+/** Traffic to another zone costs latency and bytes. Guess, not measured by itself: set in the same round. */
 const OTHER_ZONE_FACTOR = 4;
-const UNAVAILABLE_FACTOR = 1000;
-/** An instance that fails all requests costs this many times as much; one that fails a part, a part of it. */
+/** An instance that is avoided after a broken connection or a missing answer comes last. Guess, not measured. */
+const AVOIDED_FACTOR = 1000;
+/**
+ * An instance that fails all requests costs 1 + this many times as much; one that fails a fraction of them, that fraction of
+ * it. Guess, not measured.
+ */
 const FAILING_FACTOR = 30;
 
 /** Circumstances of one read. */
 export interface ReadContext {
+  /** Zone of this proxy. */
   readonly zone: string;
+  /** Time on the clock of this process, in milliseconds. */
   readonly now: number;
   /** Position that a replica must have applied. */
   readonly after: Position | undefined;
@@ -32,11 +54,11 @@
   result *= 1 + FAILING_FACTOR * load.failingShare(context.now);
   if (candidate.isPrimary) result *= PRIMARY_FACTOR;
   if (candidate.zone !== context.zone) result *= OTHER_ZONE_FACTOR;
-  if (load.isEjected(context.now)) result *= UNAVAILABLE_FACTOR;
+  if (load.isEjected(context.now)) result *= AVOIDED_FACTOR;
   return result;
 }
 
-/** Whether a replica lacked the wanted position a moment ago: it would only say so again. */
+/** Whether a replica lacked the wanted position a moment ago: asked now it would most likely refuse again. */
 function isKnownBehind(candidate: ReadCandidate, context: ReadContext): boolean {
   if (candidate.isPrimary || !context.after) return false;
   return candidate.load.isBehind(context.after, context.now);
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -1,17 +1,34 @@
-/** Decides which instances may run a statement, and in which order they are tried. */
+/**
+ * Which instances may run a statement, and in which order they are tried.
+ *
+ * Situation: a write may run on the trusted primary only; a read on every instance that its route's policy finds fresh
+ * enough.
+ * Inputs: the route's policy with its staleness bound in milliseconds, the time when the read or its transaction began, the
+ * newest commit of the session, the instances that were tried already.
+ * Rule: a read gets a position floor (position_floor.ts); replicas come in the order of replica_selector.ts, the trusted
+ * primary at its place among them, or last. Without a floor only the primary may serve the read.
+ * Relies on: the lease on the primary (it may have ended: then the primary is no target), positions of the primary (they
+ * may be missing or too old: then there is no floor), and the pools (an instance without one is left out).
+ */
 import { type Position, latest } from '../../positions/position.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import { orderCandidates } from './replica_selector.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 
-/** Clocks, and answers that were slow to be read: floors are taken this much younger, in milliseconds. */
+/**
+ * Position floors are taken this much younger than the staleness bound, in milliseconds: for clocks that run at different
+ * speeds, and for answers that were read late. Guess, not measured.
+ */
 const FLOOR_MARGIN_MS = 100;
 
 /** An instance that may run a statement. */
 export interface Target {
+  /** Identifier of the instance. */
   readonly instance: string;
+  /** Where connections to it come from. */
   readonly pool: ConnectionSource;
+  /** Group of the instance. */
   readonly group: string;
   /** Epoch under which the instance is used as the primary; undefined for a replica. */
   readonly primaryEpoch?: number;
@@ -21,6 +38,7 @@
 
 /** A read to be planned. */
 export interface ReadPlanRequest {
+  /** Route whose policy tells how fresh an instance must be. */
   readonly route: Route;
   /** When the first byte of the read, or of its transaction, arrived. */
   readonly firstByteAt: number;
@@ -78,13 +96,13 @@
     after,
   });
   const targets: Target[] = [];
-  for (const candidate of ordered) {
-    if (candidate.id === primary?.instance) {
+  for (const { id } of ordered) {
+    if (id === primary?.instance) {
       targets.push(primary);
       continue;
     }
-    const pool = context.poolOf(candidate.id);
-    if (pool) targets.push({ instance: candidate.id, pool, group, after });
+    const pool = context.poolOf(id);
+    if (pool) targets.push({ instance: id, pool, group, after });
   }
   const isPrimaryListed = targets.some((target) => target.primaryEpoch !== undefined);
   if (primary && !isPrimaryListed && !tried.has(primary.instance)) targets.push(primary);
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -7,7 +7,7 @@
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
 import { type RefusedRequest, inDoubt, logRetry, refuse } from '../routing/refusal.js';
 import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
-import { RequestDeadline } from '../routing/request_deadline.js';
+import { ROLLBACK_TIMEOUT_MS, RequestDeadline } from '../routing/request_deadline.js';
 import { RetryPause } from '../routing/retry_pause.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -25,10 +25,6 @@
 
 /** Identifier of statements that no caller asked for. */
 const OWN_REQUEST = '-';
-const MINIMUM_ATTEMPT_MS = 5;
-/** Share of the target latency that every statement of a transaction gets. */
-const STATEMENT_SHARE = 0.6;
-const ROLLBACK_TIMEOUT_MS = 1000;
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
 export class CallerTransaction {
@@ -64,8 +60,8 @@
     this.operation.noteRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
-    const patienceMs = this.patienceOf(this.held!.target);
-    const attempt = await this.attempt(command, content, deadline, patienceMs);
+    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.patience);
+    const attempt = await this.attempt(command, content, deadline, limitMs);
     if (attempt.outcome !== 'answered') {
       this.drop();
       return refuse(this.context, refusal, 'aborted', attempt.cause);
@@ -157,18 +153,18 @@
     command: InstanceCommand,
     content: SessionContent,
     deadline: RequestDeadline,
-    patienceMs = Infinity,
+    limitMs = Infinity,
   ): Promise<Attempt> {
     const pause = new RetryPause(this.context.clock);
     const { pooled, target } = this.held!;
     for (;;) {
-      const timeoutMs = Math.min(deadline.remaining, patienceMs);
+      const timeoutMs = Math.min(deadline.remaining, limitMs);
       target.pool.wake(pooled);
       const attempt = await this.runner.attempt(this.held!, content, command, timeoutMs);
       target.pool.rest(pooled);
       const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
       const isBusy = answer?.error?.kind === 'busy' && answer.state === 'open';
-      if (!isBusy || deadline.retryRemaining <= 0) return attempt;
+      if (!isBusy || !deadline.allowsRetry(true)) return attempt;
       await pause.wait();
     }
   }
@@ -205,7 +201,7 @@
     const pause = new RetryPause(this.context.clock);
     let cause: RefusalCause = { kind: 'noTrustedPrimary' };
     if (this.mayUseReplicas) await this.context.awaitFloor(this.route.group);
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    while (deadline.allowsAttempt) {
       const target = await this.nextTarget(deadline, tried, pause);
       if (!target) break;
       tried.add(target.instance);
@@ -241,19 +237,19 @@
     deadline: RequestDeadline,
     content: SessionContent,
   ): Promise<AttemptFailure | undefined> {
-    const waitMs = Math.max(MINIMUM_ATTEMPT_MS, deadline.offerRemaining);
     const { priority } = this.route;
     let held: HeldConnection;
     try {
       const { name: tenant } = this.operation.tenant;
       const usefulMs = deadline.usefulRemaining;
       const needed = { tenant, values: content.values, priority, usefulMs };
-      held = await this.runner.hold(target, needed, waitMs);
+      held = await this.runner.hold(target, needed, deadline.connectionWait(false));
     } catch {
       return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
-    const timeoutMs = Math.min(deadline.remaining, this.patienceOf(target));
+    const limitMs = deadline.statementTimeout(target.pool.load.patience);
+    const timeoutMs = Math.min(deadline.remaining, limitMs);
     const attempt = await this.runner.attempt(held, { values: content.values }, command, timeoutMs);
     if (attempt.outcome === 'answered' && !attempt.answer.error) {
       this.held = held;
@@ -266,14 +262,6 @@
       : attempt.cause;
   }
 
-  /**
-   * Time for an answer of an instance, in milliseconds. One that is later is most likely lost; nothing is kept then,
-   * so the caller may begin again at once.
-   */
-  private patienceOf({ pool }: Target): number {
-    return Math.max(pool.load.patience, this.route.targetLatencyMs * STATEMENT_SHARE);
-  }
-
   private isTrusted(): boolean {
     return this.held !== undefined && isTargetTrusted(this.context, this.held.target);
   }
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -21,10 +21,6 @@
 import { awaitPrimary } from '../trust/trust_waiter.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
-const MINIMUM_ATTEMPT_MS = 5;
-/** Share of the target latency that every attempt of a read gets. */
-const ATTEMPT_SHARE = 0.4;
-
 /** A statement to run. */
 export interface SingleRequest {
   readonly id: string;
@@ -61,7 +57,7 @@
     let wasOffered = false;
     let cause: RefusalCause = { kind: 'noInstanceForRead' };
     if (route.policy.kind !== 'primary') await this.context.awaitFloor(route.group);
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    while (deadline.allowsAttempt) {
       if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
       const targets = planRead(this.context, plan, tried);
       const target = targets[0];
@@ -96,7 +92,7 @@
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
     let cause: RefusalCause = { kind: 'noTrustedPrimary' };
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    while (deadline.allowsAttempt) {
       const target = await awaitPrimary(this.context, deadline);
       if (!target) break;
       this.context.trust.commitStarted(group);
@@ -136,17 +132,10 @@
     targetsLeft: number,
   ): Promise<Attempt> {
     const { deadline } = request;
-    const isLast = targetsLeft <= 1;
-    const waitMs = isLast ? longestWait(target, deadline) : deadline.offerRemaining / targetsLeft;
+    const waitMs = deadline.connectionWait(target.pool.isHomed, targetsLeft);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
-    const usual = Math.max(
-      target.pool.load.patience,
-      deadline.route.targetLatencyMs * ATTEMPT_SHARE,
-    );
-    // Where there is no other instance, its answer is waited for as long as the caller could still come again.
-    const patienceMs = isLast ? Math.max(usual, deadline.retryRemaining) : usual;
-    const timeoutMs = Math.min(deadline.remaining, patienceMs);
+    const timeoutMs = deadline.readAnswerTimeout(target.pool.load.patience, targetsLeft <= 1);
     const { id, statement } = request;
     const command = { kind: 'data' as const, id, statement, after: target.after };
     const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
@@ -165,7 +154,8 @@
   ): Promise<CommittedReply | NotRunWrite> {
     const { deadline, id, statement } = request;
     const refusal = { id, deadline, state: 'idle' as const };
-    const held = await this.hold(request, target, longestWait(target, deadline));
+    const waitMs = deadline.connectionWait(target.pool.isHomed);
+    const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
     if (!isTargetTrusted(this.context, target)) {
       this.runner.release(held);
@@ -201,15 +191,14 @@
     return verdict.isGranted;
   }
 
-  /** Takes a connection, waiting for it for `patienceMs` at most. */
+  /** Takes a connection, waiting for it for `waitMs` at most. */
   private async hold(
     request: SingleRequest,
     target: Target,
-    patienceMs: number,
+    waitMs: number,
   ): Promise<HeldConnection | NotRunAttempt> {
     const { priority } = request.deadline.route;
     const usefulMs = request.deadline.usefulRemaining;
-    const waitMs = Math.max(MINIMUM_ATTEMPT_MS, patienceMs);
     try {
       const { values } = request.content;
       const needed = { tenant: request.operation.tenant.name, values, priority, usefulMs };
@@ -234,14 +223,6 @@
   }
 }
 
-/**
- * How long a statement waits for a connection to the only instance that is left, in milliseconds. A home knows its queue
- * and refuses at once whom it would serve too late, so there the wait is as long as an answer would be worth something.
- */
-function longestWait({ pool }: Target, deadline: RequestDeadline): number {
-  return pool.isHomed ? deadline.retryRemaining : deadline.offerRemaining;
-}
-
 /** Notes whether an instance may have run the statement. */
 function noteRun(operation: AdmittedOperation, attempt: Attempt): void {
   const error = attempt.outcome === 'answered' ? attempt.answer.error : undefined;
--- a/src/appointed/trust/trust_waiter.ts
+++ b/src/appointed/trust/trust_waiter.ts
@@ -1,31 +1,21 @@
-/** Waiting for a trusted primary. */
-import { whinyoke } from '../../protocol/generated/messages.js';
+/** Waiting for a trusted primary; how long is decided in routing/request_deadline.ts. */
 import { delay } from '../../runtime/runtime.js';
-import { USUAL_CHANGE_MS } from '../routing/retry_after.js';
+import { changeAge } from '../routing/refusal.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type Target, primaryTarget } from '../routing/target_planner.js';
 
-/** How long a request may wait for a primary, in milliseconds from now. */
-function patience(context: ProxyContext, deadline: RequestDeadline): number {
-  const { group } = deadline.route;
-  const entry = context.trust.entryOf(group);
-  if (entry?.phase !== whinyoke.GroupPhase.CHANGING) return deadline.trustRemaining;
-  const age = context.trust.phaseAge(group, context.clock.now());
-  const isSoonOver = USUAL_CHANGE_MS - age < deadline.retryRemaining;
-  return isSoonOver ? deadline.retryRemaining : deadline.offerRemaining;
-}
-
 /** The trusted primary, or undefined when it is not worth waiting longer for one. */
 export async function awaitPrimary(
   context: ProxyContext,
   deadline: RequestDeadline,
 ): Promise<Target | undefined> {
+  const { group } = deadline.route;
   for (;;) {
-    const target = primaryTarget(context, deadline.route.group);
-    context.notePrimaryWanted(deadline.route.group);
+    const target = primaryTarget(context, group);
+    context.notePrimaryWanted(group);
     if (target) return target;
-    const waitMs = patience(context, deadline);
+    const waitMs = deadline.primaryWait(changeAge(context, group));
     if (waitMs <= 0) return undefined;
     await Promise.race([context.trust.nextExtension(), delay(context.clock, waitMs)]);
   }
