--- a/lab/appointed/virtual_instances.ts
+++ b/lab/appointed/virtual_instances.ts
@@ -141,7 +141,7 @@
     return new Promise((resolve, reject) => {
       const fail = (failure: ConnectFailure): void => {
         timer.cancel();
-        reject(new ConnectError(failure, `${target.address}: ${failure}`));
+        reject(new ConnectError(`${target.address}: ${failure}`, { failure }));
       };
       const timer = this.process.clock.setTimer(timeoutMs, () => fail('silent'));
       const greet = (near: StreamEnd): void => {
--- a/src/appointed/instance/instance_connection.ts
+++ b/src/appointed/instance/instance_connection.ts
@@ -1,4 +1,11 @@
-/** What the router needs of a connection to a database instance, whatever protocol carries it. */
+/**
+ * What the system needs of a connection to a database instance, whatever protocol carries it.
+ *
+ * Owns: the kinds of errors of instances, and of attempts to connect. Relies on nothing; the implementations are in platform/
+ * and, for connections of other proxies, in relay/.
+ */
+import type { InstanceOptions } from 'modern-errors';
+import { WhinyokeError } from '../../errors/errors.js';
 import type { Position } from '../../positions/position.js';
 import type { InstanceCommand } from './statement.js';
 
@@ -23,16 +30,21 @@
 
 /** An error that an instance answered. */
 export interface InstanceError {
+  /** Kind, which decides whether the statement ran. */
   readonly kind: InstanceErrorKind;
+  /** The instance's own text, passed on to the caller. */
   readonly text: string;
 }
 
 /** A whole answer of an instance. */
 export interface InstanceAnswer {
+  /** Rows of the result, unread. */
   readonly rows: readonly string[];
   /** The instance's own proof that it ran the statement. */
   readonly signature: string;
+  /** The error; undefined when the command succeeded. */
   readonly error?: InstanceError;
+  /** State of the connection after the command. */
   readonly state: TransactionState;
   /** Position of the instance's log after the statement. */
   readonly position?: Position;
@@ -49,15 +61,19 @@
   run(command: InstanceCommand, timeoutMs: number): Promise<InstanceAnswer>;
   /** Ends the connection at once. */
   close(): void;
+  /** Whether it has ended. */
   readonly closed: boolean;
   /** Called once when the connection ends. */
   onClosed: (() => void) | undefined;
 }
 
-/** Whom to connect to. */
+/** Instance to connect to. */
 export interface InstanceTarget {
+  /** Identifier that the instance must have; another one at the address refuses with `wrongInstance`. */
   readonly id: string;
+  /** Group that it belongs to. */
   readonly group: string;
+  /** Host and port. */
   readonly address: string;
 }
 
@@ -65,18 +81,26 @@
 export type ConnectFailure = 'refused' | 'silent' | 'connectionLimit' | 'wrongInstance' | 'busy';
 
 /** A connection could not be opened. Nothing ran. */
-export class ConnectError extends Error {
-  constructor(
-    readonly failure: ConnectFailure,
-    message: string,
-  ) {
-    super(message);
-  }
-}
+export const ConnectError = WhinyokeError.subclass('ConnectError', {
+  custom: class extends WhinyokeError {
+    /** How the attempt failed. */
+    readonly failure: ConnectFailure;
+
+    constructor(message: string, options?: InstanceOptions & { failure?: ConnectFailure }) {
+      super(message);
+      this.failure = options?.failure ?? 'refused';
+    }
+  },
+});
+
+/** See {@link ConnectError}. */
+export type ConnectError = InstanceType<typeof ConnectError>;
 
-/** An open connection and the position that the instance told at its start. */
+/** An open connection and the position that the instance answered at its start. */
 export interface OpenedConnection {
+  /** The connection. */
   readonly connection: InstanceConnection;
+  /** Position of the instance's log; undefined when it named none. */
   readonly position?: Position;
 }
 
@@ -89,13 +113,16 @@
   connect(target: InstanceTarget, timeoutMs: number, tenant?: string): Promise<OpenedConnection>;
 }
 
-/** State of an instance as it tells it. */
+/** State of an instance as it answers itself. */
 export interface InstanceStatus {
+  /** Whether it leads its group. */
   readonly role: 'primary' | 'replica';
+  /** Newest term that it knows. */
   readonly term: number;
   /** Newest position that it received. */
   readonly received: Position;
   /** Term up to which it refuses to receive; 0 when it does not. */
   readonly heldTerm: number;
+  /** Time by which it is behind the primary, in milliseconds. */
   readonly lagMs: number;
 }
--- a/src/appointed/instance/statement.ts
+++ b/src/appointed/instance/statement.ts
@@ -9,7 +9,9 @@
 
 /** Shape of a prepared statement. */
 export interface PreparedShape {
+  /** Whether its executions may change data. */
   readonly access: Access;
+  /** Text of the shape, passed on unread. */
   readonly shape: string;
 }
 
@@ -25,7 +27,7 @@
   | { readonly kind: 'deallocate'; readonly name: string }
   | { readonly kind: 'malformed'; readonly problem: string };
 
-/** Statement that reads or writes data, with what the instance must be told. */
+/** Statement that reads or writes data, with everything the instance needs to run it. */
 export type DataStatement =
   | { readonly kind: Access; readonly argument: string }
   | {
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -30,8 +30,9 @@
   const clock = { now: () => now, setTimer: () => ({ cancel: () => undefined }) };
   const connector: InstanceConnector = {
     connect: ({ id }) => {
-      if (failure) return Promise.reject(new ConnectError(failure, failure));
-      if (id !== present) return Promise.reject(new ConnectError('wrongInstance', present));
+      if (failure) return Promise.reject(new ConnectError(failure, { failure }));
+      if (id !== present)
+        return Promise.reject(new ConnectError(present, { failure: 'wrongInstance' }));
       const connection = {
         run: () => Promise.reject(new Error('unused')),
         close: () => undefined,
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -224,7 +224,7 @@
 
 void t.test('an instance that can not be reached is told at once', async (t) => {
   const connector: InstanceConnector = {
-    connect: () => Promise.reject(new ConnectError('refused', 'down')),
+    connect: () => Promise.reject(new ConnectError('down', { failure: 'refused' })),
   };
   const pool = poolOf(connector, 2);
   await t.rejects(pool.acquire(request(1), 5000), new AcquireError('unreachable'));
@@ -241,7 +241,8 @@
   const connector: InstanceConnector = {
     connect: () => {
       attempts++;
-      if (attempts < 4) return Promise.reject(new ConnectError('connectionLimit', 'full'));
+      if (attempts < 4)
+        return Promise.reject(new ConnectError('full', { failure: 'connectionLimit' }));
       return Promise.resolve({ connection: new FakeConnection() });
     },
   };
@@ -252,7 +253,7 @@
   t.ok(await first);
   t.ok(attempts >= 4);
   const full: InstanceConnector = {
-    connect: () => Promise.reject(new ConnectError('connectionLimit', 'full')),
+    connect: () => Promise.reject(new ConnectError('full', { failure: 'connectionLimit' })),
   };
   await t.rejects(poolOf(full, 2).acquire(request(1), 80), new AcquireError('timeout'));
 });
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -57,7 +57,7 @@
 
 /** Refuses all connections. */
 const NO_CONNECTOR: InstanceConnector = {
-  connect: () => Promise.reject(new ConnectError('refused', 'nobody listens')),
+  connect: () => Promise.reject(new ConnectError('nobody listens', { failure: 'refused' })),
 };
 
 function boardOf(catalog: Catalog, clock: Clock, connector = NO_CONNECTOR): PositionBoard {
