--- a/src/appointed/sessions/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -1,4 +1,7 @@
-/** Answers to callers, independent of the protocol that carries them. */
+/**
+ * Answers to callers, independent of the protocol that carries them, and the verdict of each kind of error.
+ * Relies on nothing.
+ */
 import type { Verdict } from '../../errors/errors.js';
 import type { Position } from '../../positions/position.js';
 import type { TransactionState } from '../instance/instance_connection.js';
@@ -36,30 +39,37 @@
 }
 
 /** An error told to a caller. */
-export interface CallerError {
+interface CallerError {
+  /** Kind, which has a verdict. */
   readonly kind: CallerErrorKind;
+  /** Text for people; that of a refusal ends in the time to come back. */
   readonly text: string;
 }
 
 /** A whole answer to a caller. */
 export interface CallerReply {
+  /** Rows of the result, as the instance answered them. */
   readonly rows: readonly string[];
   /** Signature of the instance, or `-` for what the proxy answers by itself. */
   readonly signature: string;
+  /** The error; undefined when the statement succeeded. */
   readonly error?: CallerError;
+  /** State of the caller's transaction after the statement. */
   readonly state: TransactionState;
+  /** Position of the instance's log after the statement. */
   readonly position?: Position;
 }
 
 /** Answer to the caller of a write or commit. */
 export interface CommittedReply {
+  /** The answer itself. */
   readonly reply: CallerReply;
   /** Position of the commit, when there was one. */
   readonly committedAt?: Position;
 }
 
 /** Signature of answers that no instance gave. */
-export const OWN_SIGNATURE = '-';
+const OWN_SIGNATURE = '-';
 
 /** A success that the proxy answers by itself. */
 export function completed(state: TransactionState): CallerReply {
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -1,6 +1,11 @@
 /**
- * A caller's transaction. It owns one instance connection from its first statement to its end; before that
- * it holds nothing.
+ * A caller's transaction.
+ *
+ * Owns: one instance connection, from its first statement to its end; before that it holds nothing. Whether it wrote, and so
+ * what the end of its connection means for the caller: certainly rolled back, or in doubt.
+ * Relies on: target_planner.ts and the trusted primary for an instance (there may be none in time), the runner of statements
+ * (the instance may refuse, fail, or not answer: nothing is kept before COMMIT is sent), and the lease on the primary (it may
+ * end: an answer then counts no more).
  */
 import type { Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
@@ -23,7 +28,7 @@
 import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
 import { awaitPrimary } from '../trust/trust_waiter.js';
 
-/** Identifier of statements that no caller asked for. */
+/** Identifier of the system's own statements. */
 const OWN_REQUEST = '-';
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
@@ -31,7 +36,7 @@
   private held: HeldConnection | undefined;
   private hasWritten = false;
   private isEnded = false;
-  /** The begin at an instance that is under way; resolves with why it failed. */
+  /** The BEGIN that is under way; resolves with the cause when it failed. */
   private binding: Promise<RefusalCause | undefined> | undefined;
 
   constructor(
@@ -39,8 +44,9 @@
     private readonly runner: StatementRunner,
     /** Route as of BEGIN. */
     readonly route: Route,
-    /** The operation that it is. */
+    /** The operation that the tenant was allowed. */
     readonly operation: AdmittedOperation,
+    /** Whether the caller began it for reads only. */
     readonly readOnly: boolean,
     private readonly beganAt: number,
     private readonly ownPosition: Position | undefined,
@@ -110,6 +116,7 @@
     if (!held) return;
     this.runner.exchange(held, { kind: 'rollback', id }, ROLLBACK_TIMEOUT_MS).then(
       (answer) => this.runner.release(held, answer),
+      // Nothing is lost: the instance rolls back when the connection closes.
       () => this.runner.discard(held),
     );
   }
@@ -121,7 +128,7 @@
     if (held) this.runner.discard(held);
   }
 
-  /** Verdict on a commit: kept, certainly not kept, or unknown. */
+  /** Decides whether a commit is kept, certainly not kept, or in doubt. */
   private judgeCommit(attempt: Attempt, refusal: RefusedRequest): CommittedReply {
     const held = this.held!;
     this.held = undefined;
@@ -148,7 +155,7 @@
     return refuse(this.context, refusal, 'aborted', cause);
   }
 
-  /** Runs a command on the held connection; again when the instance was only busy. */
+  /** Runs a command on the held connection, and again while the instance answers that it is busy. */
   private async attempt(
     command: InstanceCommand,
     content: SessionContent,
@@ -169,6 +176,7 @@
     }
   }
 
+  /** Ends the transaction after an error of the instance. */
   private failStatement(error: InstanceError, refusal: RefusedRequest): CallerReply {
     this.drop();
     if (error.kind === 'malformed' || error.kind === 'unknownName') {
@@ -178,7 +186,7 @@
     return refuse(this.context, refusal, 'aborted', cause);
   }
 
-  /** Begins at an instance, unless done; returns why it could not. Nothing ran then. */
+  /** Begins at an instance, unless done already; returns the cause when none could begin. Nothing ran then. */
   private async bind(
     id: string,
     deadline: RequestDeadline,
@@ -192,6 +200,7 @@
     return problem;
   }
 
+  /** Begins at one instance after another, until one has begun or the time is up. */
   private async tryTargets(
     id: string,
     deadline: RequestDeadline,
@@ -213,6 +222,7 @@
     return cause;
   }
 
+  /** The instance to try next; after a round over all of them, pauses and waits for the primary. */
   private async nextTarget(
     deadline: RequestDeadline,
     tried: Set<string>,
@@ -232,6 +242,7 @@
     return awaitPrimary(this.context, deadline);
   }
 
+  /** Begins at one instance; returns why it could not. */
   private async beginAt(
     target: Target,
     deadline: RequestDeadline,
@@ -245,6 +256,7 @@
       const needed = { tenant, values: content.values, priority, usefulMs };
       held = await this.runner.hold(target, needed, deadline.connectionWait(false));
     } catch {
+      // Nothing ran. The pool counts its refusals by reason; the text of this cause names none.
       return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
@@ -281,6 +293,7 @@
 /** Stands for an answer after which a connection can't be used again. */
 const UNKNOWN_ANSWER: InstanceAnswer = { rows: [], signature: '', state: 'failed' };
 
+/** Cause of a commit that was not answered, or was answered with an error. */
 function causeOfFailure(attempt: Attempt): RefusalCause {
   if (attempt.outcome !== 'answered') return attempt.cause;
   return { kind: 'transactionAnswered', error: attempt.answer.error?.kind };
--- a/src/appointed/sessions/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -1,4 +1,11 @@
-/** One caller's session: its values, prepared names and transaction. */
+/**
+ * One caller's session.
+ *
+ * Owns: the session's values, prepared names, open transaction, and the position of its newest commit, which later reads of
+ * the session must see where the route asks for that.
+ * Relies on: the configuration in force (it may lack the database: NODATABASE), admission (the credential may be unknown
+ * or unproven), allowances (the tenant may be over its limit), and the runners of statements, which answer in any case.
+ */
 import type { Timer } from '../../runtime/runtime.js';
 import type { Position } from '../../positions/position.js';
 import { AdmittedOperation } from '../tenancy/admitted_operation.js';
@@ -19,16 +26,18 @@
 import { StatementRunner } from './statement_runner.js';
 import { CallerTransaction } from './caller_transaction.js';
 
+/** Text for a statement in a transaction that has failed. */
 const FAILED_TEXT = 'the transaction has failed; roll back';
 
+/** An operation that may begin. */
+interface AdmittedEntry {
+  readonly route: Route;
+  readonly deadline: RequestDeadline;
+  readonly operation: AdmittedOperation;
+}
+
 /** An operation that may begin, or the answer to its caller. */
-type OperationEntry =
-  | {
-      readonly route: Route;
-      readonly deadline: RequestDeadline;
-      readonly operation: AdmittedOperation;
-    }
-  | { readonly refusal: CallerReply };
+type OperationEntry = AdmittedEntry | { readonly refusal: CallerReply };
 
 /** Newest commit of a session and the group whose log it is in. */
 interface OwnCommit {
@@ -58,7 +67,7 @@
     this.singles = new SingleStatements(context, this.runner);
   }
 
-  /** CallerTransaction state as the caller sees it. */
+  /** State of the transaction as the caller sees it. */
   get state(): TransactionState {
     return this.transactionState;
   }
@@ -83,7 +92,7 @@
     return reply;
   }
 
-  /** The caller is gone: an open transaction is rolled back. */
+  /** Ends the session since its caller is gone; an open transaction is rolled back. */
   close(): void {
     this.isClosed = true;
     this.idleTimer?.cancel();
@@ -162,29 +171,38 @@
     prepared: PreparedShape | undefined,
   ): Promise<CallerReply> {
     const content: SessionContent = { values: this.values, prepared };
-    if (this.transaction) {
-      if (!this.mayGoOn(this.transaction)) return this.endForCredential(id, 'failed');
-      if (this.transaction.readOnly && accessOf(statement) === 'write') {
-        return this.failStatement('readOnly', 'the transaction is read-only');
-      }
-      const reply = await this.transaction.run(id, statement, content);
-      if (reply.state === 'failed') {
-        this.context.allowances.giveBack(this.transaction.operation);
-        this.transaction = undefined;
-      }
-      return reply;
-    }
+    if (this.transaction) return this.runInTransaction(this.transaction, id, statement, content);
     const entry = await this.enter(id);
     if ('refusal' in entry) return entry.refusal;
-    const { route, deadline, operation } = entry;
-    const request: SingleRequest = {
-      id,
-      statement,
-      content,
-      deadline,
-      operation,
-      ownPosition: this.ownPositionIn(route.group),
-    };
+    return this.runSingle(entry, id, statement, content);
+  }
+
+  private async runInTransaction(
+    transaction: CallerTransaction,
+    id: string,
+    statement: DataStatement,
+    content: SessionContent,
+  ): Promise<CallerReply> {
+    if (!this.mayGoOn(transaction)) return this.endForCredential(id, 'failed');
+    if (transaction.readOnly && accessOf(statement) === 'write') {
+      return this.failStatement('readOnly', 'the transaction is read-only');
+    }
+    const reply = await transaction.run(id, statement, content);
+    if (reply.state === 'failed') {
+      this.context.allowances.giveBack(transaction.operation);
+      this.transaction = undefined;
+    }
+    return reply;
+  }
+
+  private async runSingle(
+    { route, deadline, operation }: AdmittedEntry,
+    id: string,
+    statement: DataStatement,
+    content: SessionContent,
+  ): Promise<CallerReply> {
+    const ownPosition = this.ownPositionIn(route.group);
+    const request: SingleRequest = { id, statement, content, deadline, operation, ownPosition };
     if (accessOf(statement) === 'read') {
       const reply = await this.singles.read(request);
       this.context.allowances.giveBack(operation);
@@ -192,7 +210,7 @@
     }
     const { reply, committedAt } = await this.singles.write(request);
     this.context.allowances.giveBack(operation);
-    this.noteCommit(route.group, committedAt);
+    this.recordCommit(route.group, committedAt);
     return reply;
   }
 
@@ -223,6 +241,7 @@
     return verdict.outcome === 'admitted' && verdict.tenant.name === operation.tenant.name;
   }
 
+  /** Rolls the transaction back, since the credential does not allow it any more or can't be checked. */
   private endForCredential(id: string, state: TransactionState): CallerReply {
     const { route } = this.transaction!;
     this.endTransaction('-');
@@ -240,10 +259,11 @@
     if (!this.mayGoOn(transaction)) return this.endForCredential(id, 'idle');
     const { reply, committedAt } = await transaction.commit(id, { values: this.values });
     this.transaction = undefined;
-    this.noteCommit(transaction.route.group, committedAt);
+    this.recordCommit(transaction.route.group, committedAt);
     return reply;
   }
 
+  /** Answers an error of the proxy's own; an open transaction fails with it. */
   private failStatement(kind: 'unknownName' | 'readOnly', text: string): CallerReply {
     const isInTransaction = this.transaction !== undefined;
     this.endTransaction('-');
@@ -265,11 +285,12 @@
     return this.ownCommit?.group === group ? this.ownCommit.position : undefined;
   }
 
-  private noteCommit(group: string, position: Position | undefined): void {
+  /** Keeps the position of the session's newest commit. */
+  private recordCommit(group: string, position: Position | undefined): void {
     if (position) this.ownCommit = { group, position };
   }
 
-  /** Ends a transaction that rests too long; its next statement learns of it. */
+  /** Ends the transaction when its caller sends nothing for too long; the caller's next statement gets the error. */
   private watchIdleTransaction(): void {
     const limit = this.context.table?.transactionIdleMs ?? 0;
     if (!this.transaction || limit === 0) return;
--- a/src/appointed/sessions/session_listener.ts
+++ b/src/appointed/sessions/session_listener.ts
@@ -1,4 +1,10 @@
-/** Accepts callers of a text protocol and runs their statements one after the other. */
+/**
+ * Accepts callers of a text protocol and runs their statements one after the other.
+ *
+ * Owns: the callers' connections and the order of their statements; the codec knows the protocol, the session what to run.
+ * Relies on: the acceptor, the proxy (which may have no configuration yet: callers then wait, and are refused) and the
+ * callers (who may send anything, or leave at any time: their session is closed).
+ */
 import type { Socket } from 'node:net';
 import type { SocketAcceptor } from '../../runtime/socket_acceptor.js';
 import type { CallerErrorKind, CallerReply } from './caller_reply.js';
@@ -23,9 +29,13 @@
 
 /** The protocol towards callers, without I/O. */
 export interface CallerCodec {
+  /** Decoder for a new connection. */
   newReader(): CallerReader;
+  /** Answer that a session has started. */
   encodeReady(state: TransactionState): string;
+  /** Error after which the connection is closed. */
   encodeError(kind: CallerErrorKind, text: string): string;
+  /** Whole answer to a statement. */
   encodeReply(reply: CallerReply): string;
 }
 
@@ -39,11 +49,15 @@
   openSession(database: string, credential: string): RoutedSession | undefined;
 }
 
+/** Silence of a caller's connection before the first TCP keep-alive probe, in milliseconds. Guess, not measured. */
 const KEEP_ALIVE_MS = 2000;
-/** A caller that comes while the process starts waits for its configuration, in milliseconds. */
-const START_PATIENCE_MS = 1200;
+/**
+ * Longest time that a caller waits for the first configuration of a process that starts, in milliseconds. Together with the
+ * time before callers are read (600 ms, proxy_daemon.ts) less than the 2 s after which callers close their session.
+ */
+const START_WAIT_MS = 1200;
 
-/** One caller. */
+/** Connection of one caller. */
 class CallerConnection {
   private readonly reader;
   private readonly queue: CallerMessage[] = [];
@@ -125,7 +139,7 @@
       this.finish(this.codec.encodeError('malformed', 'the session has started already'));
       return;
     }
-    if (!(await this.source.awaitTable(START_PATIENCE_MS))) {
+    if (!(await this.source.awaitTable(START_WAIT_MS))) {
       const cause = { kind: 'noConfiguration' as const };
       const text = `${textOf(cause)}; retry after ${retryAfterMs(cause)} ms`;
       this.finish(this.codec.encodeError('busy', text));
--- a/src/appointed/sessions/session_loader.ts
+++ b/src/appointed/sessions/session_loader.ts
@@ -1,13 +1,21 @@
-/** What an instance connection must be told before it can run a statement of a session. */
+/**
+ * Which commands bring a session's values and prepared statement onto an instance connection.
+ *
+ * Owns nothing: what a connection has loaded is kept by the connection (`PooledConnection`).
+ * Relies on nothing: pure, but for `recordLoaded`, which changes that record.
+ */
 import type { PooledConnection } from '../connections/pooled_connection.js';
 import { type InstanceCommand, type PreparedShape, sharedName } from '../instance/statement.js';
 
 /** What a connection must hold before a statement. */
 export interface SessionContent {
+  /** The session's values by name. */
   readonly values: ReadonlyMap<string, string>;
+  /** The prepared statement that is to run; undefined for any other statement. */
   readonly prepared?: PreparedShape;
 }
 
+/** Whether the connection holds a value that the session does not have; only a reset drops it. */
 function needsReset(pooled: PooledConnection, values: ReadonlyMap<string, string>): boolean {
   return [...pooled.values.keys()].some((name) => !values.has(name));
 }
@@ -27,8 +35,8 @@
   return steps;
 }
 
-/** Notes that the instance has run a step. */
-export function noteLoaded(pooled: PooledConnection, step: InstanceCommand): void {
+/** Records on the connection that its instance has run a step. */
+export function recordLoaded(pooled: PooledConnection, step: InstanceCommand): void {
   if (step.kind === 'reset') {
     pooled.values.clear();
     pooled.preparedNames.clear();
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -1,4 +1,11 @@
-/** Runs one statement outside a transaction. */
+/**
+ * Runs one statement outside a transaction: a read on any instance that is fresh enough, a write on the trusted primary.
+ *
+ * Owns: the loop of attempts, and what each outcome means for the caller. A write that may have run is never sent twice.
+ * Relies on: target_planner.ts for the instances (there may be none), request_deadline.ts for all waits, the runner of
+ * statements for each attempt (the instance may refuse, fail, or not answer), and allowances (another attempt of a read that
+ * may have run counts as an operation, which may be refused).
+ */
 import { type Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
@@ -23,11 +30,15 @@
 
 /** A statement to run. */
 export interface SingleRequest {
+  /** The caller's identifier of the request. */
   readonly id: string;
+  /** The statement itself. */
   readonly statement: DataStatement;
+  /** What the connection must have loaded. */
   readonly content: SessionContent;
+  /** Time limits, and the route. */
   readonly deadline: RequestDeadline;
-  /** The operation that it is. */
+  /** The operation that the tenant was allowed. */
   readonly operation: AdmittedOperation;
   /** Newest commit of the same session. */
   readonly ownPosition: Position | undefined;
@@ -40,7 +51,7 @@
   readonly wasOffered: boolean;
 }
 
-/** Runs single statements. */
+/** Runs the statements of one session that are outside transactions. */
 export class SingleStatements {
   constructor(
     private readonly context: ProxyContext,
@@ -67,18 +78,10 @@
       }
       tried.add(target.instance);
       const attempt = await this.attemptRead(request, target, targets.length);
+      const result = this.judgeRead(request, target, attempt);
+      if ('reply' in result) return result.reply;
+      cause = result.cause;
       wasOffered ||= attempt.outcome !== 'notRun';
-      if (attempt.outcome === 'answered') {
-        const { answer } = attempt;
-        if (!answer.error) return this.succeed(request, target, answer);
-        if (answer.error.kind === 'malformed') return fail(answer.error);
-        const error = answer.error.kind;
-        cause = { kind: 'instanceAnswered', instance: target.instance, error };
-        logRetry(this.context, request, target, { kind: 'readAttempt', ending: error });
-      } else {
-        cause = attemptFailed(target, attempt.cause);
-        logRetry(this.context, request, target, { kind: 'readAttempt', ending: attempt.outcome });
-      }
     }
     const refusal = { id: request.id, deadline, state: 'idle' as const };
     return refuse(this.context, refusal, 'busy', cause);
@@ -110,8 +113,9 @@
   }
 
   /**
-   * Nothing is left to try: waits for a primary, or before another round. Returns whether there is something to try
-   * then; a read that waited may have replicas too, since a floor has become known.
+   * Called when no instance is left to try. Before the first attempt it waits for a primary; after it, it pauses and has all
+   * instances tried again. Returns whether another attempt is worth while; replicas may serve it too by then, if a position
+   * floor has become known.
    */
   private async mayTryAgain(
     deadline: RequestDeadline,
@@ -126,6 +130,25 @@
     return true;
   }
 
+  /** Answer to the caller, or the cause why another instance should be tried. */
+  private judgeRead(
+    request: SingleRequest,
+    target: Target,
+    attempt: Attempt,
+  ): { readonly reply: CallerReply } | { readonly cause: RefusalCause } {
+    if (attempt.outcome !== 'answered') {
+      logRetry(this.context, request, target, { kind: 'readAttempt', ending: attempt.outcome });
+      return { cause: attemptFailed(target, attempt.cause) };
+    }
+    const { answer } = attempt;
+    if (!answer.error) return { reply: this.succeed(request, target, answer) };
+    const { kind: error } = answer.error;
+    if (error === 'malformed') return { reply: fail(answer.error) };
+    logRetry(this.context, request, target, { kind: 'readAttempt', ending: error });
+    return { cause: { kind: 'instanceAnswered', instance: target.instance, error } };
+  }
+
+  /** Tries a read at one instance, and judges whether its answer counts. */
   private async attemptRead(
     request: SingleRequest,
     target: Target,
@@ -139,7 +162,7 @@
     const { id, statement } = request;
     const command = { kind: 'data' as const, id, statement, after: target.after };
     const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
-    noteRun(request.operation, attempt);
+    markRun(request.operation, attempt);
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'answered' && !isTargetTrusted(this.context, target)) {
       return { outcome: 'lost', cause: { kind: 'leaseEnded' } };
@@ -147,13 +170,12 @@
     return attempt;
   }
 
-  /** Result, or the cause why the statement certainly did not run. */
+  /** Answer to the caller, or the cause why the statement certainly did not run. */
   private async attemptWrite(
     request: SingleRequest,
     target: Target,
   ): Promise<CommittedReply | NotRunWrite> {
     const { deadline, id, statement } = request;
-    const refusal = { id, deadline, state: 'idle' as const };
     const waitMs = deadline.connectionWait(target.pool.isHomed);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
@@ -163,8 +185,18 @@
     }
     const command = { kind: 'data' as const, id, statement };
     const attempt = await this.runner.attempt(held, request.content, command, deadline.remaining);
-    noteRun(request.operation, attempt);
+    markRun(request.operation, attempt);
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
+    return this.judgeWrite(request, target, attempt);
+  }
+
+  /** Decides whether a write ran, certainly did not, or is in doubt. */
+  private judgeWrite(
+    request: SingleRequest,
+    target: Target,
+    attempt: Attempt,
+  ): CommittedReply | NotRunWrite {
+    const refusal = { id: request.id, deadline: request.deadline, state: 'idle' as const };
     if (attempt.outcome === 'notRun') return { cause: attempt.cause, wasOffered: false };
     if (attempt.outcome === 'lost') {
       const cause = attemptFailed(target, attempt.cause);
@@ -184,7 +216,7 @@
     return { reply: this.succeed(request, target, answer), committedAt: answer.position };
   }
 
-  /** A statement that an instance may have run counts once more when another one is to run it. */
+  /** Takes another operation of the tenant: an instance may have run the statement, and another one is to run it. */
   private async mayRunAgain({ operation, deadline }: SingleRequest): Promise<boolean> {
     const { allowances } = this.context;
     const verdict = await allowances.take(operation.tenant, deadline.offerRemaining);
@@ -204,11 +236,13 @@
       const needed = { tenant: request.operation.tenant.name, values, priority, usefulMs };
       return await this.runner.hold(target, needed, waitMs);
     } catch (error) {
+      // The cause of the attempt carries the reason; the pool counts its refusals.
       const failure = error instanceof AcquireError ? error.failure : 'no connection';
       return { outcome: 'notRun', cause: { kind: 'noConnection', failure } };
     }
   }
 
+  /** Counts a served statement and makes its answer. */
   private succeed(request: SingleRequest, target: Target, answer: InstanceAnswer): CallerReply {
     const { route } = request.deadline;
     const isPrimary = target.primaryEpoch !== undefined;
@@ -223,8 +257,8 @@
   }
 }
 
-/** Notes whether an instance may have run the statement. */
-function noteRun(operation: AdmittedOperation, attempt: Attempt): void {
+/** Marks the operation as run if an instance may have run the statement. */
+function markRun(operation: AdmittedOperation, attempt: Attempt): void {
   const error = attempt.outcome === 'answered' ? attempt.answer.error : undefined;
   const isHarmless = attempt.outcome === 'notRun' || (error !== undefined && isNotRun(error.kind));
   if (!isHarmless) operation.noteRun();
@@ -234,7 +268,7 @@
   return { kind: 'attemptFailed', instance, failure };
 }
 
-/** Passes on an error that promises nothing. */
+/** Passes an instance's error on to the caller; it promises nothing about what ran. */
 function fail(error: InstanceError): CallerReply {
   const kind = error.kind === 'malformed' || error.kind === 'timeout' ? error.kind : 'failed';
   return refused(kind, error.text, 'idle');
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -1,11 +1,18 @@
-/** Runs statements on instances: takes a connection, loads the session onto it, judges the answer. */
+/**
+ * Runs statements on instances: takes a connection, loads the session onto it, runs the statement, and reports to the
+ * proxy what the answer tells of the instance.
+ *
+ * Owns: which errors promise that a statement did not run.
+ * Relies on: the target's pool (it may have no connection: AcquireError) and the connection (it may break, or its answer
+ * may come too late: the attempt is then `lost`, or `notRun` if nothing had been sent).
+ */
 import { BackendConnectionLostError, OwnerUnreachableError } from '../../errors/errors.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { InstanceAnswer, InstanceErrorKind } from '../instance/instance_connection.js';
 import { AcquireError, type AcquireFailure } from '../connections/acquire_error.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
-import { type SessionContent, loadingSteps, noteLoaded } from './session_loader.js';
+import { type SessionContent, loadingSteps, recordLoaded } from './session_loader.js';
 import type { InstanceCommand } from '../instance/statement.js';
 import type { AttemptFailure } from '../routing/refusal_cause.js';
 import type { Target } from '../routing/target_planner.js';
@@ -22,16 +29,16 @@
   'connectionLimit',
 ]);
 
-/** Errors that tell of trouble of the instance, not of the request or of a replica's lag. */
-const REFUSAL_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
+/** Errors that count as failures of the instance; others are due to the request or to a replica's lag. */
+const FAILING_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
   'busy',
   'failed',
   'timeout',
   'other',
 ]);
 
-/** Failures to get a connection that tell of the load, not of trouble of the instance. */
-const PATIENCE_FAILURES: ReadonlySet<AcquireFailure> = new Set<AcquireFailure>([
+/** Failures to get a connection that are due to load; the instance is not avoided for them. */
+const LOAD_FAILURES: ReadonlySet<AcquireFailure> = new Set<AcquireFailure>([
   'timeout',
   'full',
   'displaced',
@@ -44,7 +51,9 @@
 
 /** A connection that is held for a session. */
 export interface HeldConnection {
+  /** Instance that it leads to. */
   readonly target: Target;
+  /** The connection. */
   readonly pooled: PooledConnection;
 }
 
@@ -58,7 +67,7 @@
 export type Attempt =
   | { readonly outcome: 'answered'; readonly answer: InstanceAnswer }
   | NotRunAttempt
-  /** It may have run. */
+  /** The statement may have run. */
   | { readonly outcome: 'lost'; readonly cause: AttemptFailure };
 
 /** Runner of one process. */
@@ -76,7 +85,7 @@
     try {
       return { target, pooled: await target.pool.acquire(request, timeoutMs) };
     } catch (error) {
-      if (error instanceof AcquireError && !PATIENCE_FAILURES.has(error.failure)) {
+      if (error instanceof AcquireError && !LOAD_FAILURES.has(error.failure)) {
         load.noteFailure(this.context.clock.now());
       }
       throw error;
@@ -134,14 +143,15 @@
     try {
       const answer = await this.exchange(held, step, timeoutMs);
       if (answer.error) return false;
-      noteLoaded(held.pooled, step);
+      recordLoaded(held.pooled, step);
       return true;
     } catch {
+      // Nothing is lost: the statement was sent on the same connection and fails with the same reason, which is reported.
       return false;
     }
   }
 
-  /** Runs one command and notes what its answer tells. */
+  /** Runs one command on a held connection and reports what its answer tells of the instance. */
   async exchange(
     held: HeldConnection,
     command: InstanceCommand,
@@ -161,7 +171,7 @@
       const answer = await pooled.connection.run(command, timeoutMs);
       const now = clock.now();
       ended?.(true, now);
-      this.noteAnswer(held, answer, sentAt, command.kind === 'data');
+      this.reportAnswer(held, answer, sentAt, command.kind === 'data');
       return answer;
     } catch (error) {
       ended?.(false, clock.now());
@@ -172,7 +182,8 @@
     }
   }
 
-  private noteAnswer(
+  /** Reports an answer to the load of the instance, and, from a primary, to trust and positions. */
+  private reportAnswer(
     held: HeldConnection,
     answer: InstanceAnswer,
     sentAt: number,
@@ -188,7 +199,7 @@
       pool.load.noteAnswer(now - sentAt, now);
       pool.noteServed(held.pooled);
     }
-    if (answer.error && REFUSAL_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
+    if (answer.error && FAILING_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
     if (epoch === undefined) return;
     if (answer.error?.kind === 'readOnly' && !held.pooled.isRelayed) {
       this.context.observerOf(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
@@ -198,19 +209,24 @@
   }
 }
 
-/** Whether a failure tells of the instance; one of a home, or a refusal of its queue, does not. */
+/**
+ * Whether a failure is the instance's. On a relayed connection, a failure of the connection owner is not, nor is one before
+ * the statement was sent.
+ */
 function isInstanceFault({ pooled }: HeldConnection, error: unknown): boolean {
   if (!pooled.isRelayed) return true;
-  const isOfHome = error instanceof OwnerUnreachableError;
-  return !isOfHome && error instanceof BackendConnectionLostError && error.sent;
+  const isOfOwner = error instanceof OwnerUnreachableError;
+  return !isOfOwner && error instanceof BackendConnectionLostError && error.sent;
 }
 
+/** How an attempt ended whose connection failed. */
 function failedAttempt(reason: unknown): Attempt {
   const message = reason instanceof Error ? reason.message : 'connection lost';
   const wasSent = !(reason instanceof BackendConnectionLostError) || reason.sent;
   return { outcome: wasSent ? 'lost' : 'notRun', cause: { kind: 'connectionLost', message } };
 }
 
+/** Whether a command may change data. */
 function isWrite(command: InstanceCommand): boolean {
   if (command.kind !== 'data') return false;
   const { statement } = command;
--- a/src/errors/errors.ts
+++ b/src/errors/errors.ts
@@ -1,6 +1,8 @@
 /**
- * Errors shown to callers. Each carries a verdict that says whether the request may have run, a
- * stable MySQL error code, and, where a retry makes sense, when to come back.
+ * Root of all errors, and the errors shown to callers of the MySQL interface. Each of those carries a verdict that says
+ * whether the request may have run, a stable MySQL error code, and, where a retry makes sense, when to come back.
+ *
+ * What each code means and what to do about it: docs/operations/errors.md, for both interfaces.
  */
 import ModernError, { type InstanceOptions } from 'modern-errors';
 
