--- a/lab/database/mysql_endpoint.ts
+++ b/lab/database/mysql_endpoint.ts
@@ -1,5 +1,5 @@
 /** MySQL endpoint of an emulated instance. */
-import type { Completion, ResultSink } from '../../src/mysql/backend/backend.js';
+import type { Completion, ResultSink } from '../../src/mysql/wire/result.js';
 import type { CallerSession } from '../../src/mysql/frontend/caller_session.js';
 import { MysqlListener } from '../../src/mysql/frontend/mysql_listener.js';
 import type { DatabaseInstance } from './instance.js';
--- a/lab/simulation/virtual_backend.ts
+++ b/lab/simulation/virtual_backend.ts
@@ -1,10 +1,6 @@
 /** Connections from simulated proxies to simulated instances, with the same surface as MySQL's. */
-import type {
-  BackendConnection,
-  BackendConnector,
-  Completion,
-  ResultSink,
-} from '../../src/mysql/backend/backend.js';
+import type { BackendConnection, BackendConnector } from '../../src/mysql/backend/backend.js';
+import type { Completion, ResultSink } from '../../src/mysql/wire/result.js';
 import { BackendConnectionLostError, DatabaseError, messageOf } from '../../src/errors/errors.js';
 import { hostOf } from '../../src/runtime/address.js';
 import type { DatabaseInstance } from '../database/instance.js';
--- a/lab/simulation/virtual_frontend.ts
+++ b/lab/simulation/virtual_frontend.ts
@@ -1,5 +1,5 @@
 /** Connections from simulated callers to simulated proxies. */
-import type { ResultSink } from '../../src/mysql/backend/backend.js';
+import type { ResultSink } from '../../src/mysql/wire/result.js';
 import type { CallerSession } from '../../src/mysql/frontend/caller_session.js';
 import { ConnectionActivity } from '../../src/mysql/frontend/connection_activity.js';
 import {
--- a/src/errors/errors.ts
+++ b/src/errors/errors.ts
@@ -24,8 +24,10 @@
   readonly retryAfterMs?: number;
 }
 
-const ER_UNKNOWN_ERROR = 1105;
-const SQL_STATE_GENERAL = 'HY000';
+/** Error number for errors that have none of their own. */
+export const ER_UNKNOWN_ERROR = 1105;
+/** SQLSTATE for errors that have none of their own. */
+export const SQL_STATE_GENERAL = 'HY000';
 
 /** Root of all errors this project raises on purpose. */
 export const WhinyokeError = ModernError.subclass('WhinyokeError');
--- a/src/mysql/backend/mysql_connector.ts
+++ b/src/mysql/backend/mysql_connector.ts
@@ -1,10 +1,12 @@
 /** Connections to instances through the `mysql2` client. */
 import { type Connection, createConnection } from 'mysql2';
-import type { Socket } from 'node:net';
 import { BackendConnectionLostError, messageOf } from '../../errors/errors.js';
 import { splitAddress } from '../../runtime/address.js';
-import type { BackendConnection, BackendConnector, Completion, ResultSink } from './backend.js';
-import { CommandRequest, type LibraryCommand } from './raw_command.js';
+import type { BackendConnection, BackendConnector } from './backend.js';
+import type { Completion, ResultSink } from '../wire/result.js';
+import { Command } from '../wire/protocol.js';
+import type { ClientConnection } from './client_connection.js';
+import { CommandRequest } from './raw_command.js';
 
 /** How the proxy signs on to instances. */
 export interface MysqlConnectorOptions {
@@ -12,19 +14,6 @@
   readonly password: string;
 }
 
-/** The part of the library's connection that raw commands use. */
-export interface ClientConnection {
-  readonly stream: Socket;
-  addCommand(command: LibraryCommand): void;
-  pause(): void;
-  resume(): void;
-  writePacket(packet: unknown): void;
-  _resetSequenceId(): void;
-}
-
-const COMMAND_QUERY = 3;
-const COMMAND_RESET_CONNECTION = 31;
-
 class MysqlConnection implements BackendConnection {
   closed = false;
   onClosed: (() => void) | undefined;
@@ -37,13 +26,13 @@
 
   execute(sql: string, sink: ResultSink): Promise<Completion> {
     const payload = Buffer.allocUnsafe(1 + Buffer.byteLength(sql));
-    payload[0] = COMMAND_QUERY;
+    payload[0] = Command.query;
     payload.write(sql, 1);
     return this.run(payload, sink);
   }
 
   async reset(): Promise<void> {
-    await this.run(Buffer.from([COMMAND_RESET_CONNECTION]), {
+    await this.run(Buffer.from([Command.resetConnection]), {
       columns: () => undefined,
       row: () => undefined,
     });
--- a/src/mysql/backend/raw_command.ts
+++ b/src/mysql/backend/raw_command.ts
@@ -2,17 +2,11 @@
  * A command for the `mysql2` client that passes result packets on without decoding them. Decoding and
  * encoding each row would be most of the proxy's work.
  */
-import { DatabaseError } from '../../errors/errors.js';
-import { type Packet, framed, payloadOf } from '../frontend/packet.js';
-import type { Completion, ResultSink } from './backend.js';
-import type { ClientConnection } from './mysql_connector.js';
-
-/** What the library calls on a queued command; true from `execute` ends the command. */
-export interface LibraryCommand {
-  execute(packet: Packet | undefined, connection: ClientConnection): boolean;
-  on(event: string, listener: () => void): void;
-  once(event: string, listener: () => void): void;
-}
+import { DatabaseError, ER_UNKNOWN_ERROR, SQL_STATE_GENERAL } from '../../errors/errors.js';
+import { type Packet, framed, payloadOf } from '../wire/packet.js';
+import type { Completion, ResultSink } from '../wire/result.js';
+import { OK_MARKER, SESSION_TRACK_GTIDS, StatusFlag } from '../wire/protocol.js';
+import type { ClientConnection, LibraryCommand } from './client_connection.js';
 
 /** Where the outcome of a command goes. */
 export interface CommandOutcome {
@@ -20,12 +14,6 @@
   reject(error: Error): void;
 }
 
-const STATUS_IN_TRANSACTION = 1;
-const STATUS_SESSION_STATE_CHANGED = 0x4000;
-const SESSION_TRACK_GTIDS = 3;
-const OK_MARKER = 0;
-const ER_UNKNOWN_ERROR = 1105;
-
 type Phase = 'start' | 'header' | 'columns' | 'rows' | 'done';
 
 /** One command and its answer. */
@@ -104,7 +92,7 @@
         affectedRows: 0,
         insertId: 0,
         info: '',
-        inTransaction: (status & STATUS_IN_TRANSACTION) !== 0,
+        inTransaction: (status & StatusFlag.inTransaction) !== 0,
       });
     }
     this.sink.row(packet.buffer.subarray(packet.start, packet.end));
@@ -127,7 +115,7 @@
     const payload = payloadOf(packet);
     const code = payload.length > 2 ? payload.readUInt16LE(1) : ER_UNKNOWN_ERROR;
     const hasState = payload[3] === 0x23;
-    const sqlState = hasState ? payload.subarray(4, 9).toString('latin1') : 'HY000';
+    const sqlState = hasState ? payload.subarray(4, 9).toString('latin1') : SQL_STATE_GENERAL;
     const message = payload.subarray(hasState ? 9 : 3).toString('utf8');
     this.outcome.reject(new DatabaseError(message, { code, sqlState }));
     return true;
@@ -155,13 +143,13 @@
   packet.skip(2);
   const hasMore = packet.offset < packet.end;
   const info = hasMore ? (packet.readLengthCodedString('utf8') ?? '') : '';
-  const changed = (status & STATUS_SESSION_STATE_CHANGED) !== 0;
+  const changed = (status & StatusFlag.sessionStateChanged) !== 0;
   return {
     affectedRows,
     insertId,
     info,
     gtid: changed ? readGtid(packet) : undefined,
-    inTransaction: (status & STATUS_IN_TRANSACTION) !== 0,
+    inTransaction: (status & StatusFlag.inTransaction) !== 0,
   };
 }
 
--- a/src/mysql/frontend/binary_row.ts
+++ b/src/mysql/frontend/binary_row.ts
@@ -2,10 +2,11 @@
  * Conversion of text-protocol rows to binary-protocol rows, for callers that execute prepared
  * statements. Source: MySQL internals manual, "Binary Protocol Resultset Row".
  */
-import { lengthEncodedString } from './packet.js';
-import { FieldType } from './prepared_statement.js';
+import { lengthEncodedString } from '../wire/packet.js';
+import { FieldType } from '../wire/protocol.js';
+import { splitTextRow } from '../wire/text_row.js';
 
-const NULL_MARKER = 0xfb;
+/** Bits of a binary row's NULL bitmap that stand before the first column. */
 const BITMAP_OFFSET = 2;
 
 /** Column type in a column definition payload. */
@@ -16,41 +17,6 @@
   return definition[offset + 7]!;
 }
 
-/** Values of a text row payload, undecoded; null for SQL NULL. */
-export function splitTextRow(payload: Buffer): (Buffer | null)[] {
-  const values: (Buffer | null)[] = [];
-  let offset = 0;
-  while (offset < payload.length) {
-    const first = payload[offset]!;
-    if (first === NULL_MARKER) {
-      values.push(null);
-      offset += 1;
-      continue;
-    }
-    const { length, size } = lengthAt(payload, offset, first);
-    values.push(payload.subarray(offset + size, offset + size + length));
-    offset += size + length;
-  }
-  return values;
-}
-
-function lengthAt(
-  payload: Buffer,
-  offset: number,
-  first: number,
-): { length: number; size: number } {
-  switch (first) {
-    case 0xfc:
-      return { length: payload.readUInt16LE(offset + 1), size: 3 };
-    case 0xfd:
-      return { length: payload.readUIntLE(offset + 1, 3), size: 4 };
-    case 0xfe:
-      return { length: Number(payload.readBigUInt64LE(offset + 1)), size: 9 };
-    default:
-      return { length: first, size: 1 };
-  }
-}
-
 function integerBytes(text: string, size: number): Buffer {
   const bytes = Buffer.alloc(8);
   bytes.writeBigUInt64LE(BigInt.asUintN(64, BigInt(text)), 0);
--- a/src/mysql/frontend/caller_connection.ts
+++ b/src/mysql/frontend/caller_connection.ts
@@ -6,33 +6,17 @@
 import { errorAnswer, stoppingAnswer } from './error_answer.js';
 import type { MysqlListenerOptions } from './mysql_listener.js';
 import { verifyNativePassword } from './native_password.js';
-import { type Packet, payloadOf } from './packet.js';
+import { type Packet, payloadOf } from '../wire/packet.js';
 import {
-  FieldType,
   type PreparedStatement,
   bind,
   prepareOkPayload,
   readBoundValues,
   splitAtMarkers,
 } from './prepared_statement.js';
+import { CharacterSet, Command, FieldType, MysqlError, StatusFlag } from '../wire/protocol.js';
 import { ResultWriter, columnDefinition } from './result_writer.js';
 
-/** Command bytes of the protocol. */
-const Command = {
-  quit: 1,
-  initDb: 2,
-  query: 3,
-  statistics: 9,
-  ping: 14,
-  prepare: 22,
-  execute: 23,
-  sendLongData: 24,
-  closeStatement: 25,
-  resetStatement: 26,
-  setOption: 27,
-  resetConnection: 31,
-} as const;
-
 /** Capability flags announced to clients. */
 const CAPABILITY_FLAGS =
   0x1 | // long password
@@ -47,15 +31,10 @@
   0x200000; // length-encoded authentication data
 const CAPABILITY_SESSION_TRACK = 0x800000;
 
+/** Longest time from an accepted connection to the end of its handshake, in milliseconds; guess, not measured. */
 const HANDSHAKE_TIMEOUT_MS = 5000;
-const STATUS_AUTOCOMMIT = 2;
-const CHARACTER_SET_UTF8MB4 = 45;
+/** Prepared statements of one connection; a caller that leaks them is told so before it fills the memory. Guess, not measured. */
 const MAXIMUM_PREPARED_STATEMENTS = 1024;
-const ER_TOO_MANY_CONNECTIONS = 1040;
-const ER_ACCESS_DENIED = 1045;
-const ER_UNKNOWN_COMMAND = 1047;
-const ER_UNKNOWN_STATEMENT = 1243;
-const ER_MAX_PREPARED = 1461;
 
 /** The part of the library's connection that the server side uses. */
 export interface ServerConnection {
@@ -116,8 +95,8 @@
       protocolVersion: 10,
       serverVersion: this.options.serverVersion,
       connectionId: this.connectionId,
-      statusFlags: STATUS_AUTOCOMMIT,
-      characterSet: CHARACTER_SET_UTF8MB4,
+      statusFlags: StatusFlag.autocommit,
+      characterSet: CharacterSet.utf8mb4,
       capabilityFlags: CAPABILITY_FLAGS | CAPABILITY_SESSION_TRACK,
       authCallback: (request: AuthenticationRequest, callback: AuthenticationCallback) =>
         void this.authenticate(request, callback),
@@ -151,7 +130,7 @@
     callback: AuthenticationCallback,
   ): Promise<void> {
     if (this.refuse) {
-      callback(null, { message: 'Too many connections', code: ER_TOO_MANY_CONNECTIONS });
+      callback(null, { message: 'Too many connections', code: MysqlError.tooManyConnections });
       return;
     }
     const password = this.options.passwordOf(request.user);
@@ -159,7 +138,7 @@
     const token = Buffer.from(request.authToken);
     if (password === undefined || !verifyNativePassword(password, challenge, token)) {
       const message = `Access denied for user '${request.user}'`;
-      callback(null, { message, code: ER_ACCESS_DENIED });
+      callback(null, { message, code: MysqlError.accessDenied });
       return;
     }
     const identity: CallerIdentity = {
@@ -260,7 +239,7 @@
         return;
       default:
         throw new DatabaseError('Unknown command', {
-          code: ER_UNKNOWN_COMMAND,
+          code: MysqlError.unknownCommand,
           sqlState: '08S01',
         });
     }
@@ -289,7 +268,7 @@
   private prepare(sql: string): void {
     if (this.statements.size >= MAXIMUM_PREPARED_STATEMENTS) {
       throw new DatabaseError('Too many prepared statements on this connection', {
-        code: ER_MAX_PREPARED,
+        code: MysqlError.tooManyPreparedStatements,
         sqlState: '42000',
       });
     }
@@ -314,7 +293,7 @@
     const statement = this.statements.get(id);
     if (!statement) {
       throw new DatabaseError(`Unknown prepared statement handler (${id})`, {
-        code: ER_UNKNOWN_STATEMENT,
+        code: MysqlError.unknownStatement,
         sqlState: 'HY000',
       });
     }
--- a/src/mysql/frontend/caller_session.ts
+++ b/src/mysql/frontend/caller_session.ts
@@ -1,5 +1,5 @@
 /** What a listener needs of the session behind each caller's connection. */
-import type { Completion, ResultSink } from '../backend/backend.js';
+import type { Completion, ResultSink } from '../wire/result.js';
 
 /** Facts about a caller known after its handshake. */
 export interface CallerIdentity {
--- a/src/mysql/frontend/error_answer.ts
+++ b/src/mysql/frontend/error_answer.ts
@@ -1,5 +1,14 @@
 /** Errors as callers see them: code, SQLSTATE and a text with verdict and retry-after. */
-import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../../errors/errors.js';
+import {
+  DatabaseError,
+  ER_UNKNOWN_ERROR,
+  ErrorCode,
+  RequestError,
+  SQL_STATE_GENERAL,
+  messageOf,
+  notRun,
+} from '../../errors/errors.js';
+import { RetryAfterMs } from '../routing/retry_policy.js';
 
 /** An error packet's content. */
 export interface ErrorAnswer {
@@ -8,9 +17,6 @@
   readonly message: string;
 }
 
-const ER_UNKNOWN_ERROR = 1105;
-const STOPPING_RETRY_AFTER_MS = 100;
-
 /** Answer for anything that was thrown. */
 export function errorAnswer(error: unknown): ErrorAnswer {
   if (error instanceof RequestError) {
@@ -19,7 +25,7 @@
   if (error instanceof DatabaseError) {
     return { code: error.code, sqlState: error.sqlState, message: error.message };
   }
-  return { code: ER_UNKNOWN_ERROR, sqlState: 'HY000', message: messageOf(error) };
+  return { code: ER_UNKNOWN_ERROR, sqlState: SQL_STATE_GENERAL, message: messageOf(error) };
 }
 
 /**
@@ -28,5 +34,5 @@
  * the reason for the end of the connection, as with MySQL's ER_CLIENT_INTERACTION_TIMEOUT.
  */
 export function stoppingAnswer(): ErrorAnswer {
-  return errorAnswer(notRun('The proxy is stopping', ErrorCode.stopping, STOPPING_RETRY_AFTER_MS));
+  return errorAnswer(notRun('The proxy is stopping', ErrorCode.stopping, RetryAfterMs.stopping));
 }
--- a/src/mysql/frontend/prepared_statement.ts
+++ b/src/mysql/frontend/prepared_statement.ts
@@ -3,29 +3,13 @@
  * statement, because a prepared statement of an instance would tie the caller to one connection.
  * Source: MySQL internals manual, "COM_STMT_PREPARE Response" and "COM_STMT_EXECUTE".
  */
-import type { Value } from '../backend/backend.js';
+import type { Value } from '../wire/result.js';
 import { DatabaseError } from '../../errors/errors.js';
 import { quoteString } from '../sql/tokenizer.js';
-import type { Packet } from './packet.js';
-
-/** Column and parameter types of the protocol that matter here. */
-export const FieldType = {
-  tiny: 1,
-  short: 2,
-  long: 3,
-  float: 4,
-  double: 5,
-  null: 6,
-  timestamp: 7,
-  longLong: 8,
-  int24: 9,
-  date: 10,
-  time: 11,
-  dateTime: 12,
-  year: 13,
-  varString: 253,
-} as const;
+import type { Packet } from '../wire/packet.js';
+import { FieldType } from '../wire/protocol.js';
 
+/** Bit of a parameter type that marks an unsigned number. */
 const UNSIGNED_FLAG = 0x80;
 
 /** A prepared statement of one caller connection. */
--- a/src/mysql/frontend/result_writer.ts
+++ b/src/mysql/frontend/result_writer.ts
@@ -4,13 +4,7 @@
  * Source: MySQL internals manual, "Command Phase".
  */
 import type { Socket } from 'node:net';
-import type {
-  Completion,
-  ResultColumns,
-  ResultRow,
-  ResultSink,
-  Value,
-} from '../backend/backend.js';
+import type { Completion, ResultColumns, ResultRow, ResultSink, Value } from '../wire/result.js';
 import { columnType, toBinaryRow } from './binary_row.js';
 import type { ErrorAnswer } from './error_answer.js';
 import {
@@ -18,22 +12,22 @@
   framed,
   lengthEncodedInteger,
   lengthEncodedString,
-} from './packet.js';
-import { FieldType } from './prepared_statement.js';
-
+} from '../wire/packet.js';
+import {
+  CharacterSet,
+  FieldType,
+  MAXIMUM_PAYLOAD_BYTES,
+  OK_MARKER,
+  SESSION_TRACK_GTIDS,
+  StatusFlag,
+} from '../wire/protocol.js';
+import { textRow } from '../wire/text_row.js';
+
+/** Bytes of an answer that are collected before they are written: a write for each packet costs more than the packet. */
 const FLUSH_BYTES = 16 * 1024;
-const MAXIMUM_PAYLOAD_BYTES = 0xffffff;
-const SERVER_STATUS_IN_TRANSACTION = 1;
-const SERVER_STATUS_AUTOCOMMIT = 2;
-const SERVER_SESSION_STATE_CHANGED = 0x4000;
-const SESSION_TRACK_GTIDS = 3;
-const CHARACTER_SET_UTF8MB4 = 45;
-const CHARACTER_SET_BINARY = 63;
-const TYPE_BLOB = 252;
-const NULL_VALUE = Buffer.from([0xfb]);
 
 function statusFlags(inTransaction: boolean): number {
-  return SERVER_STATUS_AUTOCOMMIT | (inTransaction ? SERVER_STATUS_IN_TRANSACTION : 0);
+  return StatusFlag.autocommit | (inTransaction ? StatusFlag.inTransaction : 0);
 }
 
 function unsigned16(value: number): Buffer {
@@ -46,7 +40,7 @@
   if (typeof value === 'number') {
     return Number.isSafeInteger(value) ? FieldType.longLong : FieldType.double;
   }
-  return Buffer.isBuffer(value) ? TYPE_BLOB : FieldType.varString;
+  return Buffer.isBuffer(value) ? FieldType.blob : FieldType.varString;
 }
 
 /** Payload of a column definition. */
@@ -54,7 +48,7 @@
   const isText = type === FieldType.varString;
   const fixed = Buffer.alloc(13);
   fixed[0] = 12;
-  fixed.writeUInt16LE(isText ? CHARACTER_SET_UTF8MB4 : CHARACTER_SET_BINARY, 1);
+  fixed.writeUInt16LE(isText ? CharacterSet.utf8mb4 : CharacterSet.binary, 1);
   fixed.writeUInt32LE(255, 3);
   fixed[7] = type;
   const empty = lengthEncodedString('');
@@ -62,15 +56,6 @@
   return Buffer.concat([lengthEncodedString('def'), empty, empty, empty, label, label, fixed]);
 }
 
-/** Payload of a text row. */
-export function textRow(values: readonly Value[]): Buffer {
-  const parts = values.map((value) => {
-    if (value === null) return NULL_VALUE;
-    return lengthEncodedString(Buffer.isBuffer(value) ? value : String(value));
-  });
-  return Buffer.concat(parts);
-}
-
 /** Writer of one caller connection. */
 export class ResultWriter implements ResultSink {
   private pending: Buffer[] = [];
@@ -178,10 +163,10 @@
     const track = this.tracksGtids && completion.gtid !== undefined;
     const status = statusFlags(completion.inTransaction);
     const parts = [
-      Buffer.from([0]),
+      Buffer.from([OK_MARKER]),
       lengthEncodedInteger(completion.affectedRows),
       lengthEncodedInteger(completion.insertId),
-      unsigned16(track ? status | SERVER_SESSION_STATE_CHANGED : status),
+      unsigned16(track ? status | StatusFlag.sessionStateChanged : status),
       unsigned16(0),
     ];
     if (this.tracksGtids) parts.push(lengthEncodedString(completion.info));
--- a/src/mysql/gateway/gateway_session.ts
+++ b/src/mysql/gateway/gateway_session.ts
@@ -1,13 +1,9 @@
 /** A session served by this process: its transaction, if one is open, and its statements. */
-import {
-  type BackendConnection,
-  type Completion,
-  DISCARD,
-  type ResultSink,
-} from '../backend/backend.js';
+import { MAXIMUM_WRITE_ATTEMPTS, RetryAfterMs } from '../routing/retry_policy.js';
+import type { BackendConnection } from '../backend/backend.js';
+import { type Completion, DISCARD, type ResultSink } from '../wire/result.js';
 import { DatabaseError, ErrorCode, RequestError, messageOf, notRun } from '../../errors/errors.js';
 import { Priority } from '../pool/slot_queue.js';
-import { delay } from '../../runtime/runtime.js';
 import type { GroupGateway, InstanceResources } from './group_gateway.js';
 import {
   createOnceTable,
@@ -25,8 +21,8 @@
 } from './statement_request.js';
 import { executeWithTimeout, inSlot, isRefusal } from './slot_execution.js';
 import {
-  backoff,
   confirmWrite,
+  pause,
   provesNotRun,
   runWrite,
   unknownOutcome,
@@ -50,10 +46,6 @@
 
 type TransactionState = 'none' | 'begun' | 'begun_read_only' | 'open';
 
-const MAXIMUM_ATTEMPTS = 20;
-const RETRY_AFTER_MS = 200;
-const LOST_RETRY_AFTER_MS = 10;
-const BUFFERED_RETRY_AFTER_MS = 50;
 const TRANSACTION_LOST = 'The transaction was rolled back';
 
 /** One session at this process. */
@@ -154,8 +146,8 @@
   /** When to begin the lost transaction anew, in milliseconds: it may wait for a primary here. */
   private retryAfter(): number {
     return this.gateway.trustedPrimary() === undefined
-      ? BUFFERED_RETRY_AFTER_MS
-      : LOST_RETRY_AFTER_MS;
+      ? RetryAfterMs.transactionLostWithoutPrimary
+      : RetryAfterMs.transactionLost;
   }
 
   private async runOn(
@@ -181,7 +173,7 @@
     const deadline = clock.now() + this.gateway.configuration.failover.buffer_ms;
     let lastError: unknown;
     this.gateway.retryBudget.earn();
-    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt++) {
       const chosen = await this.chooseInstance(request, deadline - clock.now());
       if (!chosen) break;
       try {
@@ -191,12 +183,12 @@
         const canRetry = provesNotRun(error) || !(error instanceof RequestError);
         if (!canRetry || clock.now() >= deadline || !this.gateway.retryBudget.spend()) break;
         this.gateway.counters.retries++;
-        await delay(clock, backoff(this.gateway, attempt));
+        await pause(this.gateway, attempt);
       }
     }
     throw lastError instanceof RequestError
       ? lastError
-      : notRun('No primary is available', ErrorCode.unavailable, RETRY_AFTER_MS);
+      : notRun('No primary is available', ErrorCode.unavailable, RetryAfterMs.noPrimary);
   }
 
   private async chooseInstance(
@@ -218,7 +210,8 @@
     const { gateway } = this;
     const { address, isPrimary } = chosen;
     const resources = gateway.resourcesOf(address);
-    if (!resources) throw notRun('Instance is gone', ErrorCode.unavailable, RETRY_AFTER_MS);
+    if (!resources)
+      throw notRun('Instance is gone', ErrorCode.unavailable, RetryAfterMs.noInstanceToBegin);
     const connection = await resources.pool.acquire(gateway.options.queueTimeoutMs);
     try {
       await inSlot(gateway, resources, connection, writePriority(request), async () => {
--- a/src/mysql/gateway/once_key.ts
+++ b/src/mysql/gateway/once_key.ts
@@ -3,11 +3,13 @@
  * fails over with the data, so a resend through any proxy, also after a failover, finds it and gets the
  * first outcome. See docs/design/once-keys.md.
  */
-import { type BackendConnection, type Completion, DISCARD } from '../backend/backend.js';
-import type { ResultSink } from '../backend/backend.js';
+import type { BackendConnection } from '../backend/backend.js';
+import { type Completion, DISCARD } from '../wire/result.js';
+import type { ResultSink } from '../wire/result.js';
 import { DatabaseError } from '../../errors/errors.js';
 import { quoteString } from '../sql/tokenizer.js';
 import { queryText } from '../topology/instance_report.js';
+import { MysqlError } from '../wire/protocol.js';
 import type { GroupGateway } from './group_gateway.js';
 import { executeWithTimeout } from './slot_execution.js';
 
@@ -16,8 +18,6 @@
   `CREATE TABLE IF NOT EXISTS ${TABLE} (once_key VARCHAR(128) PRIMARY KEY,` +
   ' affected_rows BIGINT, insert_id BIGINT,' +
   ' created_at TIMESTAMP DEFAULT CURRENT_TIMESTAMP)';
-const ER_DUPLICATE_ENTRY = 1062;
-const ER_NO_SUCH_TABLE = 1146;
 
 /** Text for the caller's OK packet when a resend got the first outcome. */
 export const REPLAYED_INFO = 'whinyoke_once=replayed';
@@ -35,7 +35,7 @@
     await executeWithTimeout(gateway, connection, insert, DISCARD);
     return true;
   } catch (error) {
-    if (error instanceof DatabaseError && error.code === ER_DUPLICATE_ENTRY) return false;
+    if (error instanceof DatabaseError && error.code === MysqlError.duplicateEntry) return false;
     throw error;
   }
 }
@@ -79,7 +79,7 @@
 
 /** Whether an error says that the table of keys does not exist yet. */
 export function isMissingOnceTable(error: unknown): boolean {
-  return error instanceof DatabaseError && error.code === ER_NO_SUCH_TABLE;
+  return error instanceof DatabaseError && error.code === MysqlError.noSuchTable;
 }
 
 async function runInOwnTransaction(
--- a/src/mysql/gateway/read_path.ts
+++ b/src/mysql/gateway/read_path.ts
@@ -2,7 +2,7 @@
  * Reads outside a transaction: from any secondary that covers the session's position, from the primary
  * only when none does in time.
  */
-import type { ResultRow, ResultSink } from '../backend/backend.js';
+import type { ResultRow, ResultSink } from '../wire/result.js';
 import {
   BackendConnectionLostError,
   DatabaseError,
@@ -15,13 +15,13 @@
 import { delay } from '../../runtime/runtime.js';
 import { type Position, START, covers, latest } from '../../positions/position.js';
 import { type InstanceDescription, readableSecondaries } from '../topology/group_description.js';
+import { MAXIMUM_READ_ATTEMPTS, RetryAfterMs } from '../routing/retry_policy.js';
 import type { GroupGateway } from './group_gateway.js';
 import type { StatementOutcome, StatementRequest } from './statement_request.js';
 import { executeWithTimeout, isRefusal, withConnection } from './slot_execution.js';
 
-const MAXIMUM_ATTEMPTS = 4;
+/** Pause between two questions to secondaries that lag, in milliseconds: a trip within a zone; guess, not measured. */
 const CATCH_UP_PROBE_MS = 3;
-const RETRY_AFTER_MS = 100;
 
 /** Counts rows, since a read may be repeated elsewhere only while none was delivered. */
 class CountingSink implements ResultSink {
@@ -44,7 +44,7 @@
 }
 
 function unavailable(reason: string): RequestError {
-  return notRun(reason, ErrorCode.unavailable, RETRY_AFTER_MS);
+  return notRun(reason, ErrorCode.unavailable, RetryAfterMs.readUnavailable);
 }
 
 /** Load of an instance as this process sees it: statements under way and waiting per slot. */
@@ -92,6 +92,7 @@
     );
     if (lagging.length === 0) return undefined;
     for (const instance of lagging) {
+      // A probe that fails is asked again at the next round; the monitor logs an instance that stays silent.
       void gateway.monitor
         .prober(instance.address)
         ?.probeAfterNow()
@@ -186,7 +187,7 @@
   const excluded = new Set<string>();
   let lastError: unknown;
   gateway.retryBudget.earn();
-  for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+  for (let attempt = 0; attempt < MAXIMUM_READ_ATTEMPTS; attempt++) {
     const required = await requiredPosition(gateway, request);
     const replica = required && (await waitForReplica(gateway, required, excluded));
     try {
--- a/src/mysql/gateway/slot_execution.ts
+++ b/src/mysql/gateway/slot_execution.ts
@@ -1,7 +1,9 @@
 /** Runs single statements on instance connections, with slot, timeout and a truthful error. */
-import type { BackendConnection, Completion, ResultSink } from '../backend/backend.js';
+import type { BackendConnection } from '../backend/backend.js';
+import type { Completion, ResultSink } from '../wire/result.js';
 import { BackendConnectionLostError, ErrorCode, notRun } from '../../errors/errors.js';
 import { type Priority } from '../pool/slot_queue.js';
+import { RetryAfterMs } from '../routing/retry_policy.js';
 import type { GroupGateway, InstanceResources } from './group_gateway.js';
 
 /** MySQL errors by which an instance says that it did not start the statement. */
@@ -14,8 +16,6 @@
   3032, // offline mode
 ]);
 
-const RETRY_AFTER_MS = 50;
-
 /** Whether a database error means that nothing ran, whatever the statement was. */
 export function isRefusal(code: number): boolean {
   return REFUSAL_CODES.has(code);
@@ -52,7 +52,8 @@
   work: (connection: BackendConnection) => Promise<T>,
 ): Promise<T> {
   const resources = gateway.resourcesOf(address);
-  if (!resources) throw notRun('Instance is gone', ErrorCode.unavailable, RETRY_AFTER_MS);
+  if (!resources)
+    throw notRun('Instance is gone', ErrorCode.unavailable, RetryAfterMs.instanceGone);
   const connection = await resources.pool.acquire(gateway.options.queueTimeoutMs);
   let state: 'clean' | 'broken' = 'broken';
   try {
--- a/src/mysql/gateway/statement_request.ts
+++ b/src/mysql/gateway/statement_request.ts
@@ -1,5 +1,5 @@
 /** Requests to a gateway and their outcomes, the same for local and forwarded sessions. */
-import type { Completion, ResultSink } from '../backend/backend.js';
+import type { Completion, ResultSink } from '../wire/result.js';
 import type { StatementClass } from '../routing/statement_class.js';
 import type { Position } from '../../positions/position.js';
 
--- a/src/mysql/gateway/write_path.ts
+++ b/src/mysql/gateway/write_path.ts
@@ -1,5 +1,6 @@
 /** Writes outside a transaction: found primary, run, confirmed. */
-import type { BackendConnection, Completion, ResultSink } from '../backend/backend.js';
+import type { BackendConnection } from '../backend/backend.js';
+import type { Completion, ResultSink } from '../wire/result.js';
 import {
   BackendConnectionLostError,
   DatabaseError,
@@ -12,16 +13,12 @@
 import { Priority } from '../pool/slot_queue.js';
 import { delay } from '../../runtime/runtime.js';
 import { newestPosition } from '../topology/gtid.js';
+import { MAXIMUM_WRITE_ATTEMPTS, RetryAfterMs, pauseBeforeRetry } from '../routing/retry_policy.js';
 import type { GroupGateway } from './group_gateway.js';
 import { runOnce } from './once_key.js';
 import type { StatementOutcome, StatementRequest } from './statement_request.js';
 import { executeWithTimeout, isRefusal, withConnection } from './slot_execution.js';
 
-const MAXIMUM_ATTEMPTS = 20;
-const BACKOFF_BASE_MS = 5;
-const BACKOFF_LIMIT_MS = 100;
-const RETRY_AFTER_MS = 200;
-
 /** The outcome could not be learned, though the statement was sent. */
 const OUTCOME_UNKNOWN = 'The outcome of the statement is unknown';
 
@@ -36,16 +33,17 @@
   return error instanceof DatabaseError && isRefusal(error.code);
 }
 
-/** Time before the next attempt, in milliseconds: exponential with full jitter. */
-export function backoff(gateway: GroupGateway, attempt: number): number {
-  const limit = Math.min(BACKOFF_LIMIT_MS, BACKOFF_BASE_MS * 2 ** attempt);
-  return 1 + gateway.runtime.random.next() * limit;
+/** Waits before the next try of a write or of a begin. */
+export function pause(gateway: GroupGateway, attempt: number): Promise<void> {
+  const { clock, random } = gateway.runtime;
+  return delay(clock, pauseBeforeRetry(attempt, random.next()));
 }
 
 /** The error for a caller whose statement failed on an instance. */
 export function writeError(gateway: GroupGateway, error: unknown): unknown {
   if (error instanceof RequestError) return error;
-  if (provesNotRun(error)) return notRun(messageOf(error), ErrorCode.unavailable, RETRY_AFTER_MS);
+  if (provesNotRun(error))
+    return notRun(messageOf(error), ErrorCode.unavailable, RetryAfterMs.writeNotRun);
   if (error instanceof DatabaseError) return error;
   return unknownOutcome(gateway, messageOf(error));
 }
@@ -53,7 +51,7 @@
 /** Verdict for a statement whose outcome can't be learned. */
 export function unknownOutcome(gateway: GroupGateway, reason: string): RequestError {
   if (!gateway.options.protections.isOn('verdict')) {
-    return notRun(reason, ErrorCode.unavailable, RETRY_AFTER_MS);
+    return notRun(reason, ErrorCode.unavailable, RetryAfterMs.writeNotRun);
   }
   return mayHaveRun(`${OUTCOME_UNKNOWN}: ${reason}`);
 }
@@ -114,7 +112,7 @@
   let lastError: unknown;
   let mayHaveRunBefore = false;
   gateway.retryBudget.earn();
-  for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+  for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt++) {
     const primary = await gateway.waitForPrimary(Math.max(0, deadline - clock.now()));
     if (primary === undefined) break;
     try {
@@ -125,12 +123,12 @@
       if (!canRetry || !gateway.retryBudget.spend()) break;
       mayHaveRunBefore ||= !provesNotRun(error);
       gateway.counters.retries++;
-      await delay(clock, backoff(gateway, attempt));
+      await pause(gateway, attempt);
     }
   }
   const error =
     lastError === undefined
-      ? notRun('No primary is available', ErrorCode.unavailable, RETRY_AFTER_MS)
+      ? notRun('No primary is available', ErrorCode.unavailable, RetryAfterMs.noPrimary)
       : writeError(gateway, lastError);
   // An earlier attempt may have run, whatever became of the last one.
   throw mayHaveRunBefore ? unknownOutcome(gateway, messageOf(error)) : error;
--- a/src/mysql/pool/backend_pool.ts
+++ b/src/mysql/pool/backend_pool.ts
@@ -1,4 +1,5 @@
 /** Connections to one instance: opened on demand within a limit, reset before reuse, never leaked. */
+import { RetryAfterMs } from '../routing/retry_policy.js';
 import type { BackendConnection, BackendConnector } from '../backend/backend.js';
 import { BackendConnectionLostError, ErrorCode, notRun } from '../../errors/errors.js';
 import type { Clock, Timer } from '../../runtime/runtime.js';
@@ -21,8 +22,6 @@
   maximumWaiting: 500,
 };
 
-const RETRY_AFTER_MS = 50;
-
 interface Waiter {
   resolve(connection: BackendConnection): void;
   reject(error: unknown): void;
@@ -195,6 +194,6 @@
 
   private refusal(): Error {
     const message = `No connection to ${this.address} is free`;
-    return notRun(message, ErrorCode.overloaded, RETRY_AFTER_MS);
+    return notRun(message, ErrorCode.overloaded, RetryAfterMs.poolFull);
   }
 }
--- a/src/mysql/pool/session_terminator.ts
+++ b/src/mysql/pool/session_terminator.ts
@@ -6,11 +6,10 @@
  * Source: MySQL 8.4 reference manual, "KILL Statement".
  */
 import type { BackendConnection } from '../backend/backend.js';
+import { MysqlError } from '../wire/protocol.js';
 import { DatabaseError } from '../../errors/errors.js';
 import { queryText } from '../topology/instance_report.js';
 
-const ER_NO_SUCH_THREAD = 1094;
-
 /** Terminations at one instance, confirmed over its monitoring connection. */
 export class SessionTerminator {
   /** What to call for each session, oldest first. */
@@ -43,7 +42,7 @@
   try {
     await queryText(connection, `KILL ${sessionId}`);
   } catch (error) {
-    const isGone = error instanceof DatabaseError && error.code === ER_NO_SUCH_THREAD;
+    const isGone = error instanceof DatabaseError && error.code === MysqlError.noSuchThread;
     if (!isGone) throw error;
   }
 }
--- a/src/mysql/pool/slot_queue.ts
+++ b/src/mysql/pool/slot_queue.ts
@@ -2,6 +2,7 @@
  * Admission to the slots of one instance. Waiting is bounded by a count and by the time a statement can
  * still wait; whoever can't be served in time is refused at once, with when to come back.
  */
+import { MINIMUM_SLOT_RETRY_AFTER_MS } from '../routing/retry_policy.js';
 import { ErrorCode, notRun } from '../../errors/errors.js';
 import type { Clock, Timer } from '../../runtime/runtime.js';
 
@@ -23,7 +24,6 @@
 const PRIORITY_COUNT = 4;
 const SERVICE_TIME_WEIGHT = 0.1;
 const INITIAL_SERVICE_TIME_MS = 2;
-const MINIMUM_RETRY_AFTER_MS = 20;
 
 interface Waiter {
   grant(): void;
@@ -159,7 +159,10 @@
   }
 
   private refusal(priority: Priority): Error {
-    const retryAfter = Math.max(MINIMUM_RETRY_AFTER_MS, Math.ceil(this.estimatedWait(priority)));
+    const retryAfter = Math.max(
+      MINIMUM_SLOT_RETRY_AFTER_MS,
+      Math.ceil(this.estimatedWait(priority)),
+    );
     return notRun('All statement slots are in use', ErrorCode.overloaded, retryAfter);
   }
 }
--- a/src/mysql/proxy/forward_codec.ts
+++ b/src/mysql/proxy/forward_codec.ts
@@ -1,5 +1,5 @@
 /** Translation between statements and the messages that forward them to a gateway. */
-import type { Completion } from '../backend/backend.js';
+import type { Completion } from '../wire/result.js';
 import {
   DatabaseError,
   ErrorCode,
--- a/src/mysql/proxy/forward_server.ts
+++ b/src/mysql/proxy/forward_server.ts
@@ -2,9 +2,9 @@
  * Serves statements that other proxies forward to this one as a gateway. A session is kept while it has
  * a transaction or unread rows, and is closed when its proxy falls silent.
  */
-import type { ResultColumns, ResultRow, ResultSink } from '../backend/backend.js';
-import { framed } from '../frontend/packet.js';
-import { textRow } from '../frontend/result_writer.js';
+import type { ResultColumns, ResultRow, ResultSink } from '../wire/result.js';
+import { framed } from '../wire/packet.js';
+import { textRow } from '../wire/text_row.js';
 import { GatewaySession } from '../gateway/gateway_session.js';
 import type { GroupGateway } from '../gateway/group_gateway.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
--- a/src/mysql/proxy/proxy_session.ts
+++ b/src/mysql/proxy/proxy_session.ts
@@ -1,5 +1,6 @@
 /** One caller's session at a proxy: marks, session token, default schema, choice of group. */
-import type { Completion, ResultSink } from '../backend/backend.js';
+import { RetryAfterMs } from '../routing/retry_policy.js';
+import type { Completion, ResultSink } from '../wire/result.js';
 import { ErrorCode, notRun } from '../../errors/errors.js';
 import type { CallerIdentity, CallerSession } from '../frontend/caller_session.js';
 import {
@@ -22,7 +23,6 @@
   readonly isStopping: () => boolean;
 }
 
-const STOPPING_RETRY_AFTER_MS = 100;
 const TOKEN_ATTRIBUTE = 'whinyoke_position';
 const GROUP_ATTRIBUTE = 'whinyoke_group';
 
@@ -125,7 +125,7 @@
       throw notRun('A transaction can not span two database groups', ErrorCode.unsupported);
     }
     if (this.context.isStopping()) {
-      throw notRun('The proxy is stopping', ErrorCode.stopping, STOPPING_RETRY_AFTER_MS);
+      throw notRun('The proxy is stopping', ErrorCode.stopping, RetryAfterMs.stopping);
     }
     const session = this.context.openGroupSession(group);
     this.current = { group, session };
--- a/src/mysql/proxy/remote_session.ts
+++ b/src/mysql/proxy/remote_session.ts
@@ -2,7 +2,8 @@
  * A session at a gateway on another proxy. A transaction stays at the gateway that began it; any other
  * statement may go to any gateway of the group.
  */
-import type { ResultSink } from '../backend/backend.js';
+import { RetryAfterMs } from '../routing/retry_policy.js';
+import type { ResultSink } from '../wire/result.js';
 import {
   ErrorCode,
   PeerUnreachableError,
@@ -38,7 +39,6 @@
 
 const GATEWAY_WAIT_MS = 100;
 const MAXIMUM_ROUNDS = 30;
-const RETRY_AFTER_MS = 200;
 
 /** Session at gateways of one group. */
 export class RemoteSession implements GroupSession {
@@ -76,7 +76,7 @@
       // Gateways are changing hands.
       await delay(this.context.clock, GATEWAY_WAIT_MS);
     }
-    throw notRun('No gateway serves the group', ErrorCode.unavailable, RETRY_AFTER_MS);
+    throw notRun('No gateway serves the group', ErrorCode.unavailable, RetryAfterMs.noGateway);
   }
 
   close(): void {
@@ -109,7 +109,7 @@
     return notRun(
       `The transaction was rolled back: ${reason}`,
       ErrorCode.transactionLost,
-      RETRY_AFTER_MS,
+      RetryAfterMs.noGateway,
     );
   }
 
@@ -186,7 +186,7 @@
     } catch (error) {
       if (!(error instanceof PeerUnreachableError)) throw error;
     }
-    throw notRun('The result was cut off', ErrorCode.unavailable, RETRY_AFTER_MS);
+    throw notRun('The result was cut off', ErrorCode.unavailable, RetryAfterMs.noGateway);
   }
 
   private conclude(gateway: string, reply: whinyoke.IForwardReply): StatementOutcome {
--- a/src/mysql/topology/instance_report.ts
+++ b/src/mysql/topology/instance_report.ts
@@ -1,8 +1,9 @@
 /** What one instance says of itself, read through the published Group Replication tables. */
-import type { BackendConnection, ResultRow, ResultSink, Value } from '../backend/backend.js';
+import type { BackendConnection } from '../backend/backend.js';
+import type { ResultRow, ResultSink, Value } from '../wire/result.js';
 import { WhinyokeError } from '../../errors/errors.js';
-import { splitTextRow } from '../frontend/binary_row.js';
-import { PACKET_HEADER_BYTES } from '../frontend/packet.js';
+import { splitTextRow } from '../wire/text_row.js';
+import { PACKET_HEADER_BYTES } from '../wire/packet.js';
 import { type Position } from '../../positions/position.js';
 import { newestPosition } from './gtid.js';
 
--- a/src/mysql/frontend/packet.ts
+++ b/src/mysql/wire/packet.ts
@@ -3,6 +3,8 @@
  * packet class, so the class is taken from a received packet.
  */
 
+import { MAXIMUM_PAYLOAD_BYTES } from './protocol.js';
+
 /** A packet of the MySQL client/server protocol. */
 export interface Packet {
   readonly buffer: Buffer;
@@ -30,8 +32,6 @@
 /** Bytes in front of each packet: three of length, one of sequence. */
 export const PACKET_HEADER_BYTES = 4;
 
-const MAXIMUM_PAYLOAD_BYTES = 0xffffff;
-
 /** Payload of a packet, without its header. */
 export function payloadOf(packet: Packet): Buffer {
   return packet.buffer.subarray(packet.start + PACKET_HEADER_BYTES, packet.end);
