--- a/src/appointed/connections/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -16,7 +16,7 @@
   /** Idle connections beyond those are closed after this time at the latest, in milliseconds. */
   readonly idleTimeoutMs: number;
   /** Whether requests wait here when the instance's slots are taken, since most of its statements pass here. */
-  readonly isHome?: boolean;
+  readonly isOwner?: boolean;
   /** After the instance refused one more, the proxy makes do with what it has for this time, in milliseconds. */
   readonly clampMs: number;
 }
--- a/src/appointed/connections/connection_source.ts
+++ b/src/appointed/connections/connection_source.ts
@@ -6,7 +6,7 @@
 export interface ConnectionSource {
   readonly load: InstanceLoad;
   /** Whether statements of all proxies queue at few homes, which know how long that takes. */
-  readonly isHomed: boolean;
+  readonly queuesAtOwner: boolean;
   /** @throws AcquireError when none could be had within `timeoutMs` */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection>;
   /** Gives a connection back; it has no transaction and no answer outstanding. */
--- /dev/null
+++ b/src/appointed/connections/expected_wait.ts
@@ -0,0 +1,28 @@
+/**
+ * Decision: how long a request is expected to wait for a connection of a pool. Pure.
+ *
+ * Load that it answers: a full instance. A request that would wait in vain is refused on arrival, so that its caller can
+ * go elsewhere while there is time.
+ *
+ * Inputs: statements that may be sent at a time (count, infinite where nothing limits them), time of a statement
+ * (milliseconds, smoothed), requests that come first (count), pause of the concurrency limit that is left (milliseconds).
+ *
+ * Rule: the pause, then one start each (time of a statement ÷ statements at a time). No constants.
+ *
+ * docs/design/scheduling.md, "Who decides", rule 4.
+ */
+
+/** Time between two starts, in milliseconds; 0 where nothing limits them. */
+export function startSpacing(atATime: number, statementMs: number): number {
+  return statementMs / atATime;
+}
+
+/** Time until a request is started that comes after `ahead` others, in milliseconds. */
+export function expectedWait(
+  pauseMs: number,
+  ahead: number,
+  atATime: number,
+  statementMs: number,
+): number {
+  return pauseMs + (ahead / atATime) * statementMs;
+}
--- a/src/appointed/connections/idle_connections.ts
+++ b/src/appointed/connections/idle_connections.ts
@@ -1,5 +1,8 @@
-/** Idle connections of one pool, the one that is idle for longest first. */
-import { type ConnectionRequest, type PooledConnection, fits } from './pooled_connection.js';
+/**
+ * Idle connections of one pool, the one that is idle for longest first. Owns the list. Relies on each connection to be
+ * removed when it is closed elsewhere. Nothing in it can fail.
+ */
+import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
 /** Idle connections. */
 export class IdleConnections {
@@ -16,9 +19,9 @@
     this.connections.push(pooled);
   }
 
-  /** Whether one fits a request. */
-  hasFor(request: ConnectionRequest): boolean {
-    return this.connections.some((pooled) => fits(pooled, request));
+  /** Whether one may carry statements of a tenant; of the system itself when undefined. */
+  hasFor(tenant: string | undefined): boolean {
+    return this.connections.some((pooled) => pooled.serves(tenant));
   }
 
   /** Takes out the one that is closest to a request's session; of equal ones the one used last. */
@@ -26,7 +29,7 @@
     let best: PooledConnection | undefined;
     let bestDistance = Infinity;
     for (const pooled of this.connections) {
-      if (!fits(pooled, request)) continue;
+      if (!pooled.serves(request.tenant)) continue;
       const distance = pooled.distanceTo(request.values);
       if (distance > bestDistance) continue;
       best = pooled;
@@ -49,9 +52,9 @@
     return oldest !== undefined;
   }
 
-  /** Closes those that were idle for longer than `patienceMs`, but for the `kept` newest ones. */
-  closeExpired(now: number, patienceMs: number, kept: number): void {
-    const isExpired = (): boolean => now - this.connections[0]!.idleSince > patienceMs;
+  /** Closes those that were idle for longer than `timeoutMs`, but for the `kept` newest ones. */
+  closeExpired(now: number, timeoutMs: number, kept: number): void {
+    const isExpired = (): boolean => now - this.connections[0]!.idleSince > timeoutMs;
     while (this.connections.length > kept && isExpired()) this.closeOldest();
   }
 
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -15,7 +15,8 @@
   InstanceTarget,
 } from '../instance/instance_connection.js';
 import { InstanceLoad } from './instance_load.js';
-import { type BusyReaction, type Displacement, InstancePool } from './instance_pool.js';
+import { InstancePool } from './instance_pool.js';
+import type { PoolListener, PoolOptions } from './pool_options.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
@@ -138,31 +139,37 @@
   }
 
   private createPool(instance: InstanceEntry): InstancePool {
-    const { runtime, connector, log, liveProxies } = this.surroundings;
+    const { runtime, connector, liveProxies } = this.surroundings;
     const { id, group, address } = instance;
     const target = { id: id ?? '', group: group ?? '', address: address ?? '' };
-    const options = {
+    const options: PoolOptions = {
       share: () => this.homes.shareOf(this.homed(instance), liveProxies()),
       slots: () => this.entries.get(target.id)?.slots || UNKNOWN_SLOTS,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       proxies: liveProxies,
       opensSpares: () => this.opensSpares(instance),
-      weightOf: (tenant: string) => this.surroundings.tenantRate(tenant) ?? 1,
+      weightOf: (tenant) => this.surroundings.tenantRate(tenant) ?? 1,
       random: runtime.random,
     };
-    const observer = {
-      onConnectFailed: (error: ConnectError) => this.onConnectFailed(target, error),
-      onOpened: (position: Position, startedAt: number) =>
-        this.surroundings.onOpened(target, position, startedAt),
-      onBusy: ({ window, pauseMs, waiting }: BusyReaction) =>
+    const load = new InstanceLoad();
+    const listener = this.listenerFor(target);
+    return new InstancePool(target, connector, runtime.clock, load, options, listener);
+  }
+
+  private listenerFor(target: InstanceTarget): PoolListener {
+    const { log } = this.surroundings;
+    return {
+      onConnectFailed: (error) => this.onConnectFailed(target, error),
+      onOpened: (position, startedAt) => this.surroundings.onOpened(target, position, startedAt),
+      onBusy: ({ limit, pauseMs, waiting }) =>
         log(Events.instanceBusy, {
           instance: target.id,
           group: target.group,
-          window: Math.floor(window),
+          window: Math.floor(limit),
           pause_ms: Math.round(pauseMs),
           waiting,
         }),
-      onDisplaced: ({ tenant, priority, waitedMs, waiting }: Displacement) =>
+      onDisplaced: ({ tenant, priority, waitedMs, waiting }) =>
         log(Events.waitingDisplaced, {
           instance: target.id,
           group: target.group,
@@ -172,8 +179,6 @@
           waiting,
         }),
     };
-    const load = new InstanceLoad();
-    return new InstancePool(target, connector, runtime.clock, load, options, observer);
   }
 
   /** Connections are opened ahead only where it is known for whom, and that they are wanted here. */
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -20,6 +20,11 @@
     readonly isRelayed = false,
   ) {}
 
+  /** Whether it may carry statements of a tenant; of the system itself when undefined, which any connection may. */
+  serves(tenant: string | undefined): boolean {
+    return tenant === undefined || tenant === this.tenant;
+  }
+
   /** How many steps lead to a session's values. */
   distanceTo(values: ReadonlyMap<string, string>): number {
     let steps = 0;
@@ -40,8 +45,3 @@
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
   readonly usefulMs?: number;
 }
-
-/** Whether a connection may carry statements of a request. */
-export function fits(pooled: PooledConnection, request: ConnectionRequest): boolean {
-  return request.tenant === undefined || request.tenant === pooled.tenant;
-}
--- a/src/appointed/connections/waiter_queue.ts
+++ b/src/appointed/connections/waiter_queue.ts
@@ -1,13 +1,16 @@
-/** Requests that wait for a connection, in the order of their turns. */
+/**
+ * Requests that wait for a connection of one pool. Owns the requests and a timer for each, which rejects it when it gives
+ * up. Relies on {@link ServiceOrder} for the order in which they are served. Nothing in it can fail.
+ */
 import type { Clock, Timer } from '../../runtime/runtime.js';
 import type { QueuedRequest, ServiceOrder } from '../scheduling/service_order.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
-/** What a request waits for, and how it hears of it. */
+/** A request that waits for a connection, and the promise of its caller. */
 export interface WaitingRequest extends ConnectionRequest, QueuedRequest {
-  readonly priority: number;
-  readonly tenant: string | undefined;
+  /** Ends the wait with a connection. */
   resolve(pooled: PooledConnection): void;
+  /** Ends the wait without one. */
   reject(error: Error): void;
 }
 
@@ -20,14 +23,19 @@
     private readonly order: ServiceOrder,
   ) {}
 
-  /** Requests that wait. */
+  /** Number of requests. */
   get length(): number {
     return this.timers.size;
   }
 
-  /** All requests, the one whose turn it is first. */
-  get requests(): readonly WaitingRequest[] {
-    return this.order.rank([...this.timers.keys()], this.clock.now());
+  /** All requests in the order in which they are served. */
+  rank(now: number): readonly WaitingRequest[] {
+    return this.order.rank([...this.timers.keys()], now);
+  }
+
+  /** All requests and a newcomer, in the order in which they would be served. */
+  rankWith(newcomer: WaitingRequest, now: number): readonly WaitingRequest[] {
+    return this.order.rank([...this.timers.keys(), newcomer], now);
   }
 
   /** Tenants of all requests. */
@@ -35,19 +43,13 @@
     return new Set([...this.timers.keys()].map(({ tenant }) => tenant));
   }
 
-  /** Requests of one tenant. */
+  /** Number of requests of one tenant. */
   countOf(tenant: string | undefined): number {
     let count = 0;
     for (const request of this.timers.keys()) if (request.tenant === tenant) count++;
     return count;
   }
 
-  /** Requests that a new one would come after. */
-  countAhead(request: WaitingRequest): number {
-    const all = [...this.timers.keys(), request];
-    return this.order.rank(all, this.clock.now()).indexOf(request);
-  }
-
   /** Adds a request; when it gives up, it is taken out and rejected with `timeoutError`. */
   add(request: WaitingRequest, timeoutError: () => Error): void {
     const timer = this.clock.setTimer(request.giveUpAt - this.clock.now(), () =>
@@ -62,14 +64,24 @@
     request.resolve(pooled);
   }
 
-  /** Takes out those that will not be served in time, where one is started each `spacingMs`; returns them. */
-  rejectDisplaced(spacingMs: number, error: () => Error): readonly WaitingRequest[] {
-    const displaced = this.order.displaced(this.requests, spacingMs, this.clock.now());
+  /**
+   * Takes out the requests that will not be served in time, and rejects them.
+   * @param ranked - all requests in the order in which they are served
+   * @param spacingMs - time between two starts
+   * @returns the requests that were rejected
+   */
+  rejectDisplaced(
+    ranked: readonly WaitingRequest[],
+    spacingMs: number,
+    now: number,
+    error: () => Error,
+  ): readonly WaitingRequest[] {
+    const displaced = this.order.displaced(ranked, spacingMs, now);
     for (const request of displaced) this.reject(request, error());
     return displaced;
   }
 
-  /** Takes out all requests. */
+  /** Takes out all requests, and rejects them. */
   rejectAll(error: () => Error): void {
     for (const request of [...this.timers.keys()]) this.reject(request, error());
   }
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -94,14 +94,14 @@
       labelNames: ['group', 'instance', 'state'],
       registers: [this.registry],
       collect: () => {
-        for (const { target, size, used, waiting, windowSize, load } of core.allPools) {
+        for (const { target, size, used, waiting, concurrencyLimit, load } of core.allPools) {
           const labels = { group: target.group, instance: target.id };
           pool.set({ ...labels, state: 'open' }, size);
           pool.set({ ...labels, state: 'used' }, used);
           pool.set({ ...labels, state: 'waiting' }, waiting);
           pool.set({ ...labels, state: 'latency_ms' }, load.latency);
           // 0: the instance turns nothing away.
-          const window = Number.isFinite(windowSize) ? windowSize : 0;
+          const window = Number.isFinite(concurrencyLimit) ? concurrencyLimit : 0;
           pool.set({ ...labels, state: 'window' }, window);
         }
       },
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -92,7 +92,7 @@
     const left = connectionLimit * (1 - RESERVED_PART);
     const most = Math.max(1, Math.floor(left / homeCount(connectionLimit)));
     const idleTimeoutMs = HOME_IDLE_MS;
-    return { most, minimumIdle: 0, idleTimeoutMs, clampMs: HOME_CLAMP_MS, isHome: true };
+    return { most, minimumIdle: 0, idleTimeoutMs, clampMs: HOME_CLAMP_MS, isOwner: true };
   }
 
   private isHomeOf(instance: OwnedInstance): boolean {
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -22,7 +22,7 @@
     private readonly homesFor: (tenant: string) => readonly string[],
   ) {}
 
-  get isHomed(): boolean {
+  get queuesAtOwner(): boolean {
     return this.homesFor(NO_TENANT).length > 0;
   }
 
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -233,7 +233,7 @@
  * and refuses at once whom it would serve too late, so there the wait is as long as an answer would be worth something.
  */
 function longestWait({ pool }: Target, deadline: RequestDeadline): number {
-  return pool.isHomed ? deadline.retryRemaining : deadline.offerRemaining;
+  return pool.queuesAtOwner ? deadline.retryRemaining : deadline.offerRemaining;
 }
 
 /** Notes whether an instance may have run the statement. */
--- a/test/unit/connection_homes.test.ts
+++ b/test/unit/connection_homes.test.ts
@@ -40,7 +40,7 @@
   t.equal(used.size, 2, 'both homes get tenants');
   t.ok([...used].every((address) => address.startsWith('b:')));
   const shares = views.map((homes) => homes.shareOf(instance, addresses.length));
-  const ofHomes = shares.filter((share) => share.isHome);
+  const ofHomes = shares.filter((share) => share.isOwner);
   t.equal(ofHomes.length, 2);
   t.ok(ofHomes.reduce((sum, { most }) => sum + most, 0) <= 53 * 0.9, 'a rest is left to stand-ins');
   t.end();
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -13,7 +13,8 @@
 import { IdleTimeout } from '../../src/appointed/connections/idle_timeout.js';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
-import { InstancePool, type PoolObserver } from '../../src/appointed/connections/instance_pool.js';
+import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
+import type { PoolListener } from '../../src/appointed/connections/pool_options.js';
 import { PositionFloor } from '../../src/appointed/routing/position_floor.js';
 import { PrimaryObserver } from '../../src/appointed/trust/primary_observer.js';
 import { orderCandidates } from '../../src/appointed/routing/replica_selector.js';
@@ -121,7 +122,7 @@
   connector: InstanceConnector,
   share: number,
   slots = MANY_SLOTS,
-  onOpened: PoolObserver['onOpened'] = () => undefined,
+  onOpened: PoolListener['onOpened'] = () => undefined,
 ): InstancePool {
   const options = {
     share: () => ({ most: share, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50 }),
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -206,7 +206,7 @@
   async (t) => {
     const connector = { connect: () => Promise.resolve({ connection: new FakeConnection() }) };
     const options = {
-      share: () => ({ most: 1, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50, isHome: true }),
+      share: () => ({ most: 1, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50, isOwner: true }),
       slots: () => 1,
       connectTimeoutMs: 100,
       proxies: () => 1,
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -324,7 +324,7 @@
   t.equal(idle.takeClosest(forTenant('ida')), undefined);
   t.equal(idle.takeClosest(forTenant('eva')), eva);
   idle.add(eva!, 3);
-  t.ok(idle.hasFor(forTenant(undefined)), 'the system itself takes any');
+  t.ok(idle.hasFor(undefined), 'the system itself takes any');
   t.ok(idle.closeOldest());
   t.ok(ana!.connection.closed);
   t.notOk(eva!.connection.closed);
