--- a/src/appointed/connections/concurrency_limit.ts
+++ b/src/appointed/connections/concurrency_limit.ts
@@ -1,22 +1,35 @@
 /**
- * How many statements one proxy sends to an instance at a time, learnt from the instance's own refusals: halved
- * when it answers that it is busy, and raised step by step with each statement that it serves (additive increase,
- * multiplicative decrease). At one statement a pause takes over, doubled with each refusal, so that any number of
- * proxies can share an instance that is full. Pure.
+ * Decision: how many statements one proxy sends to an instance at a time. Pure but for the random draw of a pause.
+ *
+ * Load that it answers: an instance whose slots and queue are full, with any number of proxies that know nothing of each
+ * other. Before, 40 proxies at twice the capacity had 70,475 statements turned away for 1,057 that ran
+ * (docs/design/overload.md).
+ *
+ * Inputs: the instance's answers (busy, served), statements under way (count), the time (milliseconds).
+ *
+ * Rule: no limit until the instance answers BUSY; then half of what was under way, and 1/limit more with each statement
+ * that it serves (additive increase, multiplicative decrease). At one statement a pause takes over, doubled with each
+ * BUSY, drawn at random from half to one and a half of itself, and shortened with each statement served.
+ *
+ * Held by test/simulation/overload.test.ts and test/unit/router.test.ts. The rule was measured with its constants
+ * together, none of them alone.
  */
 import type { RandomSource } from '../../runtime/runtime.js';
 
+/** Fraction of the limit that is left after a BUSY. Guess, not measured. */
 const DECREASE_FACTOR = 0.5;
+/** First pause, in milliseconds. Guess, not measured. */
 const SHORTEST_PAUSE_MS = 10;
+/** Longest pause, in milliseconds: six doublings of the first. Guess, not measured. */
 const LONGEST_PAUSE_MS = 640;
-/** Part of the pause that is left after a statement was served: many proxies take turns. */
+/** Fraction of the pause that is left after a statement was served: many proxies take turns. Guess, not measured. */
 const PAUSE_DECAY = 0.8;
-/** Refusals that come together tell only once that the instance is full; in milliseconds. */
+/** Refusals within this time of one count once, in milliseconds: they come from the same moment. Guess, not measured. */
 const REFUSAL_SPACING_MS = 20;
-/** Beyond so many statements at a time there is no limit of this kind. */
+/** From so many statements at a time (a count) on the limit is lifted: it holds back nothing. Guess, not measured. */
 const UNLIMITED_FROM = 64;
 
-/** Window of one pool. */
+/** Concurrency limit of one pool. */
 export class ConcurrencyLimit {
   private limit = Infinity;
   private pauseMs = 0;
@@ -41,8 +54,8 @@
   }
 
   /**
-   * Notes that the instance was busy while `underWay` statements were under way, this one included. Returns
-   * whether that changed anything.
+   * Lowers the limit: the instance answered BUSY while `underWay` statements were under way, this one included.
+   * @returns whether that changed anything
    */
   noteBusy(underWay: number, now: number): boolean {
     if (now - this.refusedAt < REFUSAL_SPACING_MS) return false;
@@ -55,7 +68,7 @@
     return true;
   }
 
-  /** Notes a statement that the instance served. */
+  /** Raises the limit, if there is one: the instance served a statement. */
   noteServed(): void {
     if (this.limit === Infinity) return;
     this.pauseMs *= PAUSE_DECAY;
--- a/src/appointed/connections/connect_backoff.ts
+++ b/src/appointed/connections/connect_backoff.ts
@@ -1,20 +1,39 @@
 /**
- * When a pool may open a connection, as far as the instance's refusals tell: not at once after it could not be reached,
- * not more than it had when the instance took no further one, and nothing for a moment where it had none at all.
+ * Decision: when a pool may open a connection, and how many it may hold, after the instance refused one.
+ *
+ * Load that it answers: an instance that is down or has no connection left, and proxies that would all ask it again at
+ * once. Owns the times until which the refusals count, and one timer.
+ *
+ * Inputs: failures of openings, connections of the pool (count), its connection share, the time (milliseconds).
+ *
+ * Rule: after the instance could not be reached, nothing for a fixed time. After it had no connection left, no more than
+ * the pool has, for the time of the share; where the pool has none, nothing for a short time drawn at random, then again,
+ * for as long as requests wait.
+ *
+ * docs/design/connection-shares.md describes it; test/unit/router.test.ts holds it.
  */
 import type { Clock, RandomSource } from '../../runtime/runtime.js';
 import type { ConnectionShare } from './connection_share.js';
 
+/** Nothing is opened for this time after the instance could not be reached, in milliseconds. Guess, not measured. */
 const RECONNECT_DELAY_MS = 100;
-/** Another instance has the address; control will tell when this one is gone. */
+/**
+ * The same where another instance has the address, in milliseconds: control soon removes the one that is gone from the
+ * catalog. Guess, not measured.
+ */
 const WRONG_INSTANCE_DELAY_MS = 3000;
-/** Range of the pause after an instance had no connection left: others give theirs back all the time. */
+/**
+ * Shortest pause of a pool without connections after the instance had none left, in milliseconds: other proxies give
+ * theirs back all the time. Guess, not measured.
+ */
 const SHORTEST_LIMIT_PAUSE_MS = 10;
+/** Longest such pause, in milliseconds: drawn at random, so that proxies don't ask together. Guess, not measured. */
 const LONGEST_LIMIT_PAUSE_MS = 30;
 
-/** Gate of one pool. */
+/** Connect backoff of one pool. */
 export class ConnectBackoff {
   private clampedUntil = -Infinity;
+  /** Connections that the pool had when the instance took no further one. */
   private clampedTo = Infinity;
   private unreachableUntil = -Infinity;
   /** Whether the instance had no connection left a moment ago; nothing is tried for a short time. */
@@ -42,13 +61,16 @@
     return !this.isUnreachable && !this.isLimited;
   }
 
-  /** The instance could not be reached, or another one has its address. */
+  /** Holds openings back: the instance could not be reached, or another one has its address. */
   noteUnreachable(isOtherInstance: boolean): void {
     const delayMs = isOtherInstance ? WRONG_INSTANCE_DELAY_MS : RECONNECT_DELAY_MS;
     this.unreachableUntil = this.clock.now() + delayMs;
   }
 
-  /** The instance took no further connection beside `size` ones; `resume` is called when it may be tried again. */
+  /**
+   * Holds openings back: the instance took no further connection beside the `size` ones of this pool. Where the pool has
+   * none, `resume` is called when it may try again.
+   */
   noteLimit(size: number, resume: () => void): void {
     if (size > 0) {
       this.clampedTo = size;
--- a/src/appointed/connections/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -1,10 +1,17 @@
 /**
- * How many connections of an instance one proxy may hold. Pure.
+ * Decision: how many connections of an instance one proxy may hold. Pure.
  *
- * Every instance takes a limited number of connections from all proxies together. Where each proxy can have a
- * few of its own, it keeps them. Where there are more proxies than connections, nobody keeps any: a connection
- * is opened for a statement or transaction and given back after a while (see `IdleTimeout`), and who finds
- * none left tries again.
+ * Load that it answers: many proxies, and instances that each take a limited number of connections from all of them
+ * together.
+ *
+ * Inputs: connections that the instance takes (count), live proxies (count).
+ *
+ * Rule: the equal share is the connections, less a reserve, by the proxies. From two on a proxy keeps one idle connection
+ * and may hold more for as long as it uses them. Below two it keeps none: a connection is opened for a statement or a
+ * transaction and closed after the idle time-out (see {@link IdleTimeout}); connection owners have shares of their own.
+ *
+ * docs/design/connection-shares.md. Known fault: with an equal share between one and two each proxy could keep one and is
+ * told to keep none (docs/measurements/large.md, 229 proxies on 400 connections).
  */
 
 /** Connections that one proxy may hold to one instance. */
@@ -15,35 +22,50 @@
   readonly minimumIdle: number;
   /** Idle connections beyond those are closed after this time at the latest, in milliseconds. */
   readonly idleTimeoutMs: number;
-  /** Whether requests wait here when the instance's slots are taken, since most of its statements pass here. */
+  /** Whether the proxy is a connection owner: requests wait here while the slots are taken, since most pass here. */
   readonly isOwner?: boolean;
   /** After the instance refused one more, the proxy makes do with what it has for this time, in milliseconds. */
   readonly clampMs: number;
 }
 
-/** Connections of each instance that no proxy counts on: control, proxies not yet known. */
+/** Connections (a count) that no proxy counts on: those of control, and of proxies not yet known. Guess, not measured. */
 const RESERVED_CONNECTIONS = 2;
 /**
- * Callers are spread unevenly, so a proxy may have more than its equal share for as long as it uses them.
- * Where all want more at once the instance refuses, and each goes on with what it has.
+ * Most connections of a proxy as a multiple (a ratio) of its equal share, for as long as it uses them: callers are spread
+ * unevenly. Where all proxies want more at once the instance refuses, and each goes on with what it has. Guess, not
+ * measured.
  */
 const BURST_FACTOR = 2.5;
-const LARGEST_SHARE = 0.4;
-/** Where connections are scarce, one proxy may take this part of them for a moment. */
-const LARGEST_SCARCE_SHARE = 0.2;
-/** From this equal share on, proxies keep connections of their own. */
+/** Most connections of a proxy as a fraction of all, where each keeps its own. Guess, not measured. */
+const LARGEST_FRACTION = 0.4;
+/** Most connections of a proxy as a fraction of all, where they are scarce, for a moment. Guess, not measured. */
+const LARGEST_SCARCE_FRACTION = 0.2;
+/** From this equal share (a count) on, proxies keep connections of their own. Known to be wrong, see above. */
 const AMPLE_EQUAL_SHARE = 2;
-/**
- * Idle connections beyond the first are closed soon: a connection of a machine that lost power counts against the
- * limit of its instance for seconds, and the proxy that takes its place needs connections then. Measured against
- * 1,500 ms: docs/measurements/pieraksts.md.
- */
+
+/** Where each proxy keeps connections of its own. */
 const AMPLE: Omit<ConnectionShare, 'most'> = {
+  /** Saves the first request of a burst an opening. Guess, not measured. */
   minimumIdle: 1,
+  /**
+   * Connections of a machine that lost power count against the limit of its instance for seconds, and the proxy that takes
+   * its place needs connections then. docs/measurements/pieraksts.md: closed after 0.4 s, trouble-2 0.691 → 0.710, scale-2
+   * 0.637 → 0.659.
+   */
   idleTimeoutMs: 400,
+  /** Guess, not measured. */
   clampMs: 2000,
 };
-const SCARCE: Omit<ConnectionShare, 'most'> = { minimumIdle: 0, idleTimeoutMs: 600, clampMs: 100 };
+
+/** Where proxies keep none. */
+const SCARCE: Omit<ConnectionShare, 'most'> = {
+  /** Others need the connection. */
+  minimumIdle: 0,
+  /** Longest time; {@link IdleTimeout} shortens it. Guess, not measured. */
+  idleTimeoutMs: 600,
+  /** Others give connections back all the time. Guess, not measured. */
+  clampMs: 100,
+};
 
 function equalShareOf(connectionLimit: number, liveProxies: number): number {
   const usable = Math.max(1, connectionLimit - RESERVED_CONNECTIONS);
@@ -60,9 +82,9 @@
   const usable = Math.max(1, connectionLimit - RESERVED_CONNECTIONS);
   const equalShare = equalShareOf(connectionLimit, liveProxies);
   if (equalShare < AMPLE_EQUAL_SHARE) {
-    return { ...SCARCE, most: Math.max(1, Math.floor(usable * LARGEST_SCARCE_SHARE)) };
+    return { ...SCARCE, most: Math.max(1, Math.floor(usable * LARGEST_SCARCE_FRACTION)) };
   }
-  const largest = Math.floor(usable * LARGEST_SHARE);
+  const largest = Math.floor(usable * LARGEST_FRACTION);
   const burst = Math.min(Math.floor(equalShare * BURST_FACTOR), largest);
   return { ...AMPLE, most: Math.max(equalShare, burst) };
 }
--- a/src/appointed/connections/idle_timeout.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -1,31 +1,44 @@
 /**
- * How long an idle connection is kept. Grows with each connection that could be opened, and is halved when the
- * instance had none left: all proxies together keep about as many as the instance takes, without a word
- * between them (additive increase, multiplicative decrease).
+ * Decision: after how long an idle connection is closed, where the instance has too few for all proxies. Pure.
+ *
+ * Load that it answers: more proxies than connections. Each keeps its connections for as long as the instance has some
+ * left, so that all proxies together keep about as many as it takes, without a message between them.
+ *
+ * Inputs: connections that were opened, refusals for want of a connection, the time-out by the connection share
+ * (milliseconds).
+ *
+ * Rule: the time-out of the share until the instance first had no connection left; then halved with each such refusal, and
+ * longer by a step with each connection that could be opened (additive increase, multiplicative decrease).
+ *
+ * docs/measurements/platform.md, "The grown deployments": scale-2 of citaq-gt-grown 0.682 with a fixed 100 ms, 0.750 with
+ * this rule (one run). The constants were not measured one by one.
  */
 
+/** Shortest time-out, in milliseconds: connections are opened and closed all the time below it. Guess, not measured. */
 const SHORTEST_MS = 50;
+/** Added with each connection that could be opened, in milliseconds. Guess, not measured. */
 const INCREASE_MS = 10;
+/** Fraction of the time-out that is left after a refusal. Guess, not measured. */
 const DECREASE_FACTOR = 0.5;
 
-/** Patience of one pool. */
+/** Idle time-out of one pool. */
 export class IdleTimeout {
-  /** Without a bound of its own until the instance first had no connection left. */
-  private patienceMs = Infinity;
+  /** Infinite until the instance first had no connection left. */
+  private timeoutMs = Infinity;
 
-  /** Notes a connection that was opened. */
+  /** Lengthens the time-out: a connection could be opened. */
   noteOpened(): void {
-    this.patienceMs += INCREASE_MS;
+    this.timeoutMs += INCREASE_MS;
   }
 
-  /** Notes that the instance had no connection left. */
+  /** Halves the time-out: the instance had no connection left. `longestMs` is the time-out by the share. */
   noteLimit(longestMs: number): void {
-    const present = Math.min(this.patienceMs, longestMs);
-    this.patienceMs = Math.max(SHORTEST_MS, present * DECREASE_FACTOR);
+    const present = Math.min(this.timeoutMs, longestMs);
+    this.timeoutMs = Math.max(SHORTEST_MS, present * DECREASE_FACTOR);
   }
 
-  /** Time after which an idle connection is closed, in milliseconds. */
+  /** Time after which an idle connection is closed, in milliseconds. `longestMs` is the time-out by the share. */
   current(longestMs: number): number {
-    return Math.min(this.patienceMs, longestMs);
+    return Math.min(this.timeoutMs, longestMs);
   }
 }
--- a/src/appointed/routing/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -29,7 +29,7 @@
 function cost(candidate: ReadCandidate, context: ReadContext): number {
   const { load } = candidate;
   let result = load.latency * (load.outstanding + 1);
-  result *= 1 + FAILING_FACTOR * load.failingShare(context.now);
+  result *= 1 + FAILING_FACTOR * load.failingFraction(context.now);
   if (candidate.isPrimary) result *= PRIMARY_FACTOR;
   if (candidate.zone !== context.zone) result *= OTHER_ZONE_FACTOR;
   if (load.isEjected(context.now)) result *= UNAVAILABLE_FACTOR;
--- a/src/appointed/scheduling/service_order.ts
+++ b/src/appointed/scheduling/service_order.ts
@@ -1,10 +1,18 @@
 /**
- * Whose turn it is where requests wait for a full instance. Pure: it is told the time and what was started.
+ * Decision: the order in which requests that wait for a full instance are served, and which of them are refused since they
+ * would be served too late. Pure: each call is told the time, and what was started.
  *
- * The load that it answers: the replicas of a group can't be used, so its primary's few slots serve everything, while one
+ * Load that it answers: the replicas of a group can't be used, so its primary's few slots serve everything, while one
  * kind of request or one tenant sends several times its usual.
+ *
+ * Inputs: priority, tenant and times of each request (milliseconds); requests that were started, and how long the instance
+ * is busy with each (milliseconds); time between two starts (milliseconds).
+ *
+ * Rule: see {@link ServiceOrder.rank} and {@link ServiceOrder.displaced}.
+ *
+ * docs/design/scheduling.md compares it with other orders, by the replays in test/unit/scheduling.test.ts.
  */
-import { TenantShares } from './tenant_shares.js';
+import { TenantUse } from './tenant_use.js';
 
 /** A request that waits. Times are clock readings in milliseconds. */
 export interface QueuedRequest {
@@ -13,61 +21,64 @@
   /** Undefined for the system itself. */
   readonly tenant: string | undefined;
   readonly arrivedAt: number;
-  /** Started later, its answer certainly comes after its objective. */
+  /** If it is started later, its answer certainly misses its objective. */
   readonly startBy: number;
-  /** Nobody wants its answer if it is not started by then. */
+  /** Its caller gives it up if it is not started by then. */
   readonly giveUpAt: number;
 }
 
 /**
- * One start in so many goes to the request that has waited for the longest time and is still useful, whatever its priority
- * and tenant: so a burst of the urgent loses an eighth at most, and starves nobody.
+ * One start in so many (a count) goes to the request that has waited for the longest time and is still useful, whatever its
+ * priority and tenant: so a burst of the urgent loses an eighth at most, and starves no other request. That these starts
+ * go to the longest wait was compared (docs/design/scheduling.md: 0.938 of the least urgent are answered in time, 0.010 where
+ * they go to the one that must start soonest); eight itself is a guess, not measured.
  */
-const URGENT_STARTS = 8;
+const STARTS_PER_LONGEST_WAIT = 8;
 
 /** Order of one queue. */
 export class ServiceOrder {
-  private readonly shares: TenantShares;
+  private readonly use: TenantUse;
   private starts = 0;
 
-  /** @param weightOf - see {@link TenantShares} */
+  /** @param weightOf - see {@link TenantUse} */
   constructor(weightOf: (tenant: string) => number = () => 1) {
-    this.shares = new TenantShares(weightOf);
+    this.use = new TenantUse(weightOf);
   }
 
-  /** Notes that a request is started, and how long the instance will be busy with it, in milliseconds. */
+  /** Counts a request that is started; the instance is expected to be busy with it for `expectedMs`. */
   noteStart(request: Pick<QueuedRequest, 'tenant'>, expectedMs: number, now: number): void {
     this.starts++;
-    this.shares.note(request.tenant ?? '', expectedMs, now);
-    if (this.starts % URGENT_STARTS === 0) this.shares.forgetIdle(now);
+    this.use.add(request.tenant ?? '', expectedMs, now);
+    if (this.starts % STARTS_PER_LONGEST_WAIT === 0) this.use.forgetIdle(now);
   }
 
   /**
-   * Requests in the order of their turns. Those that can still be answered within their objective come first: by
-   * priority, then those of the tenant that had least of the instance, then the one that has to start soonest. All others
+   * Requests in the order in which they are served. Those that can still be answered within their objective come first: by
+   * priority, then those of the tenant that used the instance least, then the one that has to start soonest. All others
    * come after them, since a late answer is worth less to a caller than one in time to another.
    */
   rank<Request extends QueuedRequest>(requests: readonly Request[], now: number): Request[] {
-    const isTurnOfAll = this.starts % URGENT_STARTS === URGENT_STARTS - 1;
+    const isTurnOfLongestWait =
+      this.starts % STARTS_PER_LONGEST_WAIT === STARTS_PER_LONGEST_WAIT - 1;
     const used = new Map<string, number>();
     for (const { tenant = '' } of requests) {
-      if (!used.has(tenant)) used.set(tenant, this.shares.used(tenant, now));
+      if (!used.has(tenant)) used.set(tenant, this.use.of(tenant, now));
     }
     const usedBy = ({ tenant = '' }: QueuedRequest): number => used.get(tenant) ?? 0;
     return requests.toSorted((left, right) => {
       const isLate = Number(left.startBy < now) - Number(right.startBy < now);
       if (isLate !== 0) return isLate;
       const earlier = left.arrivedAt - right.arrivedAt;
-      if (isTurnOfAll) return earlier;
+      if (isTurnOfLongestWait) return earlier;
       const byClaim = left.priority - right.priority || usedBy(left) - usedBy(right);
       return byClaim || left.startBy - right.startBy || earlier;
     });
   }
 
   /**
-   * Requests that will not be started in time: who is more urgent has taken their place. Told at once, their callers can
-   * go elsewhere.
-   * @param ranked - in the order of their turns
+   * Requests that will not be started in time, since more urgent ones come first. Refused at once, their callers can go
+   * elsewhere.
+   * @param ranked - in the order in which they are served
    * @param spacingMs - time between two starts
    */
   displaced<Request extends QueuedRequest>(
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -269,7 +269,7 @@
    * so the caller may begin again at once.
    */
   private patienceOf({ pool }: Target): number {
-    return Math.max(pool.load.patience, this.route.targetLatencyMs * STATEMENT_SHARE);
+    return Math.max(pool.load.slowAnswerThreshold, this.route.targetLatencyMs * STATEMENT_SHARE);
   }
 
   private isTrusted(): boolean {
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -138,7 +138,7 @@
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
     const usual = Math.max(
-      target.pool.load.patience,
+      target.pool.load.slowAnswerThreshold,
       deadline.route.targetLatencyMs * ATTEMPT_SHARE,
     );
     // Where there is no other instance, its answer is waited for as long as the caller could still come again.
