--- a/src/appointed/connections/connection_source.ts
+++ b/src/appointed/connections/connection_source.ts
@@ -1,11 +1,12 @@
-/** Where statements get their connections to one instance. */
+/** Where statements get their connections to one instance: from a pool of this process, or from connection owners. */
 import type { InstanceLoad } from './instance_load.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
 /** Source of connections to one instance. */
 export interface ConnectionSource {
+  /** What the answers of the instance say of it. */
   readonly load: InstanceLoad;
-  /** Whether statements of all proxies queue at few homes, which know how long that takes. */
+  /** Whether requests queue at a connection owner, which knows how long that takes. */
   readonly queuesAtOwner: boolean;
   /** @throws AcquireError when none could be had within `timeoutMs` */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection>;
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -48,15 +48,15 @@
 
 /** Directory of one proxy. */
 export class InstanceDirectory {
-  /** Where the connections to instances are that have too few for all proxies. */
-  readonly homes: ConnectionOwners;
+  /** Proxies that hold the connections of instances that have too few for all proxies. */
+  readonly owners: ConnectionOwners;
   private readonly entries = new Map<string, InstanceEntry>();
   private readonly accesses = new Map<string, InstanceAccess>();
   private readonly relaying: RelaySurroundings;
 
   constructor(private readonly surroundings: InstanceSurroundings) {
     const { runtime, ownAddress } = surroundings;
-    this.homes = new ConnectionOwners(ownAddress);
+    this.owners = new ConnectionOwners(ownAddress);
     this.relaying = {
       messenger: runtime.messenger,
       health: new OwnerHealth(runtime.clock, runtime.messenger),
@@ -129,11 +129,11 @@
   private createAccess(instance: InstanceEntry): InstanceAccess {
     const pool = this.createPool(instance);
     return new InstanceAccess(pool, this.surroundings.ownAddress, this.relaying, (tenant) =>
-      this.homes.of(this.homed(instance), tenant),
+      this.owners.of(this.ownedInstance(instance), tenant),
     );
   }
 
-  private homed({ id, zone, group }: InstanceEntry): OwnedInstance {
+  private ownedInstance({ id, zone, group }: InstanceEntry): OwnedInstance {
     const connectionLimit = this.surroundings.connectionLimitOf(group ?? '');
     return { id: id ?? '', zone: zone ?? '', connectionLimit };
   }
@@ -143,7 +143,7 @@
     const { id, group, address } = instance;
     const target = { id: id ?? '', group: group ?? '', address: address ?? '' };
     const options: PoolOptions = {
-      share: () => this.homes.shareOf(this.homed(instance), liveProxies()),
+      share: () => this.owners.shareOf(this.ownedInstance(instance), liveProxies()),
       slots: () => this.entries.get(target.id)?.slots || UNKNOWN_SLOTS,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       proxies: liveProxies,
@@ -184,7 +184,7 @@
   /** Connections are opened ahead only where it is known for whom, and that they are wanted here. */
   private opensSpares(instance: InstanceEntry): boolean {
     if (this.surroundings.hasTenants()) return false;
-    return this.homes.of(this.homed(instance), NO_TENANT).length === 0;
+    return this.owners.of(this.ownedInstance(instance), NO_TENANT).length === 0;
   }
 
   private onConnectFailed(target: InstanceTarget, error: ConnectError): void {
--- a/src/appointed/proxy/appointed_proxy.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -353,7 +353,7 @@
     this.directoryVersion = directory.version ?? 0;
     this.relays = directory.relays ?? [];
     this.liveProxies = Math.max(1, directory.liveProxies ?? 1);
-    this.instances.homes.update(
+    this.instances.owners.update(
       (directory.zones ?? []).map(({ zone, addresses }) => ({
         zone: zone ?? '',
         addresses: addresses ?? [],
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -1,9 +1,19 @@
 /**
- * Which proxies hold the connections to an instance that has too few for each proxy to keep its own. Such an instance has
- * homes among the proxies of its zone, picked by rendezvous hashing; all others send their statements through them. All
- * statements of a tenant meet at one home, so that they share its connections.
+ * Decision: which proxies are the connection owners of an instance, and how many connections an owner may hold. No input or
+ * output but calls.
  *
- * See docs/design/connection-homes.md.
+ * Load that it answers: instances that take fewer than two connections for each proxy. Where each proxy opened one for a
+ * statement and gave it back, 14,484 openings served 15,663 requests (docs/design/connection-homes.md).
+ *
+ * Inputs: live proxies by zone (addresses), zone and connections of the instance (count), the tenant of a statement.
+ *
+ * Rule: such an instance has a few owners among the proxies of its zone, of all zones where that has none, by rendezvous
+ * hashing, so that all proxies agree without a message. They hold its connections; all other proxies relay their statements
+ * to them. A hash of the tenant picks the first of the owners: all statements of a tenant meet at one, and reuse its
+ * connections. Further proxies stand in while owners are gone.
+ *
+ * docs/design/connection-homes.md: quiet-1, trouble-1 and scale-1 of the shifted site 0.704, 0.549, 0.579 without owners,
+ * 0.858, 0.606, 0.652 with them. Its constants were not compared.
  */
 import { RendezvousTable } from '../../hashing/rendezvous.js';
 import {
@@ -19,7 +29,7 @@
   readonly addresses: readonly string[];
 }
 
-/** What the choice of homes needs to know of an instance. */
+/** What the choice of connection owners needs to know of an instance. */
 export interface OwnedInstance {
   readonly id: string;
   readonly zone: string;
@@ -27,38 +37,50 @@
   readonly connectionLimit: number;
 }
 
-/** Connections that one home should have: enough for the slots of an instance and for several tenants beside. */
-const CONNECTIONS_PER_HOME = 24;
-/** Further proxies that take over while homes are gone. */
+/**
+ * Connections (a count) that one owner should have: enough for the slots of an instance and for several tenants beside.
+ * Guess, not measured.
+ */
+const CONNECTIONS_PER_OWNER = 24;
+/** Further proxies (a count) that take over while owners are gone. Guess, not measured. */
 const STAND_INS = 3;
-/** Most homes of one instance. */
-const MOST_HOMES = 12;
-/** Part of the connections that homes leave to those that stand in, and to proxies that know other homes. */
-const RESERVED_PART = 0.12;
-/** How long a home keeps an idle connection, in milliseconds: nobody else wants its place. */
-const HOME_IDLE_MS = 20_000;
-/** After an instance refused one more, a home makes do with what it has for this time, in milliseconds. */
-const HOME_CLAMP_MS = 100;
+/** Most owners (a count) of one instance. Guess, not measured. */
+const MOST_OWNERS = 12;
+/**
+ * Fraction of the connections that owners leave to stand-ins, and to proxies that know other owners for a moment. Guess, not
+ * measured.
+ */
+const RESERVED_FRACTION = 0.12;
+/**
+ * How long an owner keeps an idle connection, in milliseconds: no other proxy needs its place. Guess, not measured. Closing
+ * idle ones sooner, where connections are lent, was tried and was worse (docs/design/connection-homes.md).
+ */
+const OWNER_IDLE_MS = 20_000;
+/**
+ * After an instance refused one more, an owner makes do with what it has for this time, in milliseconds. Guess, not
+ * measured.
+ */
+const OWNER_CLAMP_MS = 100;
 
-function homeCount(connectionLimit: number): number {
-  const count = Math.floor(connectionLimit / CONNECTIONS_PER_HOME);
-  return Math.min(MOST_HOMES, Math.max(1, count));
+function ownerCount(connectionLimit: number): number {
+  const count = Math.floor(connectionLimit / CONNECTIONS_PER_OWNER);
+  return Math.min(MOST_OWNERS, Math.max(1, count));
 }
 
-/** Proxies of one instance, the first choice first. */
-interface HomeOrder {
+/** Proxies through which one instance is reached, in the order of rendezvous hashing. */
+interface OwnerOrder {
   /** For which the order was made. */
   readonly instance: OwnedInstance;
-  readonly homes: readonly string[];
+  readonly owners: readonly string[];
   readonly standIns: readonly string[];
 }
 
-/** Homes as one proxy knows them. */
+/** Connection owners of all instances, as one proxy knows them. */
 export class ConnectionOwners {
   private readonly tables = new Map<string, RendezvousTable>();
-  /** Orders by instance, kept until the proxies change: each statement asks for one. */
-  private readonly orders = new Map<string, HomeOrder>();
-  private readonly everywhere = new RendezvousTable(MOST_HOMES + STAND_INS, stableHash);
+  /** Order of each instance, kept until the proxies change: each statement needs one. */
+  private readonly orders = new Map<string, OwnerOrder>();
+  private readonly everywhere = new RendezvousTable(MOST_OWNERS + STAND_INS, stableHash);
   private proxies = 0;
 
   constructor(private readonly ownAddress: string) {}
@@ -80,36 +102,36 @@
    */
   of(instance: OwnedInstance, tenant: string): readonly string[] {
     if (!isScarce(instance.connectionLimit, this.proxies)) return [];
-    const { homes, standIns } = this.orderOf(instance);
-    const first = homes.length < 2 ? 0 : Number(stableHash(tenant) % BigInt(homes.length));
-    return [...homes.slice(first), ...homes.slice(0, first), ...standIns];
+    const { owners, standIns } = this.orderOf(instance);
+    const first = owners.length < 2 ? 0 : Number(stableHash(tenant) % BigInt(owners.length));
+    return [...owners.slice(first), ...owners.slice(0, first), ...standIns];
   }
 
   /** Connections that this proxy may hold to an instance itself. */
   shareOf(instance: OwnedInstance, liveProxies: number): ConnectionShare {
     const { connectionLimit } = instance;
-    if (!this.isHomeOf(instance)) return connectionShare(connectionLimit, liveProxies);
-    const left = connectionLimit * (1 - RESERVED_PART);
-    const most = Math.max(1, Math.floor(left / homeCount(connectionLimit)));
-    const idleTimeoutMs = HOME_IDLE_MS;
-    return { most, minimumIdle: 0, idleTimeoutMs, clampMs: HOME_CLAMP_MS, isOwner: true };
+    if (!this.isOwnerOf(instance)) return connectionShare(connectionLimit, liveProxies);
+    const left = connectionLimit * (1 - RESERVED_FRACTION);
+    const most = Math.max(1, Math.floor(left / ownerCount(connectionLimit)));
+    const idleTimeoutMs = OWNER_IDLE_MS;
+    return { most, minimumIdle: 0, idleTimeoutMs, clampMs: OWNER_CLAMP_MS, isOwner: true };
   }
 
-  private isHomeOf(instance: OwnedInstance): boolean {
+  private isOwnerOf(instance: OwnedInstance): boolean {
     if (!isScarce(instance.connectionLimit, this.proxies)) return false;
-    return this.orderOf(instance).homes.includes(this.ownAddress);
+    return this.orderOf(instance).owners.includes(this.ownAddress);
   }
 
-  private orderOf(instance: OwnedInstance): HomeOrder {
+  private orderOf(instance: OwnedInstance): OwnerOrder {
     const { id, zone, connectionLimit } = instance;
     const known = this.orders.get(id);
     const isSame = known?.instance.zone === zone;
     if (isSame && known.instance.connectionLimit === connectionLimit) return known;
     const ofZone = this.tables.get(zone)?.top(id) ?? [];
     const all = ofZone.length > 0 ? ofZone : this.everywhere.top(id);
-    const count = homeCount(connectionLimit);
+    const count = ownerCount(connectionLimit);
     const standIns = all.slice(count, count + STAND_INS);
-    const order = { instance, homes: all.slice(0, count), standIns };
+    const order = { instance, owners: all.slice(0, count), standIns };
     this.orders.set(id, order);
     return order;
   }
@@ -117,7 +139,7 @@
   private tableOf(zone: string): RendezvousTable {
     let table = this.tables.get(zone);
     if (!table) {
-      table = new RendezvousTable(MOST_HOMES + STAND_INS, stableHash);
+      table = new RendezvousTable(MOST_OWNERS + STAND_INS, stableHash);
       this.tables.set(zone, table);
     }
     return table;
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -1,4 +1,9 @@
-/** How a proxy reaches one instance: by connections of its own, or through the instance's homes. */
+/**
+ * How a proxy reaches one instance: by connections of its own, or through the connection owners of the instance.
+ *
+ * Owns the list of relayed connections in use. Relies on the pool and on the health of owners; where no owner may be tried,
+ * the pool is.
+ */
 import type { ConnectionSource } from '../connections/connection_source.js';
 import type { InstanceLoad } from '../connections/instance_load.js';
 import type { InstancePool } from '../connections/instance_pool.js';
@@ -6,24 +11,25 @@
 import { NO_TENANT } from '../tenancy/tenant.js';
 import { RelayedConnection, type RelaySurroundings } from './relayed_connection.js';
 
-/** Most homes that one request tries. */
+/** Most owners (a count) that one request tries. Guess, not measured. */
 const MOST_TRIED = 3;
 
 /** Access to one instance. */
 export class InstanceAccess implements ConnectionSource {
-  /** Connections of other proxies that are in use here. */
+  /** Connections of owners that are in use here. */
   private readonly relayed = new Set<PooledConnection>();
 
   constructor(
+    /** Connections of this process. */
     readonly local: InstancePool,
     private readonly ownAddress: string,
     private readonly surroundings: RelaySurroundings,
-    /** Homes for a tenant, in order; empty where this proxy has connections of its own. */
-    private readonly homesFor: (tenant: string) => readonly string[],
+    /** Connection owners for a tenant, in order; empty where this proxy has connections of its own. */
+    private readonly ownersFor: (tenant: string) => readonly string[],
   ) {}
 
   get queuesAtOwner(): boolean {
-    return this.homesFor(NO_TENANT).length > 0;
+    return this.ownersFor(NO_TENANT).length > 0;
   }
 
   get load(): InstanceLoad {
@@ -31,21 +37,21 @@
   }
 
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
-    const homes = this.homesFor(request.tenant ?? NO_TENANT).filter((address) =>
+    const owners = this.ownersFor(request.tenant ?? NO_TENANT).filter((address) =>
       this.surroundings.health.mayTry(address),
     );
-    const [first] = homes;
+    const [first] = owners;
     if (first === undefined || first === this.ownAddress) {
       return this.local.acquire(request, timeoutMs);
     }
-    const others = homes.filter((address) => address !== this.ownAddress);
+    const others = owners.filter((address) => address !== this.ownAddress);
     const route = {
       instance: this.local.target.id,
       tenant: request.tenant,
       priority: request.priority,
       usefulMs: request.usefulMs,
       waitMs: timeoutMs,
-      homes: others.slice(0, MOST_TRIED),
+      owners: others.slice(0, MOST_TRIED),
     };
     const connection = new RelayedConnection(route, this.surroundings);
     const pooled = new PooledConnection(connection, request.tenant ?? NO_TENANT, true);
--- a/src/appointed/relay/relay_codec.ts
+++ b/src/appointed/relay/relay_codec.ts
@@ -1,4 +1,7 @@
-/** Commands and answers of relayed statements as messages. */
+/**
+ * Commands and answers of relayed statements as messages of the internal protocol. Pure. A message of an unknown kind decodes
+ * to undefined; a part that is missing, to its default.
+ */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type {
   InstanceAnswer,
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -1,4 +1,10 @@
-/** Runs statements of other proxies on the connections of this one. */
+/**
+ * Runs statements of other proxies on the connections of this one, a connection owner.
+ *
+ * Owns the connections that transactions of other proxies keep. Relies on the pools of its process and on the instances,
+ * which may fail: the reply then says whether the statement ran, did not run or may have run. Proxies that asked may be gone:
+ * what they kept is ended after a while.
+ */
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -23,12 +29,12 @@
 }
 
 /**
- * A kept connection that nobody used for this long is ended, in milliseconds: its transaction's proxy ends transactions that
- * rest sooner, so it is gone.
+ * A kept connection without a request for this long, in milliseconds, is ended: the proxy of its transaction ends sooner a
+ * transaction that rests, so it is gone. Guess, not measured.
  */
 const ABANDONED_MS = 8000;
 
-/** Server of one proxy. */
+/** Relay server of one proxy. */
 export class RelayServer {
   private readonly runner: StatementRunner;
   private readonly kept = new Map<string, KeptConnection>();
@@ -73,7 +79,7 @@
     return reply;
   }
 
-  /** Ends connections that were kept for nobody; called now and then. */
+  /** Ends kept connections whose proxy is gone; called now and then. */
   maintain(): void {
     const oldest = this.context.clock.now() - ABANDONED_MS;
     for (const [connection, { held, usedAt }] of this.kept) {
@@ -184,7 +190,7 @@
   }
 }
 
-/** Nothing ran, here or elsewhere. */
+/** Reply that nothing ran, here or elsewhere. */
 function notRun(cause: string): whinyoke.IRelayReply {
   return { outcome: RelayOutcome.NOT_RUN_HERE, cause };
 }
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -1,6 +1,11 @@
 /**
- * A connection to an instance at another proxy. It holds nothing until its first command; a transaction then keeps one
- * connection of that proxy until its end.
+ * A connection to an instance at another proxy, a connection owner of the instance, which runs the commands. It holds nothing
+ * until its first command; a transaction then keeps one connection of that owner until its end.
+ *
+ * Owns the values of its session, which travel with each command, and the name of the connection that the owner keeps.
+ *
+ * Relies on the messenger and on owners, both of which may fail: the next owner is tried only where nothing was sent;
+ * otherwise the error says that the command may have run.
  */
 import {
   BackendConnectionLostError,
@@ -25,25 +30,25 @@
   readonly priority: number;
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
   readonly usefulMs: number | undefined;
-  /** Longest wait for a connection at a home, in milliseconds. */
+  /** Longest wait for a connection at an owner, in milliseconds. */
   readonly waitMs: number;
-  /** Homes in the order in which they are tried. */
-  readonly homes: readonly string[];
+  /** Connection owners in the order in which they are tried. */
+  readonly owners: readonly string[];
 }
 
-/** What the connections of a process share. */
+/** What all relayed connections of a process use. */
 export interface RelaySurroundings {
   readonly messenger: Messenger;
   readonly health: OwnerHealth;
 }
 
-/** What one home said, or why it said nothing. */
-type HomeReply =
+/** Reply of one owner, or why there is none. */
+type OwnerReply =
   { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: OwnerUnreachableError };
 
-/** Time for a request and its reply on the way, in milliseconds. */
+/** Time for a request and its reply on the way, in milliseconds: a trip within a region, and a busy process. Guess, not measured. */
 const TRAVEL_MS = 40;
-/** Told where a statement has no objective, in milliseconds. */
+/** Sent where a statement has no objective, in milliseconds: longer than any statement waits. */
 const LONGEST_USEFUL_MS = 600_000;
 const ACKNOWLEDGED: InstanceAnswer = { rows: [], signature: '-', state: 'idle' };
 
@@ -52,12 +57,12 @@
   onClosed: (() => void) | undefined;
   private readonly values = new Map<string, string>();
   private state: InstanceAnswer['state'] = 'idle';
-  /** Home that keeps a connection, and the name of that. */
-  private kept: { readonly home: string; readonly connection: string } | undefined;
+  /** Owner that keeps a connection for this one, and the name of that connection. */
+  private kept: { readonly owner: string; readonly connection: string } | undefined;
   private isClosed = false;
   private noteClosed: () => void = () => undefined;
-  /** Resolves when the connection is closed here: whoever waits for an answer on it is told at once. */
-  private readonly closing = new Promise<HomeReply>((resolve) => {
+  /** Resolves when the connection is closed here, so that a command that waits for its answer ends at once. */
+  private readonly closing = new Promise<OwnerReply>((resolve) => {
     const cause = 'the connection was closed meanwhile';
     this.noteClosed = () => resolve({ reply: { outcome: RelayOutcome.LOST, cause } });
   });
@@ -101,20 +106,21 @@
     if (this.isClosed) return;
     const { kept } = this;
     this.end();
-    if (kept) this.giveUp(kept.home, kept.connection);
+    if (kept) this.giveUp(kept.owner, kept.connection);
   }
 
-  /** Tells a home that a connection is not needed; one that doesn't hear of it ends the connection after a while. */
-  private giveUp(home: string, connection: string): void {
+  /** Asks an owner to end a connection that it keeps for this one. */
+  private giveUp(owner: string, connection: string): void {
     const relayRequest = { connection, closes: true };
-    this.surroundings.messenger.request(home, { relayRequest }, TRAVEL_MS).catch(() => undefined);
+    // Nothing is lost where that fails: the owner ends a connection by itself that is not used for a while (RelayServer).
+    this.surroundings.messenger.request(owner, { relayRequest }, TRAVEL_MS).catch(() => undefined);
   }
 
   private hasTime(timeoutMs: number): boolean {
     return timeoutMs > 0 && this.route.waitMs >= 0;
   }
 
-  /** A command without time left is not sent: whoever asked has given it up when a home would answer. */
+  /** A command without time left is not sent: its caller would have given it up before an owner answered. */
   private refuseLate(): Promise<never> {
     return this.fail(new BackendConnectionLostError('no time is left', { sent: false }));
   }
@@ -130,41 +136,40 @@
     this.onClosed?.();
   }
 
-  /** Tries one home after the other until one has sent the command, or refuses it for want of a connection. */
+  /** Tries one owner after the other until one has sent the command, or refuses it for want of a connection. */
   private async send(command: RelayedCommand, timeoutMs: number): Promise<InstanceAnswer> {
-    const homes = this.kept ? [this.kept.home] : this.route.homes;
+    const owners = this.kept ? [this.kept.owner] : this.route.owners;
     let unreachable = new OwnerUnreachableError('no home can be reached', { sent: false });
-    for (const home of homes) {
-      const reply = await Promise.race([this.exchange(home, command, timeoutMs), this.closing]);
-      if ('reply' in reply) return this.judge(home, reply.reply);
+    for (const owner of owners) {
+      const reply = await Promise.race([this.exchange(owner, command, timeoutMs), this.closing]);
+      if ('reply' in reply) return this.judge(owner, reply.reply);
       ({ unreachable } = reply);
       if (unreachable.sent) break;
     }
     return this.fail(unreachable);
   }
 
-  /** Reply of one home, or why there is none. */
   private async exchange(
-    home: string,
+    owner: string,
     command: RelayedCommand,
     timeoutMs: number,
-  ): Promise<HomeReply> {
+  ): Promise<OwnerReply> {
     const { messenger, health } = this.surroundings;
     const relayRequest = this.requestFor(command, timeoutMs);
     const longestMs = this.route.waitMs + timeoutMs + TRAVEL_MS;
     try {
-      const { relayReply } = await messenger.request(home, { relayRequest }, longestMs);
+      const { relayReply } = await messenger.request(owner, { relayRequest }, longestMs);
       const isServed = relayReply && relayReply.outcome !== RelayOutcome.NOT_HOME;
       if (isServed) {
-        health.noteAnswer(home);
-        if (this.isClosed && relayReply.connection) this.giveUp(home, relayReply.connection);
+        health.noteAnswer(owner);
+        if (this.isClosed && relayReply.connection) this.giveUp(owner, relayReply.connection);
         return { reply: relayReply };
       }
-      health.noteFailure(home);
+      health.noteFailure(owner);
       const cause = relayReply?.cause ?? 'it relays nothing';
-      return { unreachable: new OwnerUnreachableError(`${home}: ${cause}`, { sent: false }) };
+      return { unreachable: new OwnerUnreachableError(`${owner}: ${cause}`, { sent: false }) };
     } catch (error) {
-      health.noteFailure(home);
+      health.noteFailure(owner);
       const sent = !(error instanceof PeerUnreachableError) || error.sent;
       return { unreachable: new OwnerUnreachableError(messageOf(error), { sent }) };
     }
@@ -186,7 +191,7 @@
     };
   }
 
-  private judge(home: string, reply: whinyoke.IRelayReply): Promise<InstanceAnswer> {
+  private judge(owner: string, reply: whinyoke.IRelayReply): Promise<InstanceAnswer> {
     const cause = reply.cause ?? '';
     if (reply.outcome !== RelayOutcome.ANSWERED) {
       const sent = reply.outcome === RelayOutcome.LOST;
@@ -195,7 +200,7 @@
     const answer = decodeRelayAnswer(reply.answer ?? {});
     this.state = answer.state;
     const connection = reply.connection ?? '';
-    this.kept = connection === '' ? undefined : { home, connection };
+    this.kept = connection === '' ? undefined : { owner, connection };
     return Promise.resolve(answer);
   }
 
--- a/src/hashing/stable_hash.ts
+++ b/src/hashing/stable_hash.ts
@@ -1,4 +1,4 @@
-/** Hash of texts that costs nothing at the start of a process: the homes of tens of instances are hashed now and then. */
+/** A hash that costs nothing at the start of a process, for tens of keys now and then; {@link fastHash} serves where there are many. */
 import { createHash } from 'node:crypto';
 import type { TextHash } from './rendezvous.js';
 
--- a/test/unit/connection_homes.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -1,4 +1,4 @@
-/** Homes of connections: who has them, what they may hold, and what a statement at another proxy tells of its outcome. */
+/** Connection owners: which proxies they are, what they may hold, and what a relayed statement says of its outcome. */
 import t from 'tap';
 import { BackendConnectionLostError, PeerUnreachableError } from '../../src/errors/errors.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -20,73 +20,76 @@
   }));
 }
 
-void t.test('all proxies agree on few homes in the zone of an instance', (t) => {
+void t.test('all proxies agree on few connection owners in the zone of an instance', (t) => {
   const zones = zonesOf({ a: 27, b: 30, c: 25 });
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
   const addresses = zones.flatMap((zone) => zone.addresses);
   const views = addresses.map((address) => {
-    const homes = new ConnectionOwners(address);
-    homes.update(zones);
-    return homes;
+    const owners = new ConnectionOwners(address);
+    owners.update(zones);
+    return owners;
   });
   const tenants = Array.from({ length: 84 }, (_, index) => `tenant-${index}`);
   const used = new Set<string>();
   for (const tenant of tenants) {
-    const orders = new Set(views.map((homes) => homes.of(instance, tenant).join()));
+    const orders = new Set(views.map((owners) => owners.of(instance, tenant).join()));
     t.equal(orders.size, 1, `one order for ${tenant}`);
     const [first] = views[0]!.of(instance, tenant);
     used.add(first!);
   }
-  t.equal(used.size, 2, 'both homes get tenants');
+  t.equal(used.size, 2, 'both owners get tenants');
   t.ok([...used].every((address) => address.startsWith('b:')));
-  const shares = views.map((homes) => homes.shareOf(instance, addresses.length));
-  const ofHomes = shares.filter((share) => share.isOwner);
-  t.equal(ofHomes.length, 2);
-  t.ok(ofHomes.reduce((sum, { most }) => sum + most, 0) <= 53 * 0.9, 'a rest is left to stand-ins');
+  const shares = views.map((owners) => owners.shareOf(instance, addresses.length));
+  const ofOwners = shares.filter((share) => share.isOwner);
+  t.equal(ofOwners.length, 2);
+  t.ok(
+    ofOwners.reduce((sum, { most }) => sum + most, 0) <= 53 * 0.9,
+    'a rest is left to stand-ins',
+  );
   t.end();
 });
 
-void t.test('where each proxy can have its own, none has a home', (t) => {
-  const homes = new ConnectionOwners('a:0');
-  homes.update(zonesOf({ a: 6 }));
+void t.test('where each proxy can have its own connections, an instance has no owners', (t) => {
+  const owners = new ConnectionOwners('a:0');
+  owners.update(zonesOf({ a: 6 }));
   const instance = { id: 'i', zone: 'a', connectionLimit: 34 };
-  t.same(homes.of(instance, ''), []);
-  t.same(homes.shareOf(instance, 6), connectionShare(34, 6));
+  t.same(owners.of(instance, ''), []);
+  t.same(owners.shareOf(instance, 6), connectionShare(34, 6));
   t.end();
 });
 
 void t.test(
-  'more proxies than connections allow for go through homes, not without connections',
+  'more proxies than connections allow for go through owners, not without connections',
   (t) => {
     // 193 proxies on 400 connections keep two each; with 36 more each had fewer than two, and kept none.
     const zones = zonesOf({ a: 80, b: 80, c: 69 });
     const instance = { id: 'i', zone: 'a', connectionLimit: 400 };
-    const homes = new ConnectionOwners('a:0');
-    homes.update(zones);
-    const [first] = homes.of(instance, '');
-    t.ok(first, 'statements go through a home');
-    const home = new ConnectionOwners(first!);
-    home.update(zones);
-    const { most, idleTimeoutMs } = home.shareOf(instance, 229);
+    const owners = new ConnectionOwners('a:0');
+    owners.update(zones);
+    const [first] = owners.of(instance, '');
+    t.ok(first, 'statements go through an owner');
+    const owner = new ConnectionOwners(first!);
+    owner.update(zones);
+    const { most, idleTimeoutMs } = owner.shareOf(instance, 229);
     t.ok(most >= 24, 'which has connections for all');
     t.ok(idleTimeoutMs > 5000, 'and keeps them');
     t.end();
   },
 );
 
-void t.test('an instance in a zone without proxies has homes elsewhere', (t) => {
-  const homes = new ConnectionOwners('a:0');
-  homes.update(zonesOf({ a: 40 }));
-  t.ok(homes.of({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
+void t.test('an instance in a zone without proxies has owners elsewhere', (t) => {
+  const owners = new ConnectionOwners('a:0');
+  owners.update(zonesOf({ a: 40 }));
+  t.ok(owners.of({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
   t.end();
 });
 
 const STILL_CLOCK: Clock = { now: () => 0, setTimer: () => ({ cancel: () => undefined }) };
 
-/** What a home says: a reply, or why there is none. */
-type Said = whinyoke.IRelayReply | { readonly unreachable: Error };
+/** Reply of an owner, or why there is none. */
+type OwnerAnswer = whinyoke.IRelayReply | { readonly unreachable: Error };
 
-function connectionVia(said: Readonly<Record<string, Said>>): {
+function connectionVia(said: Readonly<Record<string, OwnerAnswer>>): {
   readonly connection: RelayedConnection;
   readonly asked: whinyoke.IRelayRequest[];
   readonly health: OwnerHealth;
@@ -102,14 +105,14 @@
     serve: () => undefined,
   };
   const health = new OwnerHealth(STILL_CLOCK, messenger);
-  const homes = Object.keys(said);
+  const owners = Object.keys(said);
   const route = {
     instance: 'i',
     tenant: 'ana',
     priority: 1,
     usefulMs: undefined,
     waitMs: 50,
-    homes,
+    owners,
   };
   return { connection: new RelayedConnection(route, { messenger, health }), asked, health };
 }
@@ -117,7 +120,7 @@
 const WRITE = { kind: 'data', id: 'q1', statement: { kind: 'write', argument: 'x' } } as const;
 const SERVED = { outcome: RelayOutcome.ANSWERED, answer: { signature: 's', state: 'idle' } };
 
-async function sentOf(said: Readonly<Record<string, Said>>): Promise<boolean | undefined> {
+async function sentOf(said: Readonly<Record<string, OwnerAnswer>>): Promise<boolean | undefined> {
   const { connection } = connectionVia(said);
   try {
     await connection.run(WRITE, 100);
@@ -141,19 +144,19 @@
   t.end();
 });
 
-void t.test('a write may have run only where a home may have sent it', async (t) => {
+void t.test('a write may have run only where an owner may have sent it', async (t) => {
   const unsent = { unreachable: new PeerUnreachableError('refused', { sent: false }) };
   const silent = { unreachable: new PeerUnreachableError('no answer') };
   t.equal(await sentOf({ h1: SERVED }), undefined);
-  t.equal(await sentOf({ h1: unsent, h2: SERVED }), undefined, 'the next home serves');
+  t.equal(await sentOf({ h1: unsent, h2: SERVED }), undefined, 'the next owner serves');
   t.equal(await sentOf({ h1: { outcome: RelayOutcome.NOT_HOME }, h2: SERVED }), undefined);
   t.equal(await sentOf({ h1: unsent, h2: unsent }), false, 'nothing was sent');
-  t.equal(await sentOf({ h1: silent, h2: SERVED }), true, 'a second home must not run it again');
+  t.equal(await sentOf({ h1: silent, h2: SERVED }), true, 'a second owner must not run it again');
   t.equal(await sentOf({ h1: { outcome: RelayOutcome.LOST, cause: 'x' }, h2: SERVED }), true);
   t.equal(await sentOf({ h1: { outcome: RelayOutcome.NOT_RUN_HERE, cause: 'full' } }), false);
 });
 
-void t.test('a transaction stays at its home, with the values of its session', async (t) => {
+void t.test('a transaction stays at its owner, with the values of its session', async (t) => {
   const open = { signature: '-', state: 'open' };
   const { connection, asked, health } = connectionVia({
     h1: { outcome: RelayOutcome.ANSWERED, connection: 'k.1', answer: open },
@@ -173,30 +176,33 @@
   await t.rejects(connection.run(WRITE, 100), /closed/);
 });
 
-void t.test('who waits for an answer on a connection that is closed is told at once', async (t) => {
-  const messenger: Messenger = {
-    request: () => new Promise(() => undefined),
-    serve: () => undefined,
-  };
-  const health = new OwnerHealth(STILL_CLOCK, messenger);
-  const route = {
-    instance: 'i',
-    tenant: 'ana',
-    priority: 1,
-    usefulMs: undefined,
-    waitMs: 50,
-    homes: ['h1', 'h2'],
-  };
-  const connection = new RelayedConnection(route, { messenger, health });
-  let closings = 0;
-  connection.onClosed = () => closings++;
-  const answer = connection.run(WRITE, 100);
-  connection.close();
-  await t.rejects(answer, /closed meanwhile/);
-  t.equal(closings, 1);
-});
+void t.test(
+  'a command that waits for its answer ends at once when its connection is closed',
+  async (t) => {
+    const messenger: Messenger = {
+      request: () => new Promise(() => undefined),
+      serve: () => undefined,
+    };
+    const health = new OwnerHealth(STILL_CLOCK, messenger);
+    const route = {
+      instance: 'i',
+      tenant: 'ana',
+      priority: 1,
+      usefulMs: undefined,
+      waitMs: 50,
+      owners: ['h1', 'h2'],
+    };
+    const connection = new RelayedConnection(route, { messenger, health });
+    let closings = 0;
+    connection.onClosed = () => closings++;
+    const answer = connection.run(WRITE, 100);
+    connection.close();
+    await t.rejects(answer, /closed meanwhile/);
+    t.equal(closings, 1);
+  },
+);
 
-void t.test('a home that is away is asked in the background until it answers', async (t) => {
+void t.test('an owner that is away is probed in the background until it answers', async (t) => {
   const timers: (() => void)[] = [];
   let now = 0;
   let isAway = true;
@@ -223,7 +229,7 @@
   };
   health.noteFailure('h');
   for (let round = 0; round < 5; round++) {
-    t.notOk(health.mayTry('h'), 'no statement finds out');
+    t.notOk(health.mayTry('h'), 'no statement tries it');
     await tick();
   }
   t.equal(asked, 5);
@@ -234,6 +240,6 @@
   health.noteFailure('h');
   now += 10_000;
   await tick();
-  t.ok(health.mayTry('h'), 'nobody wanted it for long: the next statement tries it');
+  t.ok(health.mayTry('h'), 'no statement wanted it for long: the next one tries it');
   t.equal(timers.length, 0);
 });
