--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -13,14 +13,13 @@
 import { IdleTimeout } from '../../src/appointed/connections/idle_timeout.js';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
-import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
-import type { PoolListener } from '../../src/appointed/connections/pool_options.js';
 import { PositionFloor } from '../../src/appointed/routing/position_floor.js';
 import { PrimaryObserver } from '../../src/appointed/trust/primary_observer.js';
 import { orderCandidates } from '../../src/appointed/routing/replica_selector.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
 import { FakeConnection } from '../tools/fake_connection.js';
+import { CountingConnector, poolOf } from '../tools/instance_pool.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 
 const { PrimaryHealth } = whinyoke;
@@ -116,61 +115,22 @@
   t.end();
 });
 
-const MANY_SLOTS = 100;
-
-function poolOf(
-  connector: InstanceConnector,
-  share: number,
-  slots = MANY_SLOTS,
-  onOpened: PoolListener['onOpened'] = () => undefined,
-): InstancePool {
-  const options = {
-    share: () => ({ most: share, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50 }),
-    slots: () => slots,
-    connectTimeoutMs: 100,
-    proxies: () => 1,
-    opensSpares: () => true,
-    random: new SeededRandom(1),
-  };
-  const observer = {
-    onConnectFailed: () => undefined,
-    onOpened,
-    onBusy: () => undefined,
-    onDisplaced: () => undefined,
-  };
-  const target = { id: 'i', group: 'g', address: '127.0.0.1:1' };
-  return new InstancePool(
-    target,
-    connector,
-    new RealClock(),
-    new InstanceLoad(),
-    options,
-    observer,
-  );
-}
-
 void t.test('a pool keeps to its share, serves by priority, prefers matching values', async (t) => {
-  let opened = 0;
-  const connector: InstanceConnector = {
-    connect: () => {
-      opened++;
-      return Promise.resolve({ connection: new FakeConnection() });
-    },
-  };
-  const pool = poolOf(connector, 2);
+  const connector = new CountingConnector();
+  const pool = poolOf(connector);
   const first = await pool.acquire(request(1), 100);
   const second = await pool.acquire(request(1), 100);
   const order: string[] = [];
   const low = pool.acquire(request(2), 1000).then(() => order.push('low'));
   const high = pool.acquire(request(0), 1000).then(() => order.push('high'));
   await t.rejects(pool.acquire(request(3), 5), new AcquireError('timeout'));
-  t.equal(opened, 2, 'no connection beyond the share');
+  t.equal(connector.opened, 2, 'no connection beyond the share');
   pool.release(first);
   pool.release(second);
   await Promise.all([low, high]);
   t.same(order, ['high', 'low']);
   t.equal(pool.size, 2);
-  const third = poolOf(connector, 2);
+  const third = poolOf(connector);
   const [left, right] = [await third.acquire(request(1), 50), await third.acquire(request(1), 50)];
   left.values.set('v', '1');
   third.release(left);
@@ -186,22 +146,16 @@
 void t.test(
   'no connection is opened for statements that would only wait in the instance',
   async (t) => {
-    let opened = 0;
-    const connector: InstanceConnector = {
-      connect: () => {
-        opened++;
-        return Promise.resolve({ connection: new FakeConnection() });
-      },
-    };
+    const connector = new CountingConnector();
     const slots = 2;
-    const pool = poolOf(connector, 10, slots);
+    const pool = poolOf(connector, { share: { most: 10 }, slots: () => slots });
     const waiting = Array.from({ length: 10 }, () => pool.acquire(request(1), 1000));
     await new Promise((resolve) => setTimeout(resolve, 60));
-    t.equal(opened, slots + 1, 'one more than the slots, for what is on its way');
+    t.equal(connector.opened, slots + 1, 'one more than the slots, for what is on its way');
     const resting = await waiting[0]!;
     pool.rest(resting);
     await new Promise((resolve) => setTimeout(resolve, 60));
-    t.equal(opened, slots + 2, 'a transaction that rests takes no slot');
+    t.equal(connector.opened, slots + 2, 'a transaction that rests takes no slot');
     pool.close();
     await Promise.allSettled(waiting);
   },
@@ -214,12 +168,12 @@
   };
   const told: { position: unknown; startedAt: number }[] = [];
   const before = new RealClock().now();
-  const pool = poolOf(connector, 2, MANY_SLOTS, (opened, startedAt) =>
-    told.push({ position: opened, startedAt }),
-  );
+  const pool = poolOf(connector, {
+    onOpened: (opened, startedAt) => told.push({ position: opened, startedAt }),
+  });
   pool.release(await pool.acquire(request(1), 100));
   t.match(told, [{ position }]);
-  t.ok(told[0]!.startedAt >= before, 'with the moment before it was asked for');
+  t.ok(told[0]!.startedAt >= before, 'with a time before the connection was asked for');
   pool.close();
 });
 
@@ -227,7 +181,7 @@
   const connector: InstanceConnector = {
     connect: () => Promise.reject(new ConnectError('refused', 'down')),
   };
-  const pool = poolOf(connector, 2);
+  const pool = poolOf(connector);
   await t.rejects(pool.acquire(request(1), 5000), new AcquireError('unreachable'));
   await t.rejects(
     pool.acquire(request(1), 5000),
@@ -237,7 +191,7 @@
   t.equal(pool.size, 0);
 });
 
-void t.test('who finds no connection left at an instance tries again soon', async (t) => {
+void t.test('a pool that finds no connection left at an instance tries again soon', async (t) => {
   let attempts = 0;
   const connector: InstanceConnector = {
     connect: () => {
@@ -246,7 +200,7 @@
       return Promise.resolve({ connection: new FakeConnection() });
     },
   };
-  const pool = poolOf(connector, 2);
+  const pool = poolOf(connector);
   const first = pool.acquire(request(1), 1000);
   await new Promise((resolve) => setImmediate(resolve));
   t.ok(await pool.acquire(request(0), 1000), 'a second one is not turned away meanwhile');
@@ -255,7 +209,7 @@
   const full: InstanceConnector = {
     connect: () => Promise.reject(new ConnectError('connectionLimit', 'full')),
   };
-  await t.rejects(poolOf(full, 2).acquire(request(1), 80), new AcquireError('timeout'));
+  await t.rejects(poolOf(full).acquire(request(1), 80), new AcquireError('timeout'));
 });
 
 void t.test(
@@ -276,34 +230,12 @@
 void t.test('spare connections of many proxies leave slots for statements', async (t) => {
   const proxies = 200;
   let now = 0;
-  let opened = 0;
   const clock = { now: () => now, setTimer: () => ({ cancel: () => undefined }) };
-  const connector: InstanceConnector = {
-    connect: () => {
-      opened++;
-      return Promise.resolve({ connection: new FakeConnection() });
-    },
-  };
+  const connector = new CountingConnector();
   const random = new SeededRandom(1);
-  const options = {
-    share: () => ({ most: 2, minimumIdle: 1, idleTimeoutMs: 400, clampMs: 50 }),
-    slots: () => 2,
-    connectTimeoutMs: 100,
-    proxies: () => proxies,
-    opensSpares: () => true,
-    random,
-  };
-  const observer = {
-    onConnectFailed: () => undefined,
-    onOpened: () => undefined,
-    onBusy: () => undefined,
-    onDisplaced: () => undefined,
-  };
-  const target = { id: 'i', group: 'g', address: '127.0.0.1:1' };
-  const pools = Array.from(
-    { length: proxies },
-    () => new InstancePool(target, connector, clock, new InstanceLoad(), options, observer),
-  );
+  const share = { minimumIdle: 1, idleTimeoutMs: 400 };
+  const options = { share, slots: () => 2, proxies: () => proxies, random, clock };
+  const pools = Array.from({ length: proxies }, () => poolOf(connector, options));
   const runUntil = async (time: number): Promise<void> => {
     for (; now < time; now += 100) {
       for (const pool of pools) pool.maintain();
@@ -312,25 +244,28 @@
   };
   // 200 openings of 15 ms fill two slots for 1.5 s.
   await runUntil(1500);
-  t.ok(opened <= proxies / 4, `${opened} openings in the time that all of them take`);
+  t.ok(
+    connector.opened <= proxies / 4,
+    `${connector.opened} openings in the time that all of them take`,
+  );
   await runUntil(10_000);
-  t.equal(opened, proxies, 'each proxy has its spare connection');
+  t.equal(connector.opened, proxies, 'each proxy has its spare connection');
 });
 
 void t.test('idle connections are kept for longer while the instance has some left', (t) => {
-  const patience = new IdleTimeout();
+  const idleTimeout = new IdleTimeout();
   const longestMs = 600;
-  t.equal(patience.current(longestMs), longestMs);
-  for (let count = 0; count < 100; count++) patience.noteOpened();
-  patience.noteLimit(longestMs);
-  t.equal(patience.current(longestMs), longestMs / 2, 'at once, whatever was gathered before');
-  for (let count = 0; count < 10; count++) patience.noteLimit(longestMs);
-  const shortest = patience.current(longestMs);
+  t.equal(idleTimeout.current(longestMs), longestMs);
+  for (let count = 0; count < 100; count++) idleTimeout.noteOpened();
+  idleTimeout.noteLimit(longestMs);
+  t.equal(idleTimeout.current(longestMs), longestMs / 2, 'at once, whatever was gathered before');
+  for (let count = 0; count < 10; count++) idleTimeout.noteLimit(longestMs);
+  const shortest = idleTimeout.current(longestMs);
   t.ok(shortest > 0);
   t.ok(shortest <= 50);
-  for (let count = 0; count < 5; count++) patience.noteOpened();
-  t.ok(patience.current(longestMs) > shortest, 'and grows again step by step');
-  t.ok(patience.current(longestMs) < longestMs);
+  for (let count = 0; count < 5; count++) idleTimeout.noteOpened();
+  t.ok(idleTimeout.current(longestMs) > shortest, 'and grows again step by step');
+  t.ok(idleTimeout.current(longestMs) < longestMs);
   t.end();
 });
 
@@ -368,12 +303,12 @@
 });
 
 void t.test(
-  'a pool sends a busy instance less, by priority, and turns away whom it would serve too late',
+  'a pool sends a busy instance less, by priority, and refuses requests that it would serve too late',
   async (t) => {
     const connector: InstanceConnector = {
       connect: () => Promise.resolve({ connection: new FakeConnection() }),
     };
-    const pool = poolOf(connector, 4);
+    const pool = poolOf(connector, { share: { most: 4 } });
     const held = await Promise.all(Array.from({ length: 4 }, () => pool.acquire(request(1), 100)));
     pool.noteBusy();
     pool.release(held[0]!);
@@ -401,33 +336,33 @@
 );
 
 void t.test(
-  'the window of an instance halves when it is busy, pauses at one, and grows again',
+  'the concurrency limit of an instance halves when it is busy, pauses at one, and grows again',
   (t) => {
-    const window = new ConcurrencyLimit(new SeededRandom(1));
-    t.ok(window.allows(1000, 0), 'no limit at first');
-    window.noteBusy(8, 0);
-    t.ok(window.allows(3, 0));
-    t.notOk(window.allows(4, 0));
-    window.noteBusy(8, 5);
-    t.equal(window.size, 4, 'refusals that come together count once');
-    window.noteBusy(4, 100);
-    window.noteBusy(2, 200);
-    t.equal(window.size, 1);
-    t.ok(window.remainingPause(200) > 0);
-    t.notOk(window.allows(0, 200), 'not even one');
-    const first = window.remainingPause(200);
+    const limit = new ConcurrencyLimit(new SeededRandom(1));
+    t.ok(limit.allows(1000, 0), 'no limit at first');
+    limit.noteBusy(8, 0);
+    t.ok(limit.allows(3, 0));
+    t.notOk(limit.allows(4, 0));
+    limit.noteBusy(8, 5);
+    t.equal(limit.size, 4, 'refusals that come together count once');
+    limit.noteBusy(4, 100);
+    limit.noteBusy(2, 200);
+    t.equal(limit.size, 1);
+    t.ok(limit.remainingPause(200) > 0);
+    t.notOk(limit.allows(0, 200), 'not even one');
+    const first = limit.remainingPause(200);
     let longest = 0;
     for (let time = 300; time < 5000; time += 100) {
-      window.noteBusy(1, time);
-      longest = Math.max(longest, window.remainingPause(time));
+      limit.noteBusy(1, time);
+      longest = Math.max(longest, limit.remainingPause(time));
     }
     t.ok(longest > first * 4, 'pauses double');
     t.ok(longest < 1000, 'up to a bound');
     const later = 10_000;
-    for (let count = 0; count < 10; count++) window.noteServed();
-    t.ok(window.allows(3, later), 'each served statement makes room');
-    for (let count = 0; count < 3000; count++) window.noteServed();
-    t.equal(window.size, Infinity, 'and the limit is gone in the end');
+    for (let count = 0; count < 10; count++) limit.noteServed();
+    t.ok(limit.allows(3, later), 'each served statement makes room');
+    for (let count = 0; count < 3000; count++) limit.noteServed();
+    t.equal(limit.size, Infinity, 'and the limit is gone in the end');
     t.end();
   },
 );
@@ -444,7 +379,7 @@
         return { connection: new FakeConnection() };
       },
     };
-    const pool = poolOf(connector, 10);
+    const pool = poolOf(connector, { share: { most: 10 } });
     for (let count = 0; count < 50; count++) pool.load.noteAnswer(10, 0);
     const wait = (): Promise<void> =>
       pool.acquire(request(1), 1000).then((pooled) => pool.release(pooled));
@@ -453,7 +388,7 @@
     const transaction = await pool.acquire(request(1), 1000);
     pool.rest(transaction);
     await wait();
-    t.equal(opened, 2, 'nobody waits for a transaction that rests');
+    t.equal(opened, 2, 'no request waits for a transaction that rests');
     await pool.acquire(request(1), 1000);
     await wait();
     t.equal(opened, 3, 'nor for long for a statement that does not end');
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -1,11 +1,9 @@
-/** Whose turn it is at a full instance: replays of load, without a network, against the order by priority and arrival. */
+/** Order in which requests are served at a full instance: replays of load, without a network, against the order by priority and arrival. */
 import t from 'tap';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
-import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
 import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
-import { RealClock } from '../../src/runtime/real_clock.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { FakeConnection } from '../tools/fake_connection.js';
+import { CountingConnector, poolOf } from '../tools/instance_pool.js';
 import { type QueuedRequest, ServiceOrder } from '../../src/appointed/scheduling/service_order.js';
 
 /** One kind of request: how often it comes, how long it takes, by when it is useful. */
@@ -57,7 +55,7 @@
   };
 }
 
-/** Plays the queue of one home, which sends five statements at a time; returns all requests. */
+/** Plays the queue of one connection owner, which sends five statements at a time; returns all requests. */
 function play(policy: Policy, kinds: readonly Kind[], seconds: number): Job[] {
   const random = new SeededRandom(5);
   const all: Job[] = [];
@@ -92,7 +90,7 @@
   return all;
 }
 
-/** Share of the requests that were answered within their objective. */
+/** Fraction of the requests that were answered within their objective. */
 function inTime(jobs: readonly Job[], matches: (job: Job) => boolean = () => true): number {
   const asked = jobs.filter(matches);
   const served = asked.filter(
@@ -190,40 +188,25 @@
   t.end();
 });
 
-void t.test('who can still be answered in time comes before who can not', (t) => {
+void t.test('requests that can still be answered in time come before those that can not', (t) => {
   const order = new ServiceOrder();
   const waiting = (priority: number, startBy: number): QueuedRequest => {
     return { priority, tenant: 'ana', arrivedAt: 0, startBy, giveUpAt: 1000 };
   };
   const [late, later, soon] = [waiting(0, 90), waiting(1, 400), waiting(1, 200)];
   t.same(order.rank([late, later, soon], 100), [soon, later, late]);
-  t.same(order.displaced([soon, later, late], 800, 300), [later, late], 'and they are told');
+  t.same(order.displaced([soon, later, late], 800, 300), [later, late], 'and they are refused');
   t.end();
 });
 
 void t.test(
   'a short statement keeps its place where others take longer than its objective',
   async (t) => {
-    const connector = { connect: () => Promise.resolve({ connection: new FakeConnection() }) };
-    const options = {
-      share: () => ({ most: 1, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50, isOwner: true }),
-      slots: () => 1,
-      connectTimeoutMs: 100,
-      proxies: () => 1,
-      opensSpares: () => false,
-      random: new SeededRandom(1),
-    };
-    const ignore = (): undefined => undefined;
-    const observer = {
-      onConnectFailed: ignore,
-      onOpened: ignore,
-      onBusy: ignore,
-      onDisplaced: ignore,
-    };
     const load = new InstanceLoad();
     for (let answer = 0; answer < 50; answer++) load.noteAnswer(300, 0);
-    const target = { id: 'i', group: 'g', address: '127.0.0.1:1' };
-    const pool = new InstancePool(target, connector, new RealClock(), load, options, observer);
+    const share = { most: 1, isOwner: true };
+    const options = { share, slots: () => 1, opensSpares: () => false, load };
+    const pool = poolOf(new CountingConnector(), options);
     const asking = (priority: number, usefulMs: number): ConnectionRequest => {
       return { tenant: 'ana', values: new Map(), priority, usefulMs };
     };
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -9,10 +9,8 @@
   PooledConnection,
 } from '../../src/appointed/connections/pooled_connection.js';
 import { IdleConnections } from '../../src/appointed/connections/idle_connections.js';
-import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
-import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
 import { FakeConnection } from '../tools/fake_connection.js';
-import { RealClock } from '../../src/runtime/real_clock.js';
+import { CountingConnector, poolOf } from '../tools/instance_pool.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
 import {
@@ -332,38 +330,14 @@
 });
 
 void t.test('a pool opens a connection for each tenant, and gives up others for it', async (t) => {
-  const opened: string[] = [];
-  const connector = {
-    connect: (_target: unknown, _timeoutMs: number, tenant = '') => {
-      opened.push(tenant);
-      return Promise.resolve({ connection: new FakeConnection() });
-    },
-  };
-  const options = {
-    share: () => ({ most: 2, minimumIdle: 1, idleTimeoutMs: 1000, clampMs: 50 }),
+  const connector = new CountingConnector();
+  const pool = poolOf(connector, {
+    share: { minimumIdle: 1 },
     slots: () => 6,
-    connectTimeoutMs: 100,
-    proxies: () => 1,
     opensSpares: () => false,
-    random: new SeededRandom(1),
-  };
-  const observer = {
-    onConnectFailed: () => undefined,
-    onOpened: () => undefined,
-    onBusy: () => undefined,
-    onDisplaced: () => undefined,
-  };
-  const target = { id: 'i', group: 'g', address: '127.0.0.1:1' };
-  const pool = new InstancePool(
-    target,
-    connector,
-    new RealClock(),
-    new InstanceLoad(),
-    options,
-    observer,
-  );
+  });
   pool.maintain();
-  t.same(opened, [], 'nobody knows for whom to open one ahead');
+  t.same(connector.tenants, [], 'none is opened ahead where the tenant is unknown');
   const ana = await pool.acquire(forTenant('ana'), 500);
   const eva = await pool.acquire(forTenant('eva'), 500);
   pool.release(ana);
@@ -373,7 +347,7 @@
   const ida = await waiting;
   t.equal(ida.tenant, 'ida', 'another tenant gets a connection of its own');
   t.ok(ana.connection.closed, 'the idle one made room');
-  t.same(opened, ['ana', 'eva', 'ida']);
+  t.same(connector.tenants, ['ana', 'eva', 'ida']);
   pool.release(eva);
   t.equal(
     (await pool.acquire(forTenant(undefined), 500)).tenant,
