--- a/src/appointed/connections/acquire_error.ts
+++ b/src/appointed/connections/acquire_error.ts
@@ -1,10 +1,18 @@
-/** Why a pool had no connection to give. */
+/** Reasons for which a pool refuses a request. Nothing ran then, here or at the instance. */
 
-/** Why no connection could be had. Nothing ran. Displaced: more urgent requests came while it waited. */
+/**
+ * Why no connection could be had.
+ * - `timeout`: none came while the request waited;
+ * - `full`: on arrival, since the wait would have been too long;
+ * - `displaced`: while it waited, since more urgent requests came before it;
+ * - `unreachable`: the instance could not be reached;
+ * - `wrongInstance`: another instance has its address;
+ * - `closed`: the pool has ended.
+ */
 export type AcquireFailure =
   'timeout' | 'full' | 'displaced' | 'unreachable' | 'wrongInstance' | 'closed';
 
-/** Nothing could be had in time. */
+/** A pool had no connection for a request. */
 export class AcquireError extends Error {
   constructor(readonly failure: AcquireFailure) {
     super(failure);
--- a/src/appointed/connections/connection_opener.ts
+++ b/src/appointed/connections/connection_opener.ts
@@ -31,7 +31,7 @@
 export interface OpenerListener {
   /** The connection is open. */
   onOpened(opening: Opening): void;
-  /** No connection came; `error` is undefined where the connector failed in a way that it doesn't name. */
+  /** No connection came; `error` is undefined where the connector broke its interface. */
   onFailed(error: ConnectError | undefined): void;
 }
 
@@ -77,6 +77,7 @@
         this.listener.onOpened({ connection, tenant, position, startedAt });
       },
       (error: unknown) => {
+        // Connectors reject with ConnectError only, by their interface; any other error counts as out of reach.
         this.end(tenant);
         this.listener.onFailed(error instanceof ConnectError ? error : undefined);
       },
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -1,4 +1,10 @@
-/** The instances that a proxy knows, and its ways to each of them. */
+/**
+ * The instances that a proxy knows by the catalog, and the access to each of them. Makes a pool for each, with the settings
+ * that its proxy gives, and writes what happens in pools to the log.
+ *
+ * Owns the entries, the accesses and their pools. Relies on the catalog being current: instances that are gone lose their
+ * pool, new ones get one. What fails in a pool is passed on to the proxy.
+ */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -23,8 +29,9 @@
 
 const { InstanceState } = whinyoke;
 
+/** Longest time of an opening, in milliseconds. Guess, not measured. */
 const CONNECT_TIMEOUT_MS = 600;
-/** Slots of an instance that does not tell how many it has. */
+/** Slots (a count) of an instance whose heartbeat names none. Guess, not measured. */
 const UNKNOWN_SLOTS = 8;
 
 /** What the directory needs of its proxy. */
@@ -34,15 +41,17 @@
   readonly ownAddress: string;
   readonly connector: InstanceConnector;
   readonly log: DecisionLog;
-  /** Connections that an instance of a group takes from all together. */
+  /** Connections that an instance of a group takes from all proxies together. */
   connectionLimitOf(group: string): number;
-  /** Whether a connection serves the tenant only for whom it was opened. */
+  /** Whether a connection serves only the tenant for whom it was opened. */
   hasTenants(): boolean;
   /** Operations a second that a tenant may run; undefined where it has no limit. */
   tenantRate(tenant: string): number | undefined;
+  /** Number of live proxies, this one included. */
   readonly liveProxies: () => number;
+  /** A connection could not be opened. */
   onConnectFailed(target: InstanceTarget, error: ConnectError): void;
-  /** A connection was opened; the instance told its position after `startedAt`. */
+  /** A connection was opened; the instance named its position after `startedAt`. */
   onOpened(target: InstanceTarget, position: Position, startedAt: number): void;
 }
 
@@ -116,7 +125,7 @@
       .map(([id]) => ({ instance: id, pool: this.accesses.get(id) }));
   }
 
-  /** Looks after all pools; called often. */
+  /** Opens missing and closes idle connections of all pools; called often. */
   maintain(): void {
     for (const { local } of this.accesses.values()) local.maintain();
   }
@@ -181,7 +190,7 @@
     };
   }
 
-  /** Connections are opened ahead only where it is known for whom, and that they are wanted here. */
+  /** Connections are opened ahead only where their tenant is known, and where this proxy keeps connections of its own. */
   private opensSpares(instance: InstanceEntry): boolean {
     if (this.surroundings.hasTenants()) return false;
     return this.owners.of(this.ownedInstance(instance), NO_TENANT).length === 0;
--- a/src/appointed/connections/pool_options.ts
+++ b/src/appointed/connections/pool_options.ts
@@ -10,6 +10,7 @@
   readonly share: () => ConnectionShare;
   /** Statements that the instance runs at a time. */
   readonly slots: () => number;
+  /** Longest time of an opening. */
   readonly connectTimeoutMs: number;
   /** Proxies that keep connections to the instance, this one included. */
   readonly proxies: () => number;
@@ -17,11 +18,12 @@
   readonly opensSpares: () => boolean;
   /** Part of the instance that a tenant may claim where it is full, relative to that of others. */
   readonly weightOf?: (tenant: string) => number;
+  /** Spreads the tries of many proxies. */
   readonly random: RandomSource;
 }
 
 /** A request that waited, and was refused since more urgent ones came before it. */
-export interface Displacement {
+interface Displacement {
   readonly tenant: string | undefined;
   readonly priority: number;
   /** How long it has waited, in milliseconds. */
@@ -31,7 +33,7 @@
 }
 
 /** What a pool does after the instance was busy. */
-export interface BusyReaction {
+interface BusyReaction {
   /** Statements that are sent at a time from now on. */
   readonly limit: number;
   /** How long none is sent, in milliseconds. */
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -1,13 +1,19 @@
-/** One connection of a pool, and what it has loaded. */
+/**
+ * One connection of a pool or of a connection owner, and what is known of it: the session values and prepared shapes that it
+ * has loaded. Owns that knowledge; its pool and the session loader keep it true.
+ */
 import type { InstanceConnection } from '../instance/instance_connection.js';
 
-/** Steps that a reset counts as, more than a single value. */
+/** Steps that a reset counts as (a count), more than a single value. Guess, not measured. */
 const RESET_STEPS = 3;
 
 /** A connection with the session values and prepared shapes that it holds. */
 export class PooledConnection {
+  /** Session values that it has loaded, by name. */
   readonly values = new Map<string, string>();
+  /** Names of the prepared shapes that it has. */
   readonly preparedNames = new Set<string>();
+  /** When it became idle. */
   idleSince = 0;
   /** Whether a statement runs on it or is about to; a transaction rests between its statements. */
   isActive = false;
@@ -16,7 +22,7 @@
     readonly connection: InstanceConnection,
     /** Tenant for whom it was opened. */
     readonly tenant: string,
-    /** Whether another proxy has it; it has loaded nothing that is known here, and its troubles are noted there. */
+    /** Whether it is at a connection owner, which knows what it has loaded and records its failures. */
     readonly isRelayed = false,
   ) {}
 
@@ -25,7 +31,7 @@
     return tenant === undefined || tenant === this.tenant;
   }
 
-  /** How many steps lead to a session's values. */
+  /** Number of commands that load a session's values onto it. */
   distanceTo(values: ReadonlyMap<string, string>): number {
     let steps = 0;
     for (const name of this.values.keys()) if (!values.has(name)) return RESET_STEPS + values.size;
--- a/src/hashing/fast_hash.ts
+++ b/src/hashing/fast_hash.ts
@@ -1,4 +1,4 @@
-/** A fast hash for rendezvous tables of many nodes and keys; loading it takes a moment. */
+/** A fast hash for rendezvous tables of many nodes and keys. Loading it takes a moment; {@link stableHash} costs none. */
 import xxhash from 'xxhash-wasm';
 import type { TextHash } from './rendezvous.js';
 
