--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -132,10 +132,10 @@
     targetsLeft: number,
   ): Promise<Attempt> {
     const { deadline } = request;
-    const waitMs = deadline.connectionWait(target.pool.isHomed, targetsLeft);
+    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner, targetsLeft);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
-    const timeoutMs = deadline.readAnswerTimeout(target.pool.load.patience, targetsLeft <= 1);
+    const timeoutMs = deadline.readAnswerTimeout(target.pool.load.slowAnswerThreshold, targetsLeft <= 1);
     const { id, statement } = request;
     const command = { kind: 'data' as const, id, statement, after: target.after };
     const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
@@ -154,7 +154,7 @@
   ): Promise<CommittedReply | NotRunWrite> {
     const { deadline, id, statement } = request;
     const refusal = { id, deadline, state: 'idle' as const };
-    const waitMs = deadline.connectionWait(target.pool.isHomed);
+    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
     if (!isTargetTrusted(this.context, target)) {
