--- /dev/null
+++ b/src/consensus/log_replication.ts
@@ -0,0 +1,176 @@
+/**
+ * The leader's side of the log: appends entries, sends them to the other members, and commits what a majority holds.
+ *
+ * DECISION: when a leader may answer callers (`leadsWithState`).
+ * Answers: a leader that was cut off or stood still, and may have a successor that it does not know.
+ * Inputs: clock readings of the newest answers and of the requests that they answer (milliseconds), the applied index.
+ * Rule: it leads, has applied its first entry and so all that was committed before, was in contact with a majority
+ *   within an election timeout, and a majority answered requests that it sent within the last LEADERSHIP_PROOF_MS.
+ * Constants: LEADERSHIP_PROOF_MS in `raft_options.ts`, with unit and reason.
+ *
+ * Owns one replicator for each other member while this one leads. Relies on the own disk (a leader whose write fails steps
+ * down) and on the members' answers (any of them may be missing).
+ */
+import { whinyoke } from '../protocol/generated/messages.js';
+import type { LogApplier } from './log_applier.js';
+import type { MemberState, RaftRuntime } from './member_state.js';
+import { type AppendSource, PeerReplicator } from './peer_replicator.js';
+import type { LogEntry } from './raft_log.js';
+import { LEADERSHIP_PROOF_MS, type RaftOptions } from './raft_options.js';
+
+/** Replication by one member. */
+export class LogReplication implements AppendSource {
+  private readonly replicators = new Map<string, PeerReplicator>();
+  /** Index of the entry that began this member's newest leadership. */
+  private leadershipIndex = Infinity;
+
+  constructor(
+    readonly state: MemberState,
+    readonly runtime: RaftRuntime,
+    readonly options: RaftOptions,
+    private readonly applier: LogApplier,
+  ) {}
+
+  /** Begins to lead: an entry of the new term commits what former leaders left. */
+  begin(): void {
+    this.updateReplicators();
+    this.leadershipIndex = this.state.log.lastIndex + 1;
+    this.append(whinyoke.EntryKind.NO_OPERATION, new Uint8Array(0));
+  }
+
+  /** Ends all replicators: this member leads no longer. */
+  end(): void {
+    for (const replicator of this.replicators.values()) replicator.stop();
+    this.replicators.clear();
+  }
+
+  /** Index that the next appended entry will have. */
+  get nextIndex(): number {
+    return this.state.log.lastIndex + 1;
+  }
+
+  /** Appends an entry of the present term and sends it to all members. */
+  append(kind: whinyoke.EntryKind, command: Uint8Array, membership?: whinyoke.IMembership): void {
+    const { state } = this;
+    const { term } = state;
+    const entry: LogEntry = { term, index: this.nextIndex, kind, command, membership };
+    const durable = state.log.append([entry]);
+    if (membership) state.adoptMembership();
+    this.sendToAll();
+    durable.then(
+      () => {
+        if (state.term === term) this.advanceCommit();
+      },
+      // A leader whose disk fails must not stay leader; what it could not write has left the log again.
+      () => {
+        state.stepDown(state.term);
+        state.adoptMembership();
+      },
+    );
+  }
+
+  /** Commits the newest entry that a majority holds. */
+  advanceCommit(): void {
+    const { state } = this;
+    if (state.role !== 'leader') return;
+    for (let index = state.log.lastIndex; index > this.applier.commitIndex; index--) {
+      // Only entries of the current term are committed by counting (Raft, section 5.4.2).
+      if (state.log.termAt(index) !== state.term) return;
+      if (!state.membership.isQuorum(this.holdersOf(index))) continue;
+      this.applier.commitTo(index);
+      this.sendToAll();
+      return;
+    }
+  }
+
+  /** Content of an append message for a member whose next index is `nextIndex`; undefined when only a snapshot helps. */
+  appendRequestFrom(nextIndex: number, limit: number): whinyoke.IAppendRequest | undefined {
+    const { log, term, id } = this.state;
+    const previousTerm = log.termAt(nextIndex - 1);
+    if (previousTerm === undefined) return undefined;
+    const entries = log.entriesFrom(nextIndex, limit);
+    return {
+      term,
+      leader: id,
+      previousIndex: nextIndex - 1,
+      previousTerm,
+      entries: entries.map((entry) => ({ ...entry })),
+      commitIndex: this.applier.commitIndex,
+    };
+  }
+
+  /** Starts and ends replicators so that each other member of the present membership has one; while this member leads. */
+  updateReplicators(): void {
+    const { state } = this;
+    if (state.role !== 'leader') return;
+    const members = state.membership.members.filter((member) => member.id !== state.id);
+    for (const [id, replicator] of this.replicators) {
+      if (members.some((member) => member.id === id)) continue;
+      replicator.stop();
+      this.replicators.delete(id);
+    }
+    for (const member of members) {
+      if (this.replicators.has(member.id)) continue;
+      const replicator = new PeerReplicator(this, member, state.term);
+      this.replicators.set(member.id, replicator);
+      replicator.start();
+    }
+  }
+
+  /** Whether a majority of voters answered within an election timeout. */
+  get hasQuorum(): boolean {
+    const oldest = this.runtime.clock.now() - this.options.electionTimeoutMs;
+    return this.isQuorumOf((peer) => peer.lastContact >= oldest);
+  }
+
+  /**
+   * Whether this member leads, is in contact with a majority, and has applied all that was committed before. No other
+   * member led {@link LEADERSHIP_PROOF_MS} ago.
+   */
+  get leadsWithState(): boolean {
+    const isCurrent = this.applier.appliedIndex >= this.leadershipIndex && this.isConfirmed;
+    return this.state.role === 'leader' && isCurrent && this.hasQuorum;
+  }
+
+  /** Whether an applied index includes the entry that began this member's newest leadership. */
+  coversLeadership(appliedIndex: number): boolean {
+    return this.state.role === 'leader' && appliedIndex >= this.leadershipIndex;
+  }
+
+  /** Milliseconds since another member answered; infinite when this member does not lead. */
+  contactAge(id: string): number {
+    const lastContact = this.replicators.get(id)?.lastContact ?? -Infinity;
+    return this.runtime.clock.now() - lastContact;
+  }
+
+  /** How far a member's log is known to match; 0 when this member does not lead. */
+  matchIndexOf(id: string): number {
+    return this.replicators.get(id)?.matchIndex ?? 0;
+  }
+
+  private sendToAll(): void {
+    for (const replicator of this.replicators.values()) replicator.trigger();
+  }
+
+  private holdersOf(index: number): ReadonlySet<string> {
+    const holders = new Set<string>();
+    if (this.state.log.durableIndex >= index) holders.add(this.state.id);
+    for (const [id, replicator] of this.replicators) {
+      if (replicator.matchIndex >= index) holders.add(id);
+    }
+    return holders;
+  }
+
+  /** Whether a majority answered messages that were sent a short time ago. */
+  private get isConfirmed(): boolean {
+    const oldest = this.runtime.clock.now() - LEADERSHIP_PROOF_MS;
+    return this.isQuorumOf((peer) => peer.confirmedAt >= oldest);
+  }
+
+  /** Whether this member and the members whose replicators fit are a majority of the voters. */
+  private isQuorumOf(fits: (replicator: PeerReplicator) => boolean): boolean {
+    const members = new Set([this.state.id]);
+    for (const [id, replicator] of this.replicators) if (fits(replicator)) members.add(id);
+    return this.state.membership.isQuorum(members);
+  }
+}
--- a/src/consensus/peer_replicator.ts
+++ b/src/consensus/peer_replicator.ts
@@ -1,12 +1,35 @@
-/** Brings one member's log up to the leader's: appends, or a snapshot when entries are gone. */
+/**
+ * Brings one member's log up to the leader's: appends entries, or sends a snapshot when entries are gone.
+ *
+ * Owns what the leader knows of this member's log. Relies on the member's answers, which may be missing: each heartbeat
+ * tries again.
+ */
+import type { whinyoke } from '../protocol/generated/messages.js';
 import type { Timer } from '../runtime/runtime.js';
+import type { MemberState, RaftRuntime } from './member_state.js';
 import type { Member } from './membership.js';
-import type { RaftNode } from './raft_node.js';
+import type { RaftLog } from './raft_log.js';
+import type { RaftOptions } from './raft_options.js';
 
+/** Most entries of one message, so that no message grows without bound. A guess, not measured. */
 const BATCH_ENTRIES = 64;
+/** Time for an answer to a snapshot, in election timeouts: it is longer than other messages. A guess, not measured. */
+const SNAPSHOT_TIMEOUTS = 5;
+
+/** The leader that a replicator works for. */
+export interface AppendSource {
+  readonly state: MemberState;
+  readonly runtime: RaftRuntime;
+  readonly options: RaftOptions;
+  /** Content of an append message from an index on; undefined when only a snapshot helps. */
+  appendRequestFrom(nextIndex: number, limit: number): whinyoke.IAppendRequest | undefined;
+  /** Commits what a majority holds, after a member confirmed entries. */
+  advanceCommit(): void;
+}
 
 /** Replicator of one peer during one term of leadership. */
 export class PeerReplicator {
+  /** Newest index up to which the member's log is known to match. */
   matchIndex = 0;
   /** Clock reading of the latest answer, in milliseconds. */
   lastContact: number;
@@ -21,12 +44,12 @@
   private timer: Timer | undefined;
 
   constructor(
-    private readonly node: RaftNode,
+    private readonly source: AppendSource,
     private readonly peer: Member,
     private readonly term: number,
   ) {
-    this.nextIndex = node.log.lastIndex + 1;
-    this.lastContact = node.runtime.clock.now();
+    this.nextIndex = source.state.log.lastIndex + 1;
+    this.lastContact = source.runtime.clock.now();
     // Votes of this term were collected at most an election timeout ago; the first answers come at once.
     this.confirmedAt = this.lastContact;
   }
@@ -49,26 +72,30 @@
     void this.send();
   }
 
+  private get log(): RaftLog {
+    return this.source.state.log;
+  }
+
   private async send(): Promise<void> {
     this.sending = true;
-    const sentUpTo = this.node.log.lastIndex;
+    const sentUpTo = this.log.lastIndex;
     const isReached = await this.sendOnce();
     this.sending = false;
     if (this.stopped) return;
-    const hasMore = this.nextIndex <= sentUpTo || this.node.log.lastIndex > sentUpTo;
+    const hasMore = this.nextIndex <= sentUpTo || this.log.lastIndex > sentUpTo;
     if (isReached && hasMore) {
       this.trigger();
       return;
     }
-    const { heartbeatMs } = this.node.options;
-    this.timer = this.node.runtime.clock.setTimer(heartbeatMs, () => this.trigger());
+    const { heartbeatMs } = this.source.options;
+    this.timer = this.source.runtime.clock.setTimer(heartbeatMs, () => this.trigger());
   }
 
   private async sendOnce(): Promise<boolean> {
-    const request = this.node.appendRequestFrom(this.nextIndex, BATCH_ENTRIES);
-    const { messenger, clock } = this.node.runtime;
+    const request = this.source.appendRequestFrom(this.nextIndex, BATCH_ENTRIES);
+    const { messenger, clock } = this.source.runtime;
     const sentAt = clock.now();
-    const timeout = this.node.options.electionTimeoutMs;
+    const timeout = this.source.options.electionTimeoutMs;
     try {
       if (!request) return await this.sendSnapshot();
       const appendRequest = { ...request, receiver: this.peer.id };
@@ -81,24 +108,25 @@
       else this.nextIndex = Math.max(1, Math.min(this.nextIndex - 1, (reply.matchIndex ?? 0) + 1));
       return true;
     } catch {
+      // The member is not reached; the next heartbeat tries again, and its silence is seen in `lastContact`.
       return false;
     }
   }
 
   private async sendSnapshot(): Promise<boolean> {
-    const { snapshot } = this.node.log;
+    const { snapshot } = this.log;
     if (!snapshot) return false;
-    const { messenger, clock } = this.node.runtime;
+    const { messenger, clock } = this.source.runtime;
     const snapshotRequest = {
       term: this.term,
-      leader: this.node.id,
+      leader: this.source.state.id,
       lastIndex: snapshot.lastIndex,
       lastTerm: snapshot.lastTerm,
       membership: snapshot.membership,
       state: snapshot.state,
       receiver: this.peer.id,
     };
-    const timeout = this.node.options.electionTimeoutMs * 5;
+    const timeout = this.source.options.electionTimeoutMs * SNAPSHOT_TIMEOUTS;
     const sentAt = clock.now();
     const body = await messenger.request(this.peer.address, { snapshotRequest }, timeout);
     const reply = body.snapshotReply;
@@ -110,18 +138,18 @@
   }
 
   private noteContact(sentAt: number): void {
-    this.lastContact = this.node.runtime.clock.now();
+    this.lastContact = this.source.runtime.clock.now();
     this.confirmedAt = sentAt;
   }
 
   private isHigher(term: number | null | undefined): boolean {
-    this.node.onHigherTerm(term ?? 0);
+    this.source.state.observeTerm(term ?? 0);
     return (term ?? 0) > this.term;
   }
 
   private onMatch(index: number): void {
     this.matchIndex = Math.max(this.matchIndex, index);
     this.nextIndex = this.matchIndex + 1;
-    this.node.advanceCommit();
+    this.source.advanceCommit();
   }
 }
--- a/src/mysql/control/control_core.ts
+++ b/src/mysql/control/control_core.ts
@@ -1,6 +1,7 @@
 /** A control machine: replicated configurations, their distribution, and the list of proxies. */
 import { RaftLog } from '../../consensus/raft_log.js';
-import { RaftNode, type RaftObserver } from '../../consensus/raft_node.js';
+import type { RaftObserver } from '../../consensus/member_state.js';
+import { RaftNode } from '../../consensus/raft_node.js';
 import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../consensus/raft_options.js';
 import { ProtectionSet } from '../gateway/protections.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
--- a/test/tools/consensus_group.ts
+++ b/test/tools/consensus_group.ts
@@ -1,6 +1,7 @@
 /** Members of one replicated log in two regions, on the simulated runtime; nothing else runs on their machines. */
 import { RaftLog } from '../../src/consensus/raft_log.js';
-import { RaftNode, type RaftRole } from '../../src/consensus/raft_node.js';
+import type { RaftRole } from '../../src/consensus/member_state.js';
+import { RaftNode } from '../../src/consensus/raft_node.js';
 import type { Member } from '../../src/consensus/membership.js';
 import { APPOINTED_RAFT_OPTIONS } from '../../src/appointed/control/appointed_control.js';
 import { hostOf } from '../../src/runtime/address.js';
