--- a/test/simulation/appointed.test.ts
+++ b/test/simulation/appointed.test.ts
@@ -1,4 +1,18 @@
-/** Simulated deployments whose primaries are appointed: seeds, single faults, protections taken away. */
+/**
+ * Simulated deployments whose primaries are appointed: seeds, single faults, protections taken away.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - mixed faults: any broken promise of the judge, or a group that stays unwritable; needs the generator with all
+ *   kinds of faults, callers and all rules of the judge on quetzal and toplina. The seeds draw from the whole list
+ *   of kinds, so a kind taken away would redraw them.
+ * - seeds that failed once: a named position beyond all replicas, so that nobody is appointed; needs the same
+ *   generator, seed 320.
+ * - each kind of fault alone: the same promises under one kind; needs each kind in its place of the list, which
+ *   chooses seed and deployment.
+ * - the same seed gives the same history: a run that depends on anything but its seed; needs the generator.
+ * - without a protection the checks report it: a judge that cannot fail; needs the switches read-position,
+ *   session-values and lease, and the rules stale, pinned, lost and replaced-primary.
+ */
 import t, { type Test } from 'tap';
 import { APPOINTED_QUETZAL, APPOINTED_TOPLINA } from '../../lab/appointed/appointed_deployment.js';
 import { APPOINTED_FAULTS } from '../../lab/appointed/appointed_faults.js';
--- a/test/simulation/control_silence.test.ts
+++ b/test/simulation/control_silence.test.ts
@@ -1,4 +1,16 @@
-/** Proxies that are cut off from all control machines: what they serve, and how a primary is changed beside them. */
+/**
+ * Proxies that are cut off from all control machines: what they serve, and how a primary is changed beside them.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - primaries are used on while their replicas confirm them: service that ends with the leases of control; needs
+ *   the world, cuts and the judge.
+ * - a primary is changed beside a proxy that is out of reach: a change of primary that waits for one proxy; needs
+ *   the world the fault cut-proxy-from-control and the judge.
+ * - a new leader ends a change that the one before had nearly ended: a change of primary that begins anew with
+ *   each leader; needs the world, kills of an instance and of a control machine, and the judge.
+ * - a proxy on the wrong side of a cut serves nothing of the old primary: an answer of a replaced primary; needs
+ *   the world, cuts and the switch replica-witness, no judge.
+ */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
 import { startFault } from '../../lab/appointed/appointed_faults.js';
--- a/test/simulation/elections.test.ts
+++ b/test/simulation/elections.test.ts
@@ -1,4 +1,11 @@
-/** Elections between regions: power that returns, links that lose packets, pre-votes that are answered late. */
+/**
+ * Elections between regions: power that returns, links that lose packets, pre-votes that are answered late.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - after power returned to two regions a leader stays within a second: elections that collide over long links;
+ *   needs consensus members alone (test/tools/consensus_group), neither proxies nor instances.
+ * - also when links lose one packet in forty: votes that are lost; needs the same with losses.
+ */
 import t from 'tap';
 import { ConsensusGroup } from '../tools/consensus_group.js';
 
--- a/test/simulation/explain.test.ts
+++ b/test/simulation/explain.test.ts
@@ -1,4 +1,18 @@
-/** From the identifier of a failed request to its cause, from log lines alone. */
+/**
+ * From the identifier of a failed request to its cause, from log lines alone.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - the cause of a refusal is named by the lines around it: a refusal whose cause no log line names; needs the
+ *   generator with dark-primary, crash-primary, leave-primary and cut-primary-from-proxies, each alone, and the
+ *   log lines of the run.
+ * - each refusal for want of a lease is explained by the loss of control: a lease that ends without a line; needs
+ *   kill-all-controls and crash-replica.
+ * - without any control machine callers are served on: requests that fail only because control is away; needs
+ *   kill-all-controls.
+ * - a proxy that is cut off from control is served through another one: requests refused beside a reachable proxy;
+ *   needs cut-proxy-from-control.
+ * - an unknown request has no explanation: lines of other requests shown for it; needs no emulation.
+ */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
 import type { AppointedFaultKind } from '../../lab/appointed/appointed_faults.js';
--- a/test/simulation/large_fleet.test.ts
+++ b/test/simulation/large_fleet.test.ts
@@ -1,4 +1,22 @@
-/** What a fleet of many proxies costs its leading control machine, and where its reads go. */
+/**
+ * What a fleet of many proxies costs its leading control machine, and where its reads go.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - a start tells each proxy a few catalogs: each change of the catalog wakes all proxies; needs the world at 100
+ *   proxies, no callers, no faults, no judge; so do all others here.
+ * - after a loss of all power each proxy knows at once how many share the connections: connections divided by a
+ *   wrong number of proxies; needs losses of power and the log lines.
+ * - after a loss of all power the first reads go to replicas: first reads that all go to primaries; needs losses
+ *   of power and the statements that instances ran.
+ * - proxies that started long before control are told all at once: positions that reach most proxies late; needs
+ *   losses of power.
+ * - a calm proxy costs the leader few bytes: messages that repeat what has not changed; needs the traffic counted
+ *   by the virtual network.
+ * - reads go to replicas though a proxy seldom hears from a primary: reads kept on primaries for want of a new
+ *   position; needs sessions and the statements that instances ran.
+ * - proxies without control and without callers ask few replicas: confirmations of leases that nobody uses; needs
+ *   cuts.
+ */
 import t from 'tap';
 import type { AppointedDeployment } from '../../lab/appointed/appointed_deployment.js';
 import { AppointedWorld, POLICIES, databaseOf } from '../../lab/appointed/appointed_world.js';
--- a/test/simulation/overload.test.ts
+++ b/test/simulation/overload.test.ts
@@ -1,4 +1,10 @@
-/** Reads that only the primary may serve, more of them than it can: the replicas are seconds behind. */
+/**
+ * Reads that only the primary may serve, more of them than it can: the replicas are seconds behind.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - a full primary is not asked again and again: requests that ask a full instance over and over; needs the world,
+ *   sessions and slots and queue of the emulated instances, no faults, no judge.
+ */
 import t from 'tap';
 import {
   APPOINTED_QUETZAL,
--- a/test/simulation/protections.test.ts
+++ b/test/simulation/protections.test.ts
@@ -1,4 +1,10 @@
-/** For each protection of the product, a simulated run that fails without it. */
+/**
+ * For each protection of the MySQL interface, a simulated run that fails without it.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - without each protection a violation is found: a history check that cannot fail; needs the simulator of
+ *   lab/simulation, the kinds of faults that faultsFor names, and each protection's switch.
+ */
 import t from 'tap';
 import { QUETZAL } from '../../lab/fleet/deployment.js';
 import type { CheckName } from '../../lab/history/violation.js';
--- a/test/simulation/restart.test.ts
+++ b/test/simulation/restart.test.ts
@@ -1,4 +1,13 @@
-/** How long a deployment is without a leader, and its proxies without leases, after everything ended at once. */
+/**
+ * How long a deployment is without a leader, and its proxies without leases, after everything ended at once.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - a restart of everything is short: long elections and registrations after a restart; needs the world and
+ *   restarts of machines, no callers, no judge.
+ * - members that start together don't collide: elections that split the votes again and again; needs the same.
+ * - leases are there soon after a loss of all power: a search for the leader among dark machines; needs the same
+ *   with loss of power.
+ */
 import t from 'tap';
 import { APPOINTED_QUETZAL, APPOINTED_TOPLINA } from '../../lab/appointed/appointed_deployment.js';
 import type { SimulatedCoordinator, SimulatedRouter } from '../../lab/appointed/appointed_nodes.js';
--- a/test/simulation/silent_primary.test.ts
+++ b/test/simulation/silent_primary.test.ts
@@ -1,4 +1,10 @@
-/** What callers hear while the primary of their group has lost its power: an answer soon, never silence. */
+/**
+ * What callers hear while the primary of their group has lost its power: an answer soon, never silence.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - each of the three: a statement that waits beyond its bound on a primary that answers nothing; needs the world,
+ *   sessions and cuts of one host, no callers, no judge.
+ */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
 import { AppointedWorld, databaseOf } from '../../lab/appointed/appointed_world.js';
--- a/test/simulation/simulation.test.ts
+++ b/test/simulation/simulation.test.ts
@@ -1,4 +1,13 @@
-/** Whole deployments under faults: a fixed set of seeds that must pass, and the same history for the same seed. */
+/**
+ * Whole deployments of the MySQL interface under faults: a fixed set of seeds that must pass, and the same history
+ * for the same seed.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - no violation under faults: any violation that the history checks know; needs the simulator of lab/simulation,
+ *   all kinds of faults, the booking workload and the history checks.
+ * - the same seed gives the same history, byte for byte: a run that depends on anything but its seed; needs the
+ *   same.
+ */
 import t from 'tap';
 import { QUETZAL, TOPLINA } from '../../lab/fleet/deployment.js';
 import { formatHistory } from '../../lab/history/history.js';
--- a/test/simulation/tenancy.test.ts
+++ b/test/simulation/tenancy.test.ts
@@ -1,4 +1,18 @@
-/** Tenants over a simulated fleet: bindings, credentials that are taken away, limits; with and without each protection. */
+/**
+ * Tenants over a simulated fleet: bindings, credentials that are taken away, limits; with and without each
+ * protection.
+ *
+ * Failure that each test holds, and the parts of the emulation that it needs:
+ * - mixed faults, changes of credentials among them: a statement under another tenant, a tenant over its limit, a
+ *   credential in a log line; needs the generator with all kinds of faults and those of tenants.
+ * - a credential that was taken away ends on a proxy that nobody reaches: a credential used for longer than its
+ *   bound; needs the world, cuts, the rule tenant and the switches fleet-quota and credential-freshness, no
+ *   callers.
+ * - connections that fall silent cost no more than a patience, each once: primaries replaced for connections that
+ *   fell silent; needs the generator with mute-connections alone.
+ * - without a protection the checks report it: a judge that cannot fail; needs the switches tenant-binding and
+ *   fleet-quota with the generator.
+ */
 import t from 'tap';
 import { APPOINTED_TENANTS } from '../../lab/appointed/appointed_deployment.js';
 import { runAppointed } from '../../lab/appointed/appointed_simulation.js';
