--- a/lab/bench/change_bench.ts
+++ b/lab/bench/change_bench.ts
@@ -5,6 +5,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
+import { setTimeout as sleep } from 'node:timers/promises';
 import { stringify } from 'yaml';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
 import { ProxyCore } from '../../src/mysql/proxy/proxy_core.js';
@@ -81,7 +82,7 @@
     { id: 'proxy-0', address: '10.2.0.1:7000', zone: 'zone-1', controls: ['10.1.0.1:7000'] },
   );
   await core.start();
-  await new Promise((resolve) => setTimeout(resolve, 50));
+  await sleep(50);
   const documents = Array.from({ length: groups }, (_, index) => documentOf(index, 1));
   await core.handle({ watchReply: { revision: 1, documents, complete: true } });
   globalThis.gc?.();
--- a/lab/bench/failover_bench.ts
+++ b/lab/bench/failover_bench.ts
@@ -9,25 +9,31 @@
 import { checkHistory, operationsOf } from '../history/checker.js';
 import type { HistoryEvent } from '../history/history.js';
 import type { FaultKind } from '../simulation/faults.js';
+import type { Experiment, Variant } from './experiment.js';
 import { Latency } from './latency.js';
-import type { Report, ReportRow } from './report.js';
+import type { ReportRow } from './report.js';
 import { startScenario } from './scenario.js';
 
 const FAULTS: readonly FaultKind[] = ['kill-primary', 'freeze-primary', 'isolate-primary'];
 const RUNS_PER_FAULT = 12;
+/** Seed of the first run of each fault; the others follow. */
+const FIRST_SEED = 1000;
 const SESSIONS = 8;
-const ELECTION_TIMEOUT_MS = 300;
+/** Rows that sessions write: four for each, so that they seldom wait for each other's locks. */
+const REGISTERS = SESSIONS * 4;
+/** Usual lag of the secondaries, in milliseconds. */
+const LAG_MS = 20;
 const BEFORE_FAULT_MS = 1500;
 const AFTER_FAULT_MS = 6000;
+/** Writes that end with the fault, within this many milliseconds, were on their way before it. */
 const MICRO_GAP_MS = 1;
 
-interface Variant {
-  readonly name: string;
+interface FailoverVariant extends Variant {
   readonly protections: ProtectionSet;
   readonly gateway: Partial<GatewayOptions>;
 }
 
-const VARIANTS: readonly Variant[] = [
+const VARIANTS: readonly FailoverVariant[] = [
   { name: 'whinyoke', protections: ProtectionSet.all, gateway: {} },
   {
     name: 'baseline: trusts a monitor of 1 s',
@@ -67,23 +73,22 @@
 
 async function runOne(
   deployment: Deployment,
-  variant: Variant,
+  variant: FailoverVariant,
   fault: FaultKind,
   seed: number,
   measured: Measured,
 ): Promise<void> {
   const scenario = await startScenario({
     seed,
-    deployment: { ...deployment, groups: deployment.groups.slice(0, 1) },
+    deployment,
     protections: variant.protections,
     gateway: variant.gateway,
-    lagMs: 20,
-    electionTimeoutMs: ELECTION_TIMEOUT_MS,
+    lagMs: LAG_MS,
     sessions: SESSIONS,
     tokens: true,
     writeShare: 1,
     thinkMs: 0,
-    registers: SESSIONS * 4,
+    registers: REGISTERS,
   });
   const { world } = scenario;
   await world.run(BEFORE_FAULT_MS);
@@ -111,44 +116,46 @@
   return [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? NaN;
 }
 
-/** Runs the experiment for one deployment. */
-export async function benchFailover(deployment: Deployment): Promise<Report> {
-  const rows: ReportRow[] = [];
-  for (const variant of VARIANTS) {
-    for (const fault of FAULTS) {
-      const measured: Measured = {
-        gaps: new Latency(),
-        elections: new Latency(),
-        ratios: [],
-        wrongAnswers: 0,
-        unrecovered: 0,
-      };
-      for (let run = 0; run < RUNS_PER_FAULT; run++) {
-        await runOne(deployment, variant, fault, 1000 + run, measured);
-      }
-      rows.push({
-        variant: variant.name,
-        fault,
-        failovers: measured.elections.count,
-        'election ms (median)': measured.elections.percentile(50),
-        'gap ms (minimum)': measured.gaps.minimum,
-        'gap ms (median)': measured.gaps.percentile(50),
-        'gap ms (99%)': measured.gaps.percentile(99),
-        'gap ms (longest)': measured.gaps.maximum,
-        'gap / election (median)': median(measured.ratios),
-        'sessions never served again': measured.unrecovered,
-        'wrong answers': measured.wrongAnswers,
-      });
-    }
+async function measure(
+  deployment: Deployment,
+  variant: FailoverVariant,
+  fault: FaultKind,
+): Promise<ReportRow> {
+  const measured: Measured = {
+    gaps: new Latency(),
+    elections: new Latency(),
+    ratios: [],
+    wrongAnswers: 0,
+    unrecovered: 0,
+  };
+  for (let run = 0; run < RUNS_PER_FAULT; run++) {
+    await runOne(deployment, variant, fault, FIRST_SEED + run, measured);
   }
+  const { gaps, elections, ratios, unrecovered, wrongAnswers } = measured;
   return {
-    name: `failover-${deployment.name}`,
-    title: `Failover gap, deployment ${deployment.name}`,
-    notes: [
-      `Virtual time, one group of three, ${SESSIONS} sessions that write without pause and roam over all proxies; ${RUNS_PER_FAULT} failovers for each fault; one-way delay ${deployment.networkMs} ms between machines, ${deployment.callerMs} ms to callers.`,
-      'The gap is that of each session: from its last acknowledged write before the fault to its first one after. The election is the time from the fault to the new primary.',
-      'Wrong answers are violations that the history checker finds.',
-    ],
-    rows,
+    fault,
+    failovers: elections.count,
+    'election ms (median)': elections.percentile(50),
+    'gap ms (minimum)': gaps.minimum,
+    'gap ms (median)': gaps.percentile(50),
+    'gap ms (99%)': gaps.percentile(99),
+    'gap ms (longest)': gaps.maximum,
+    'gap / election (median)': median(ratios),
+    'sessions never served again': unrecovered,
+    'wrong answers': wrongAnswers,
   };
 }
+
+/** The experiment. */
+export const FAILOVER: Experiment<FailoverVariant, FaultKind> = {
+  name: 'failover',
+  title: 'Failover gap',
+  variants: VARIANTS,
+  settings: FAULTS,
+  measure,
+  notes: ({ networkMs, callerMs }) => [
+    `Virtual time, one group of three, ${SESSIONS} sessions that write without pause and roam over all proxies; ${RUNS_PER_FAULT} failovers for each fault; one-way delay ${networkMs} ms between machines, ${callerMs} ms to callers.`,
+    'The gap is that of each session: from its last acknowledged write before the fault to its first one after. The election is the time from the fault to the new primary.',
+    'Wrong answers are violations that the history checker finds.',
+  ],
+};
--- a/lab/bench/proxy_bench.ts
+++ b/lab/bench/proxy_bench.ts
@@ -3,6 +3,7 @@
  * memory for each idle caller. Real processes on loopback.
  */
 import { readFileSync, rmSync } from 'node:fs';
+import { setTimeout as sleep } from 'node:timers/promises';
 import { type Connection, type ConnectionOptions, createConnection } from 'mysql2/promise';
 import type { Fleet } from '../fleet/fleet.js';
 import { BACKEND_ACCOUNT, CALLER_ACCOUNT } from '../fleet/layout.js';
@@ -78,7 +79,7 @@
   for (let index = 0; index < IDLE_CONNECTIONS; index++) {
     clients.push(await open(target.address, target.account));
   }
-  await new Promise((resolve) => setTimeout(resolve, 1000));
+  await sleep(1000);
   const perConnection = (residentBytes(target.pid) - before) / IDLE_CONNECTIONS;
   for (const client of clients) client.destroy();
   return {
@@ -93,7 +94,7 @@
   const pids = fleet.layout.proxies.map((proxy) => fleet.pidOf(proxy.id));
   const total = (): number => pids.reduce((sum, pid) => sum + processorSeconds(pid), 0);
   const before = total();
-  await new Promise((resolve) => setTimeout(resolve, DURATION_MS));
+  await sleep(DURATION_MS);
   const share = (total() - before) / (DURATION_MS / 1000);
   return {
     path: `${pids.length} proxies, no callers, ${fleet.layout.instances.length} instances probed`,
@@ -146,7 +147,7 @@
     const connection = await callerConnector(fleet).connect('proxy-1', group);
     await prepareGroup(connection);
     connection.close();
-    await new Promise((resolve) => setTimeout(resolve, 500));
+    await sleep(500);
     const targets = await targetsOf(fleet, group);
     const rows: ReportRow[] = [];
     const idle = await idleProcessor(fleet);
--- a/lab/bench/replica_reads_bench.ts
+++ b/lab/bench/replica_reads_bench.ts
@@ -5,19 +5,26 @@
 import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkHistory, operationsOf } from '../history/checker.js';
+import type { Experiment, Variant } from './experiment.js';
 import { Latency } from './latency.js';
-import type { Report, ReportRow, Series } from './report.js';
+import type { ReportRow } from './report.js';
 import { startScenario } from './scenario.js';
 
 const LAGS_MS = [5, 50, 500, 5000];
 const WRITE_SHARES = [0.02, 0.1, 0.3];
+const SETTINGS = WRITE_SHARES.flatMap((writeShare) =>
+  LAGS_MS.map((lagMs) => ({ writeShare, lagMs })),
+);
+/** Share of writes whose rows are drawn. */
+const DRAWN_WRITE_SHARE = 0.1;
+const SEED = 77;
 const DURATION_MS = 4000;
+const REGISTERS = 50;
 const SESSIONS = 12;
 const THINK_MS = 40;
 const STALE_CHECKS = new Set(['read-your-writes', 'monotonic-reads', 'fresh-reads', 'dirty-reads']);
 
-interface Variant {
-  readonly name: string;
+interface ReadVariant extends Variant {
   readonly tokens: boolean;
   readonly protections: ProtectionSet;
   /** All reads go to the primary. */
@@ -26,7 +33,7 @@
   readonly pauseAfterWriteMs?: number;
 }
 
-const VARIANTS: readonly Variant[] = [
+const VARIANTS: readonly ReadVariant[] = [
   { name: 'tokens', tokens: true, protections: ProtectionSet.all, primaryOnly: false },
   { name: 'no tokens', tokens: false, protections: ProtectionSet.all, primaryOnly: false },
   {
@@ -50,23 +57,23 @@
   },
 ];
 
+type ReadSetting = (typeof SETTINGS)[number];
+
 async function measure(
   deployment: Deployment,
-  variant: Variant,
-  lagMs: number,
-  writeShare: number,
+  variant: ReadVariant,
+  { lagMs, writeShare }: ReadSetting,
 ): Promise<ReportRow> {
   const scenario = await startScenario({
-    seed: 77,
-    deployment: { ...deployment, groups: deployment.groups.slice(0, 1) },
+    seed: SEED,
+    deployment,
     protections: variant.protections,
     lagMs,
-    electionTimeoutMs: 300,
     sessions: SESSIONS,
     tokens: variant.tokens,
     writeShare,
     thinkMs: THINK_MS,
-    registers: 50,
+    registers: REGISTERS,
     withoutToken: variant.primaryOnly ? 'primary' : 'barrier',
     pauseAfterWriteMs: variant.pauseAfterWriteMs,
   });
@@ -83,7 +90,6 @@
   const [replica, primary] = [sum('replicaReads'), sum('primaryReads')];
   const stale = checkHistory(world.history.events).filter(({ check }) => STALE_CHECKS.has(check));
   return {
-    variant: variant.name,
     'lag ms': lagMs,
     'write share': writeShare,
     reads: replica + primary,
@@ -94,35 +100,25 @@
   };
 }
 
-/** Runs the experiment for one deployment. */
-export async function benchReplicaReads(deployment: Deployment): Promise<Report> {
-  const rows: ReportRow[] = [];
-  for (const variant of VARIANTS) {
-    for (const writeShare of WRITE_SHARES) {
-      for (const lagMs of LAGS_MS) {
-        rows.push(await measure(deployment, variant, lagMs, writeShare));
-      }
-    }
-  }
-  const series: Series[] = VARIANTS.slice(0, 2).map((variant) => ({
-    label: `${variant.name}, 10% writes`,
-    points: rows
-      .filter((row) => row['variant'] === variant.name && row['write share'] === 0.1)
-      .map((row) => [Number(row['lag ms']), Number(row['replica share %'])] as const),
-  }));
-  return {
-    name: `replica-reads-${deployment.name}`,
-    title: `Reads on replicas, deployment ${deployment.name}`,
-    notes: [
-      `Virtual time, one group of three, ${SESSIONS} sessions that choose another proxy for each request, ${DURATION_MS / 1000} s for each line, 50 registers.`,
-      'Lag is the time between receiving and executing on each secondary. Stale reads are what the history checker finds.',
-    ],
-    rows,
-    plot: {
-      title: 'Share of reads on replicas',
-      xLabel: 'replication lag, ms',
-      yLabel: 'replica share, %',
-      series,
-    },
-  };
-}
+/** The experiment. */
+export const REPLICA_READS: Experiment<ReadVariant, ReadSetting> = {
+  name: 'replica-reads',
+  title: 'Reads on replicas',
+  variants: VARIANTS,
+  settings: SETTINGS,
+  measure,
+  notes: () => [
+    `Virtual time, one group of three, ${SESSIONS} sessions that choose another proxy for each request, ${DURATION_MS / 1000} s for each line, ${REGISTERS} registers.`,
+    'Lag is the time between receiving and executing on each secondary. Stale reads are what the history checker finds.',
+  ],
+  plot: {
+    title: 'Share of reads on replicas',
+    xLabel: 'replication lag, ms',
+    yLabel: 'replica share, %',
+    xColumn: 'lag ms',
+    yColumn: 'replica share %',
+    variants: VARIANTS.slice(0, 2),
+    label: ({ name }) => `${name}, 10% writes`,
+    includes: (row) => row['write share'] === DRAWN_WRITE_SHARE,
+  },
+};
--- a/lab/bench/report.ts
+++ b/lab/bench/report.ts
@@ -6,13 +6,13 @@
 export type ReportRow = Readonly<Record<string, string | number>>;
 
 /** A line of a plot. */
-export interface Series {
+interface Series {
   readonly label: string;
   readonly points: readonly (readonly [x: number, y: number])[];
 }
 
 /** A plot with a logarithmic horizontal axis. */
-export interface Plot {
+interface Plot {
   readonly title: string;
   readonly xLabel: string;
   readonly yLabel: string;
@@ -61,7 +61,7 @@
 }
 
 /** SVG text of a plot. */
-export function svgOf(plot: Plot): string {
+function svgOf(plot: Plot): string {
   const points = plot.series.flatMap((series) => series.points);
   const xs = points.map(([x]) => Math.log10(x));
   const highest = Math.max(...points.map(([, y]) => y), 0) || 1;
@@ -101,7 +101,7 @@
 }
 
 /** Markdown text of a report. */
-export function markdownOf(report: Report): string {
+function markdownOf(report: Report): string {
   const image = report.plot ? [`![${report.plot.title}](${report.name}.svg)`, ''] : [];
   const notes = report.notes.map((note) => `- ${note}`);
   return [`# ${report.title}`, '', ...notes, '', markdownTable(report.rows), '', ...image].join(
--- a/lab/bench/surge_bench.ts
+++ b/lab/bench/surge_bench.ts
@@ -7,13 +7,20 @@
 import { delay } from '../../src/runtime/runtime.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkLimits } from '../history/checker.js';
-import { setUp } from '../simulation/simulation.js';
-import { World } from '../simulation/world.js';
+import type { World } from '../simulation/world.js';
 import { CallerError } from '../workload/caller.js';
+import type { Experiment, Variant } from './experiment.js';
 import { Latency } from './latency.js';
-import type { Report, ReportRow, Series } from './report.js';
+import type { ReportRow } from './report.js';
+import { startGroup } from './scenario.js';
 
+const SEED = 5;
+/** Usual lag of the secondaries, in milliseconds. */
+const LAG_MS = 5;
+const REGISTERS = 3;
+/** Time that a statement holds its slot, in milliseconds. */
 const STATEMENT_MS = 20;
+/** Load over what the replicas can serve. */
 const FACTORS = [0.5, 1, 2, 5, 10];
 const RAMP_MS = 2000;
 const DURATION_MS = 4000;
@@ -21,13 +28,12 @@
 const EMERGENCIES_PER_SECOND = 10;
 const REPLICAS = 2;
 
-interface Variant {
-  readonly name: string;
+interface SurgeVariant extends Variant {
   readonly queue: number;
   readonly gateway: Partial<GatewayOptions>;
 }
 
-const VARIANTS: readonly Variant[] = [
+const VARIANTS: readonly SurgeVariant[] = [
   { name: 'whinyoke', queue: 500, gateway: { queueTimeoutMs: 1000 } },
   { name: 'baseline: long queue', queue: 100_000, gateway: { queueTimeoutMs: 60_000 } },
 ];
@@ -64,7 +70,7 @@
     while (!this.isOver) {
       const share = Math.min(1, (clock.now() - startedAt) / RAMP_MS + 0.05);
       await delay(clock, (-Math.log(1 - random.next()) * 1000) / (this.rate * share));
-      const sql = `SELECT version FROM registers WHERE id = 'r${random.integer(0, 2)}'`;
+      const sql = `SELECT version FROM registers WHERE id = 'r${random.integer(0, REGISTERS - 1)}'`;
       void this.send(sql, this.lookups, clock.now() >= measureFrom);
     }
   }
@@ -106,25 +112,27 @@
   }
 }
 
+/** Lookups that the two replicas serve at most, a second. */
+function capacityOf({ slots }: Deployment): number {
+  return (REPLICAS * slots * 1000) / STATEMENT_MS;
+}
+
 async function measure(
   deployment: Deployment,
-  variant: Variant,
+  variant: SurgeVariant,
   factor: number,
 ): Promise<ReportRow> {
-  const capacity = (REPLICAS * deployment.slots * 1000) / STATEMENT_MS;
-  const group = deployment.groups[0]!;
-  const world = new World({
-    seed: 5,
-    deployment: { ...deployment, groups: [group] },
+  const options = {
+    seed: SEED,
+    deployment,
     protections: ProtectionSet.all,
     gateway: variant.gateway,
-    lagMs: 5,
-    electionTimeoutMs: 300,
+    lagMs: LAG_MS,
     statementMs: STATEMENT_MS,
-  });
-  await setUp(world, { gateways: 2, registers: 3, limits: { queue: variant.queue } });
-  await world.run(1000);
-  const load = new Load(world, group, capacity * factor);
+  };
+  const limits = { queue: variant.queue };
+  const { world, group } = await startGroup(options, { registers: REGISTERS, limits });
+  const load = new Load(world, group, capacityOf(deployment) * factor);
   const measureFrom = world.scheduler.now + RAMP_MS;
   const running = [load.runLookups(measureFrom), load.runEmergencies(measureFrom)];
   await world.run(RAMP_MS + DURATION_MS / 2);
@@ -140,7 +148,6 @@
   const { lookups, emergencies } = load;
   const seconds = DURATION_MS / 1000;
   return {
-    variant: variant.name,
     'load / capacity': factor,
     'lookups offered / s': lookups.offered / seconds,
     'served / s': lookups.served / seconds,
@@ -156,32 +163,26 @@
   };
 }
 
-/** Runs the experiment for one deployment. */
-export async function benchSurge(deployment: Deployment): Promise<Report> {
-  const rows: ReportRow[] = [];
-  for (const variant of VARIANTS) {
-    for (const factor of FACTORS) rows.push(await measure(deployment, variant, factor));
-  }
-  const series: Series[] = VARIANTS.map((variant) => ({
-    label: variant.name,
-    points: rows
-      .filter((row) => row['variant'] === variant.name)
-      .map((row) => [Number(row['load / capacity']), Number(row['served / s'])] as const),
-  }));
-  return {
-    name: `surge-${deployment.name}`,
-    title: `Surge, deployment ${deployment.name}`,
-    notes: [
-      `Virtual time, open loop, one group of three with ${deployment.slots} slots and ${deployment.connections} connections an instance, ${STATEMENT_MS} ms a statement: the two replicas serve at most ${(REPLICAS * deployment.slots * 1000) / STATEMENT_MS} lookups a second. Full load is reached within ${RAMP_MS / 1000} s; then ${DURATION_MS / 1000} s are measured.`,
-      `${EMERGENCIES_PER_SECOND} emergency bookings a second go on beside, each a marked write. Half way one proxy is killed, later started, and another is stopped.`,
-      `Served means answered within ${PATIENCE_MS / 1000} s.`,
-    ],
-    rows,
-    plot: {
-      title: 'Lookups served',
-      xLabel: 'load / capacity',
-      yLabel: 'served per second',
-      series,
-    },
-  };
-}
+/** The experiment. */
+export const SURGE: Experiment<SurgeVariant, number> = {
+  name: 'surge',
+  title: 'Surge',
+  variants: VARIANTS,
+  settings: FACTORS,
+  measure,
+  notes: (deployment) => [
+    `Virtual time, open loop, one group of three with ${deployment.slots} slots and ${deployment.connections} connections an instance, ${STATEMENT_MS} ms a statement: the two replicas serve at most ${capacityOf(deployment)} lookups a second. Full load is reached within ${RAMP_MS / 1000} s; then ${DURATION_MS / 1000} s are measured.`,
+    `${EMERGENCIES_PER_SECOND} emergency bookings a second go on beside, each a marked write. Half way one proxy is killed, later started, and another is stopped.`,
+    `Served means answered within ${PATIENCE_MS / 1000} s.`,
+  ],
+  plot: {
+    title: 'Lookups served',
+    xLabel: 'load / capacity',
+    yLabel: 'served per second',
+    xColumn: 'load / capacity',
+    yColumn: 'served / s',
+    variants: VARIANTS,
+    label: ({ name }) => name,
+    includes: () => true,
+  },
+};
--- a/lab/fleet/demo.ts
+++ b/lab/fleet/demo.ts
@@ -6,7 +6,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { checkHistory, operationsOf } from '../history/checker.js';
 import { HistoryRecorder, formatHistory } from '../history/history.js';
-import type { Violation } from '../history/violation.js';
+import { printSummary } from '../history/summary.js';
 import type { Fleet } from './fleet.js';
 import { startFleet, startWorkload } from './fleet_workload.js';
 
@@ -22,10 +22,6 @@
   readonly proxyProgram: string;
 }
 
-function say(text: string): void {
-  console.log(text);
-}
-
 /** Longest time without a successful write in a group around a moment. */
 function failoverGap(history: HistoryRecorder, group: string, killedAt: number): number {
   const writes = operationsOf(history.events)
@@ -51,24 +47,6 @@
   return `${((100 * counts.replica) / Math.max(1, total)).toFixed(1)}% of ${total}`;
 }
 
-/** Prints what callers saw. */
-export function report(history: HistoryRecorder, violations: readonly Violation[]): void {
-  const operations = operationsOf(history.events);
-  const errors = operations.filter(({ error }) => error);
-  const byVerdict = (verdict: string): number =>
-    errors.filter(({ error }) => error?.verdict === verdict).length;
-  const count = (...checks: string[]): number =>
-    violations.filter((violation) => checks.includes(violation.check)).length;
-  say(`operations:         ${operations.length}`);
-  say(`errors not_run:     ${byVerdict('not_run')}`);
-  say(`errors may_have_run: ${byVerdict('may_have_run')}`);
-  say(`stale reads:        ${count('read-your-writes', 'monotonic-reads')}`);
-  say(`double bookings:    ${count('register-order', 'no-mixed-transactions')}`);
-  say(`double payments:    ${count('at-most-once')}`);
-  say(`lost writes:        ${count('durable-writes')}`);
-  for (const violation of violations) say(`VIOLATION ${violation.check}: ${violation.message}`);
-}
-
 async function runWorkload(
   fleet: Fleet,
   options: DemoOptions,
@@ -80,11 +58,11 @@
   let killedAt = 0;
   for (let elapsed = 0; elapsed < options.durationMs; elapsed += 1000) {
     await sleep(1000);
-    say(`  ${elapsed / 1000 + 1} s: ${workload.operationsDone()} operations done`);
+    console.log(`  ${elapsed / 1000 + 1} s: ${workload.operationsDone()} operations done`);
     if (killedAt !== 0 || elapsed < options.durationMs / 2) continue;
     const primary = await fleet.primaryOf(killedGroup);
     if (!primary) continue;
-    say(`  killing the primary of ${killedGroup} (${primary.mysql})`);
+    console.log(`  killing the primary of ${killedGroup} (${primary.mysql})`);
     killedAt = performance.now();
     await fleet.kill(primary.mysql);
   }
@@ -94,17 +72,17 @@
 
 /** Runs the demonstration; resolves with whether every invariant held. */
 export async function runDemo(options: DemoOptions): Promise<boolean> {
-  say(`starting deployment ${options.deployment}`);
+  console.log(`starting deployment ${options.deployment}`);
   const { fleet, folder } = await startFleet(options, 1);
   const history = new HistoryRecorder();
   try {
-    say('all processes run, the configuration is in force on each proxy');
+    console.log('all processes run, the configuration is in force on each proxy');
     const { killedGroup, killedAt } = await runWorkload(fleet, options, history);
     const violations = checkHistory(history.events);
     const gap = failoverGap(history, killedGroup, killedAt);
-    say(`reads on replicas:  ${await readShare(fleet)}`);
-    say(`failover gap:       ${Math.round(gap)} ms for writes of ${killedGroup}`);
-    report(history, violations);
+    console.log(`reads on replicas:  ${await readShare(fleet)}`);
+    console.log(`failover gap:       ${Math.round(gap)} ms for writes of ${killedGroup}`);
+    printSummary(history.events, violations);
     if (options.historyFile !== undefined) {
       writeFileSync(options.historyFile, formatHistory(history.events));
     }
--- a/lab/fleet/load.ts
+++ b/lab/fleet/load.ts
@@ -5,7 +5,7 @@
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { checkHistory } from '../history/checker.js';
 import { HistoryRecorder, formatHistory } from '../history/history.js';
-import { report } from './demo.js';
+import { printSummary } from '../history/summary.js';
 import type { Fleet } from './fleet.js';
 import { type FleetPrograms, startFleet, startWorkload } from './fleet_workload.js';
 import { injectProcessFaults } from './process_faults.js';
@@ -60,7 +60,7 @@
     await workload.finish();
     await recordUsage(fleet, history);
     const violations = checkHistory(history.events);
-    report(history, violations);
+    printSummary(history.events, violations);
     if (options.historyFile !== undefined) {
       writeFileSync(options.historyFile, formatHistory(history.events));
     }
