--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -135,7 +135,10 @@
     const waitMs = deadline.connectionWait(target.pool.queuesAtOwner, targetsLeft);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
-    const timeoutMs = deadline.readAnswerTimeout(target.pool.load.slowAnswerThreshold, targetsLeft <= 1);
+    const timeoutMs = deadline.readAnswerTimeout(
+      target.pool.load.slowAnswerThreshold,
+      targetsLeft <= 1,
+    );
     const { id, statement } = request;
     const command = { kind: 'data' as const, id, statement, after: target.after };
     const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
