--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -66,7 +66,7 @@
     this.operation.noteRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
-    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.patience);
+    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThreshold);
     const attempt = await this.attempt(command, content, deadline, limitMs);
     if (attempt.outcome !== 'answered') {
       this.drop();
@@ -260,7 +260,7 @@
       return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
-    const limitMs = deadline.statementTimeout(target.pool.load.patience);
+    const limitMs = deadline.statementTimeout(target.pool.load.slowAnswerThreshold);
     const timeoutMs = Math.min(deadline.remaining, limitMs);
     const attempt = await this.runner.attempt(held, { values: content.values }, command, timeoutMs);
     if (attempt.outcome === 'answered' && !attempt.answer.error) {
