--- a/src/appointed/connections/acquire_error.ts
+++ b/src/appointed/connections/acquire_error.ts
@@ -12,7 +12,10 @@
 export type AcquireFailure =
   'timeout' | 'full' | 'displaced' | 'unreachable' | 'wrongInstance' | 'closed';
 
-/** A pool had no connection for a request. */
+/**
+ * A pool had no connection for a request. A plain error, unlike all others: a full queue makes one for each statement that
+ * it refuses, and a subclass of the root of errors costs several times as much to create.
+ */
 export class AcquireError extends Error {
   constructor(readonly failure: AcquireFailure) {
     super(failure);
