--- a/lab/database/daemon.ts
+++ b/lab/database/daemon.ts
@@ -9,7 +9,7 @@
 import { RealFolder } from '../../src/runtime/real_folder.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { TcpMessenger } from '../../src/runtime/tcp_messenger.js';
-import { readSettings, resolvePath } from '../../src/settings/settings.js';
+import { readSettings, resolvePath } from '../../src/mysql/configuration/settings.js';
 import { FaultMessenger } from './fault_messenger.js';
 import { DatabaseInstance } from './instance.js';
 import { createEndpoint } from './mysql_endpoint.js';
--- a/lab/platform/daemon.ts
+++ b/lab/platform/daemon.ts
@@ -6,7 +6,7 @@
 import { stopSignal } from '../../src/daemon/stop_signal.js';
 import type { PlatformMachine } from '../../src/mysql/control/platform_watcher.js';
 import { messageOf } from '../../src/errors/errors.js';
-import { readSettings } from '../../src/settings/settings.js';
+import { readSettings } from '../../src/mysql/configuration/settings.js';
 
 const machineSchema = z.strictObject({
   address: addressSchema,
--- a/src/cli/operator_commands.ts
+++ b/src/cli/operator_commands.ts
@@ -8,7 +8,7 @@
 import { RealClock } from '../runtime/real_clock.js';
 import { delay } from '../runtime/runtime.js';
 import { TcpMessenger } from '../runtime/tcp_messenger.js';
-import { clientSettingsSchema, readSecret, readSettings } from '../settings/settings.js';
+import { clientSettingsSchema, readSecret, readSettings } from '../mysql/configuration/settings.js';
 import { OperatorClient, type SubmissionResult } from './operator_client.js';
 import { formatStatus, mergeStatuses } from './status_view.js';
 
--- a/src/daemon/process_runtime.ts
+++ b/src/daemon/process_runtime.ts
@@ -6,7 +6,7 @@
 import type { Runtime } from '../runtime/runtime.js';
 import { SeededRandom } from '../runtime/seeded_random.js';
 import { TcpMessenger } from '../runtime/tcp_messenger.js';
-import { readSecret, resolvePath } from '../settings/settings.js';
+import { readSecret, resolvePath } from '../mysql/configuration/settings.js';
 
 /** Settings that every daemon has. */
 export interface CommonSettings {
--- a/src/mysql/configuration/configuration.ts
+++ b/src/mysql/configuration/configuration.ts
@@ -4,7 +4,7 @@
  */
 import { z } from 'zod';
 import { InvalidDocumentError } from '../../errors/errors.js';
-import { readYaml } from '../../settings/yaml_document.js';
+import { readYaml } from './yaml_document.js';
 
 const nameSchema = z
   .string()
--- a/src/settings/settings.ts
+++ b/src/mysql/configuration/settings.ts
@@ -5,9 +5,9 @@
 import { readFileSync } from 'node:fs';
 import { dirname, resolve } from 'node:path';
 import { z } from 'zod';
-import { addressSchema } from '../mysql/configuration/configuration.js';
+import { addressSchema } from './configuration.js';
 import { readYaml } from './yaml_document.js';
-import { InvalidDocumentError, messageOf } from '../errors/errors.js';
+import { InvalidDocumentError, messageOf } from '../../errors/errors.js';
 
 const logLevelSchema = z.enum(['trace', 'debug', 'info', 'warn', 'error']).default('info');
 
--- a/src/settings/yaml_document.ts
+++ b/src/mysql/configuration/yaml_document.ts
@@ -1,7 +1,7 @@
 /** Reading of YAML files against a schema, with errors that name file, line and path. */
 import { LineCounter, type Document, isNode, parseDocument } from 'yaml';
 import type { z } from 'zod';
-import { InvalidDocumentError } from '../errors/errors.js';
+import { InvalidDocumentError } from '../../errors/errors.js';
 
 function lineOf(
   document: Document,
--- a/src/mysql/daemon/control_daemon.ts
+++ b/src/mysql/daemon/control_daemon.ts
@@ -5,7 +5,7 @@
 import { addGauge } from '../../observability/gauges.js';
 import { Events } from '../../observability/events.js';
 import { EventLogger } from '../../observability/logger.js';
-import { controlSettingsSchema, readSettings } from '../../settings/settings.js';
+import { controlSettingsSchema, readSettings } from '../configuration/settings.js';
 import { startMetricsServer } from '../../daemon/metrics_server.js';
 import { openRuntime } from '../../daemon/process_runtime.js';
 import { stopSignal } from '../../daemon/stop_signal.js';
--- a/src/mysql/daemon/proxy_daemon.ts
+++ b/src/mysql/daemon/proxy_daemon.ts
@@ -11,7 +11,7 @@
   proxySettingsSchema,
   readSecret,
   readSettings,
-} from '../../settings/settings.js';
+} from '../configuration/settings.js';
 import { startMetricsServer } from '../../daemon/metrics_server.js';
 import { type ProcessRuntime, openRuntime } from '../../daemon/process_runtime.js';
 import { stopSignal } from '../../daemon/stop_signal.js';
--- a/test/unit/examples.test.ts
+++ b/test/unit/examples.test.ts
@@ -9,7 +9,7 @@
   controlSettingsSchema,
   proxySettingsSchema,
   readSettings,
-} from '../../src/settings/settings.js';
+} from '../../src/mysql/configuration/settings.js';
 
 const EXAMPLES = fileURLToPath(new URL('../../../examples', import.meta.url));
 
