--- a/src/appointed/routing/request_deadline.ts
+++ b/src/appointed/routing/request_deadline.ts
@@ -111,10 +111,11 @@
   /**
    * Milliseconds that a statement may wait for a connection to one instance. A connection owner knows its queue and refuses
    * at once a statement that it would serve too late, so at the only instance that is left the wait there may be long.
+   * @param queuesAtOwner - whether statements of all proxies queue at few connection owners
    * @param targetsLeft - instances that are left to try, this one included
    */
-  connectionWait(isOwned: boolean, targetsLeft = 1): number {
-    return Math.max(MINIMUM_ATTEMPT_MS, this.connectionLimit(isOwned, targetsLeft));
+  connectionWait(queuesAtOwner: boolean, targetsLeft = 1): number {
+    return Math.max(MINIMUM_ATTEMPT_MS, this.connectionLimit(queuesAtOwner, targetsLeft));
   }
 
   /**
@@ -137,9 +138,9 @@
     return Math.max(slowAnswerMs, this.route.targetLatencyMs * STATEMENT_FRACTION);
   }
 
-  private connectionLimit(isOwned: boolean, targetsLeft: number): number {
+  private connectionLimit(queuesAtOwner: boolean, targetsLeft: number): number {
     if (targetsLeft > 1) return this.offerRemaining / targetsLeft;
-    return isOwned ? this.retryRemaining : this.offerRemaining;
+    return queuesAtOwner ? this.retryRemaining : this.offerRemaining;
   }
 
   /** Milliseconds in which another attempt is worth while. */
