--- a/src/appointed/connections/connection_opener.ts
+++ b/src/appointed/connections/connection_opener.ts
@@ -21,7 +21,7 @@
 export interface Opening {
   readonly connection: InstanceConnection;
   readonly tenant: string;
-  /** Position that the instance told at the start of the connection. */
+  /** Position that the instance named at the start of the connection. */
   readonly position: Position | undefined;
   /** When the connection was asked for. */
   readonly startedAt: number;
--- a/src/appointed/connections/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -11,7 +11,7 @@
  * transaction and closed after the idle time-out (see {@link IdleTimeout}); connection owners have shares of their own.
  *
  * docs/design/connection-shares.md. Known fault: with an equal share between one and two each proxy could keep one and is
- * told to keep none (docs/measurements/large.md, 229 proxies on 400 connections).
+ * keeps none (docs/measurements/large.md, 229 proxies on 400 connections).
  */
 
 /** Connections that one proxy may hold to one instance. */
--- a/src/appointed/connections/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -50,9 +50,11 @@
   private isClosed = false;
 
   constructor(
+    /** The instance. */
     readonly target: InstanceTarget,
     connector: InstanceConnector,
     private readonly clock: Clock,
+    /** What the answers of the instance say of it. */
     readonly load: InstanceLoad,
     private readonly options: PoolOptions,
     private readonly listener: PoolListener,
@@ -120,39 +122,6 @@
     });
   }
 
-  /** Refuses a request that would wait in vain; queues it otherwise, and refuses those that it displaces. */
-  private enqueue(request: WaitingRequest, timeoutMs: number, now: number): void {
-    const { atATime } = this;
-    const isLimited = atATime !== Infinity;
-    const ranked = isLimited ? this.waiters.rankWith(request, now) : undefined;
-    const ahead = ranked?.indexOf(request) ?? 0;
-    const pauseMs = this.limit.remainingPause(now);
-    if (expectedWait(pauseMs, ahead, atATime, this.load.latency) > timeoutMs) {
-      request.reject(this.refusal('full'));
-      return;
-    }
-    this.waiters.add(request, () => this.refusal('timeout'));
-    if (ranked) this.refuseDisplaced(ranked, atATime, now);
-    this.demand.refill();
-  }
-
-  /** Refuses at once, not when their time is over, the requests that more urgent ones keep from a connection in time. */
-  private refuseDisplaced(ranked: readonly WaitingRequest[], atATime: number, now: number): void {
-    const spacingMs = startSpacing(atATime, this.load.latency);
-    if (spacingMs === 0 || ranked.length < 2) return;
-    const error = (): AcquireError => this.refusal('displaced');
-    const displaced = this.waiters.rejectDisplaced(ranked, spacingMs, now, error);
-    for (const { tenant, priority, arrivedAt } of displaced) {
-      const waitedMs = now - arrivedAt;
-      this.listener.onDisplaced({ tenant, priority, waitedMs, waiting: this.waiting });
-    }
-  }
-
-  private refusal(failure: AcquireFailure): AcquireError {
-    this.refused.set(failure, (this.refused.get(failure) ?? 0) + 1);
-    return new AcquireError(failure);
-  }
-
   /** Lowers the concurrency limit: the instance turned a statement away since it was busy. */
   noteBusy(): void {
     const now = this.clock.now();
@@ -224,6 +193,39 @@
     this.waiters.rejectAll(() => this.refusal('closed'));
   }
 
+  /** Refuses a request that would wait in vain; queues it otherwise, and refuses those that it displaces. */
+  private enqueue(request: WaitingRequest, timeoutMs: number, now: number): void {
+    const { atATime } = this;
+    const isLimited = atATime !== Infinity;
+    const ranked = isLimited ? this.waiters.rankWith(request, now) : undefined;
+    const ahead = ranked?.indexOf(request) ?? 0;
+    const pauseMs = this.limit.remainingPause(now);
+    if (expectedWait(pauseMs, ahead, atATime, this.load.latency) > timeoutMs) {
+      request.reject(this.refusal('full'));
+      return;
+    }
+    this.waiters.add(request, () => this.refusal('timeout'));
+    if (ranked) this.refuseDisplaced(ranked, atATime, now);
+    this.demand.refill();
+  }
+
+  /** Refuses at once, not when their time is over, the requests that more urgent ones keep from a connection in time. */
+  private refuseDisplaced(ranked: readonly WaitingRequest[], atATime: number, now: number): void {
+    const spacingMs = startSpacing(atATime, this.load.latency);
+    if (spacingMs === 0 || ranked.length < 2) return;
+    const error = (): AcquireError => this.refusal('displaced');
+    const displaced = this.waiters.rejectDisplaced(ranked, spacingMs, now, error);
+    for (const { tenant, priority, arrivedAt } of displaced) {
+      const waitedMs = now - arrivedAt;
+      this.listener.onDisplaced({ tenant, priority, waitedMs, waiting: this.waiting });
+    }
+  }
+
+  private refusal(failure: AcquireFailure): AcquireError {
+    this.refused.set(failure, (this.refused.get(failure) ?? 0) + 1);
+    return new AcquireError(failure);
+  }
+
   private take(request: ConnectionRequest): PooledConnection | undefined {
     const pooled = this.idle.takeClosest(request);
     if (!pooled) return undefined;
--- a/src/appointed/connections/pool_options.ts
+++ b/src/appointed/connections/pool_options.ts
@@ -1,4 +1,4 @@
-/** What a pool of connections is told by its proxy, and whom it tells what happens. Types only. */
+/** Settings of a pool of connections, and what it reports to its proxy. Types only. */
 import type { Position } from '../../positions/position.js';
 import type { RandomSource } from '../../runtime/runtime.js';
 import type { ConnectError } from '../instance/instance_connection.js';
@@ -46,7 +46,7 @@
 export interface PoolListener {
   /** A connection could not be opened. */
   onConnectFailed(error: ConnectError): void;
-  /** A connection was opened; the instance told its position after `startedAt`. */
+  /** A connection was opened; the instance named its position after `startedAt`. */
   onOpened(position: Position, startedAt: number): void;
   /** The instance turned a statement away, and the pool sends fewer from now on. */
   onBusy(reaction: BusyReaction): void;
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -22,7 +22,7 @@
 
 const { RelayOutcome } = whinyoke;
 
-/** Whose statements a connection carries, and through whom. */
+/** What a relayed connection is for, and the owners that may run its statements. */
 export interface RelayedRoute {
   readonly instance: string;
   /** Undefined for statements of the system itself. */
@@ -46,7 +46,7 @@
 type OwnerReply =
   { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: OwnerUnreachableError };
 
-/** Time for a request and its reply on the way, in milliseconds: a trip within a region, and a busy process. Guess, not measured. */
+/** Time for a request and its reply on the way, in milliseconds. Guess, not measured. */
 const TRAVEL_MS = 40;
 /** Sent where a statement has no objective, in milliseconds: longer than any statement waits. */
 const LONGEST_USEFUL_MS = 600_000;
