--- a/src/appointed/connections/concurrency_limit.ts
+++ b/src/appointed/connections/concurrency_limit.ts
@@ -17,13 +17,13 @@
 import type { RandomSource } from '../../runtime/runtime.js';
 
 /** Fraction of the limit that is left after a BUSY. Guess, not measured. */
-const DECREASE_FACTOR = 0.5;
+const LIMIT_DECREASE_FACTOR = 0.5;
 /** First pause, in milliseconds. Guess, not measured. */
-const SHORTEST_PAUSE_MS = 10;
+const SHORTEST_BUSY_PAUSE_MS = 10;
 /** Longest pause, in milliseconds: six doublings of the first. Guess, not measured. */
-const LONGEST_PAUSE_MS = 640;
+const LONGEST_BUSY_PAUSE_MS = 640;
 /** Fraction of the pause that is left after a statement was served: many proxies take turns. Guess, not measured. */
-const PAUSE_DECAY = 0.8;
+const BUSY_PAUSE_DECAY = 0.8;
 /** Refusals within this time of one count once, in milliseconds: they come from the same moment. Guess, not measured. */
 const REFUSAL_SPACING_MS = 20;
 /** From so many statements at a time (a count) on the limit is lifted: it holds back nothing. Guess, not measured. */
@@ -61,9 +61,12 @@
     if (now - this.refusedAt < REFUSAL_SPACING_MS) return false;
     this.refusedAt = now;
     const present = Math.min(this.limit, Math.max(1, underWay));
-    this.limit = Math.max(1, present * DECREASE_FACTOR);
+    this.limit = Math.max(1, present * LIMIT_DECREASE_FACTOR);
     if (this.limit > 1) return true;
-    this.pauseMs = Math.min(LONGEST_PAUSE_MS, Math.max(SHORTEST_PAUSE_MS, this.pauseMs * 2));
+    this.pauseMs = Math.min(
+      LONGEST_BUSY_PAUSE_MS,
+      Math.max(SHORTEST_BUSY_PAUSE_MS, this.pauseMs * 2),
+    );
     this.pausedUntil = now + this.pauseMs * (0.5 + this.random.next());
     return true;
   }
@@ -71,7 +74,7 @@
   /** Raises the limit, if there is one: the instance served a statement. */
   noteServed(): void {
     if (this.limit === Infinity) return;
-    this.pauseMs *= PAUSE_DECAY;
+    this.pauseMs *= BUSY_PAUSE_DECAY;
     this.limit += 1 / this.limit;
     if (this.limit >= UNLIMITED_FROM) this.limit = Infinity;
   }
--- a/src/appointed/connections/idle_timeout.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -15,11 +15,11 @@
  */
 
 /** Shortest time-out, in milliseconds: connections are opened and closed all the time below it. Guess, not measured. */
-const SHORTEST_MS = 50;
+const SHORTEST_IDLE_TIMEOUT_MS = 50;
 /** Added with each connection that could be opened, in milliseconds. Guess, not measured. */
-const INCREASE_MS = 10;
+const TIMEOUT_INCREASE_MS = 10;
 /** Fraction of the time-out that is left after a refusal. Guess, not measured. */
-const DECREASE_FACTOR = 0.5;
+const TIMEOUT_DECREASE_FACTOR = 0.5;
 
 /** Idle time-out of one pool. */
 export class IdleTimeout {
@@ -28,13 +28,13 @@
 
   /** Lengthens the time-out: a connection could be opened. */
   noteOpened(): void {
-    this.timeoutMs += INCREASE_MS;
+    this.timeoutMs += TIMEOUT_INCREASE_MS;
   }
 
   /** Halves the time-out: the instance had no connection left. `longestMs` is the time-out by the share. */
   noteLimit(longestMs: number): void {
     const present = Math.min(this.timeoutMs, longestMs);
-    this.timeoutMs = Math.max(SHORTEST_MS, present * DECREASE_FACTOR);
+    this.timeoutMs = Math.max(SHORTEST_IDLE_TIMEOUT_MS, present * TIMEOUT_DECREASE_FACTOR);
   }
 
   /** Time after which an idle connection is closed, in milliseconds. `longestMs` is the time-out by the share. */
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -30,7 +30,7 @@
 const { InstanceState } = whinyoke;
 
 /** Longest time of an opening, in milliseconds. Guess, not measured. */
-const CONNECT_TIMEOUT_MS = 600;
+const OPENING_TIMEOUT_MS = 600;
 /** Slots (a count) of an instance whose heartbeat names none. Guess, not measured. */
 const UNKNOWN_SLOTS = 8;
 
@@ -154,7 +154,7 @@
     const options: PoolOptions = {
       share: () => this.owners.shareOf(this.ownedInstance(instance), liveProxies()),
       slots: () => this.entries.get(target.id)?.slots || UNKNOWN_SLOTS,
-      connectTimeoutMs: CONNECT_TIMEOUT_MS,
+      connectTimeoutMs: OPENING_TIMEOUT_MS,
       proxies: liveProxies,
       opensSpares: () => this.opensSpares(instance),
       weightOf: (tenant) => this.surroundings.tenantRate(tenant) ?? 1,
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -28,14 +28,17 @@
     private readonly ownersFor: (tenant: string) => readonly string[],
   ) {}
 
+  /** Whether requests queue at a connection owner. */
   get queuesAtOwner(): boolean {
     return this.ownersFor(NO_TENANT).length > 0;
   }
 
+  /** What the answers of the instance say of it. */
   get load(): InstanceLoad {
     return this.local.load;
   }
 
+  /** A connection of the pool where this proxy is the first owner or no owner may be tried; a relayed one otherwise. */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     const owners = this.ownersFor(request.tenant ?? NO_TENANT).filter((address) =>
       this.surroundings.health.mayTry(address),
@@ -60,28 +63,34 @@
     return Promise.resolve(pooled);
   }
 
+  /** Gives a connection back to where it came from. */
   release(pooled: PooledConnection): void {
     if (pooled.isRelayed) this.relayed.delete(pooled);
     else this.local.release(pooled);
   }
 
+  /** Closes a connection whose state is unknown. */
   discard(pooled: PooledConnection): void {
     if (pooled.isRelayed) pooled.connection.close();
     else this.local.discard(pooled);
   }
 
+  /** A statement of a transaction begins. Owners count their own statements. */
   wake(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.local.wake(pooled);
   }
 
+  /** A transaction waits for its caller. Owners count their own statements. */
   rest(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.local.rest(pooled);
   }
 
+  /** The instance was busy. Owners hear of that themselves. */
   noteBusy(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.local.noteBusy();
   }
 
+  /** The instance served a statement. Owners hear of that themselves. */
   noteServed(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.local.noteServed();
   }
--- a/src/appointed/relay/owner_health.ts
+++ b/src/appointed/relay/owner_health.ts
@@ -16,10 +16,10 @@
 
 /** Time between two probes of an owner that is away, in milliseconds. Guess, not measured. */
 const PROBE_SPACING_MS = 250;
-/** Time for its answer, in milliseconds: more than a trip within a region, and a busy process. Guess, not measured. */
-const ANSWER_TIMEOUT_MS = 150;
+/** Time for an answer to a probe, in milliseconds: more than a trip within a region, and a busy process. Guess, not measured. */
+const PROBE_TIMEOUT_MS = 150;
 /** An owner that no statement wanted for this long, in milliseconds, is not probed any more. Guess, not measured. */
-const WANTED_MS = 4000;
+const PROBED_SINCE_WANTED_MS = 4000;
 
 interface Absence {
   /** When a statement last asked for the owner. */
@@ -58,7 +58,7 @@
     this.clock.setTimer(PROBE_SPACING_MS, () => {
       const absence = this.absent.get(address);
       if (!absence) return;
-      if (this.clock.now() - absence.wantedAt > WANTED_MS) this.absent.delete(address);
+      if (this.clock.now() - absence.wantedAt > PROBED_SINCE_WANTED_MS) this.absent.delete(address);
       else void this.probe(address);
     });
   }
@@ -67,7 +67,7 @@
   private async probe(address: string): Promise<void> {
     const relayRequest = { closes: true };
     try {
-      await this.messenger.request(address, { relayRequest }, ANSWER_TIMEOUT_MS);
+      await this.messenger.request(address, { relayRequest }, PROBE_TIMEOUT_MS);
       this.noteAnswer(address);
     } catch {
       // Nothing is lost: the owner stays away, and is probed again for as long as statements want it.
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -24,9 +24,11 @@
 
 /** What a relayed connection is for, and the owners that may run its statements. */
 export interface RelayedRoute {
+  /** Identifier of the instance. */
   readonly instance: string;
   /** Undefined for statements of the system itself. */
   readonly tenant: string | undefined;
+  /** 0 is the most urgent. */
   readonly priority: number;
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
   readonly usefulMs: number | undefined;
@@ -54,6 +56,7 @@
 
 /** One connection. */
 export class RelayedConnection implements InstanceConnection {
+  /** Called once when the connection ends. */
   onClosed: (() => void) | undefined;
   private readonly values = new Map<string, string>();
   private state: InstanceAnswer['state'] = 'idle';
@@ -72,10 +75,12 @@
     private readonly surroundings: RelaySurroundings,
   ) {}
 
+  /** Whether the connection has ended. */
   get closed(): boolean {
     return this.isClosed;
   }
 
+  /** Runs one command at an owner; session values and prepared shapes travel with the next statement. */
   run(command: InstanceCommand, timeoutMs: number): Promise<InstanceAnswer> {
     if (this.isClosed) {
       const error = new BackendConnectionLostError('connection is closed', { sent: false });
@@ -102,6 +107,7 @@
     }
   }
 
+  /** Ends the connection at once, also the one that an owner keeps for it. */
   close(): void {
     if (this.isClosed) return;
     const { kept } = this;
--- a/src/hashing/rendezvous.ts
+++ b/src/hashing/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
  * Rendezvous hashing (Thaler and Ravishankar 1998): an order of nodes for each key that all processes
- * agree on, and that changes little when nodes come and go.
+ * agree on, and that changes little when nodes come and go. Owns the orders of the keys in use; pure, nothing can fail.
  */
 
 /** Hash of a text; the same in all processes that share keys. */
