--- a/lab/appointed/appointed_faults.ts
+++ b/lab/appointed/appointed_faults.ts
@@ -32,7 +32,7 @@
 ] as const;
 
 /** Kinds of faults of deployments with tenants; the others keep theirs, so that their seeds keep their meaning. */
-export const TENANT_FAULTS = ['renew-credential', 'swap-credentials', 'mute-connections'] as const;
+const TENANT_FAULTS = ['renew-credential', 'swap-credentials', 'mute-connections'] as const;
 
 /** Kind of a fault. */
 export type AppointedFaultKind = (typeof APPOINTED_FAULTS)[number] | (typeof TENANT_FAULTS)[number];
--- a/lab/appointed/appointed_judge.ts
+++ b/lab/appointed/appointed_judge.ts
@@ -346,7 +346,7 @@
 }
 
 /** Most operations that were both sent and run in one window; `runs` are in the order in which they ran. */
-export function mostInAnyWindow(runs: readonly TenantRun[], windowMs: number): number {
+function mostInAnyWindow(runs: readonly TenantRun[], windowMs: number): number {
   let most = 0;
   for (const [index, last] of runs.entries()) {
     const begin = last.ranAt - windowMs;
--- a/lab/appointed/appointed_nodes.ts
+++ b/lab/appointed/appointed_nodes.ts
@@ -112,7 +112,7 @@
 
 /** A control machine. */
 export class SimulatedCoordinator extends SimulatedMachine<AppointedSurroundings> {
-  core: AppointedControl | undefined;
+  private core: AppointedControl | undefined;
   private isFirstStart = true;
 
   constructor(
--- a/lab/appointed/appointed_world.ts
+++ b/lab/appointed/appointed_world.ts
@@ -72,7 +72,7 @@
   readonly lines: SimulatedLogLine[] = [];
   /** Process of callers, operators and the platform; faults never touch it. */
   readonly outside: VirtualProcess;
-  acknowledgedVersion = 0;
+  private acknowledgedVersion = 0;
   /** Tenants and their present credentials; undefined where callers need none. */
   readonly tenancy: SimulatedTenancy | undefined;
   private nextVersion = 1;
--- a/lab/appointed/emulated_instance.ts
+++ b/lab/appointed/emulated_instance.ts
@@ -56,7 +56,6 @@
   writes: string[] = [];
 
   constructor(
-    readonly number: number,
     /** Tenant that was named when it was opened. */
     readonly tenant: string,
     private readonly onClose: () => void,
@@ -87,7 +86,6 @@
   private readonly queue: (() => void)[] = [];
   private readonly commitWaiters = new Map<LogRecord, () => void>();
   private connections = 0;
-  private nextSession = 1;
   private nextSignature = 1;
 
   constructor(
@@ -121,7 +119,7 @@
   connect(tenant: string): EmulatedSession | undefined {
     if (this.connections >= this.options.connectionLimit) return undefined;
     this.connections++;
-    return new EmulatedSession(this.nextSession++, tenant, () => this.connections--);
+    return new EmulatedSession(tenant, () => this.connections--);
   }
 
   /** Runs a command; the fate tells whether its answer is sent. */
--- a/lab/database/daemon.ts
+++ b/lab/database/daemon.ts
@@ -14,8 +14,13 @@
 import { DatabaseInstance } from './instance.js';
 import { createEndpoint } from './mysql_endpoint.js';
 
+/** Interval of a primary's heartbeats, in milliseconds; several fit into the shortest election time-out in use. */
+const HEARTBEAT_MS = 50;
+/** How long a statement waits for a row lock, in milliseconds. */
+const LOCK_WAIT_MS = 1000;
+
 /** Settings of an emulated instance. */
-export const databaseSettingsSchema = z.strictObject({
+const databaseSettingsSchema = z.strictObject({
   data_folder: z.string(),
   listen: addressSchema,
   group_address: addressSchema,
@@ -27,10 +32,8 @@
   connections: z.int().min(1),
   connect_ms: z.number().min(0),
   statement_ms: z.number().min(0),
-  lag_ms: z.number().min(0).default(0),
-  heartbeat_ms: z.number().default(50),
-  election_timeout_ms: z.number().default(300),
-  lock_wait_ms: z.number().default(1000),
+  lag_ms: z.number().min(0),
+  election_timeout_ms: z.number().min(1),
   /** The former data folder was lost: rejoin the group without a vote until caught up. */
   lost_disk: z.boolean().default(false),
 });
@@ -98,14 +101,14 @@
     group: {
       address: settings.group_address,
       members: settings.members,
-      heartbeatMs: settings.heartbeat_ms,
+      heartbeatMs: HEARTBEAT_MS,
       electionTimeoutMs: settings.election_timeout_ms,
     },
     slots: settings.slots,
     connections: settings.connections,
     connectMs: settings.connect_ms,
     statementMs: settings.statement_ms,
-    lockWaitMs: settings.lock_wait_ms,
+    lockWaitMs: LOCK_WAIT_MS,
   });
   instance.member.replicationLagMs = settings.lag_ms;
   await tcp.listen();
--- a/lab/database/evaluate.ts
+++ b/lab/database/evaluate.ts
@@ -11,7 +11,7 @@
 }
 
 /** Compares two values as MySQL does for the types of this subset; undefined with a NULL. */
-export function compareValues(left: Value, right: Value): number | undefined {
+function compareValues(left: Value, right: Value): number | undefined {
   if (left === null || right === null) return undefined;
   if (typeof left === 'number' || typeof right === 'number') return Number(left) - Number(right);
   const leftText = left.toString();
--- a/lab/database/group_member.ts
+++ b/lab/database/group_member.ts
@@ -86,7 +86,6 @@
   private knowsTerm = true;
   private writing: Promise<void> = Promise.resolve();
   private storing: Promise<void> = Promise.resolve();
-  private stopped = false;
 
   constructor(
     private readonly runtime: Runtime,
@@ -123,12 +122,6 @@
     return this.hasJoined && !this.isRejoining;
   }
 
-  /** Stops timers; used when a process ends in an orderly way. */
-  stop(): void {
-    this.stopped = true;
-    this.electionTimer?.cancel();
-  }
-
   /** Newest transaction that is durable here. */
   get receivedPosition(): Position {
     return this.positionAt(this.durable);
@@ -179,11 +172,6 @@
     return { refusal: { reason: 'not a group message' } };
   }
 
-  /** All entries, for the lab's checks. */
-  get log(): readonly LogEntry[] {
-    return this.entries;
-  }
-
   private positionAt(count: number): Position {
     const entry = this.entries[count - 1];
     return entry ? { term: entry.term, sequence: entry.sequence } : START;
@@ -254,7 +242,7 @@
    * hold them, a majority of the at most three members (Raft, section 5.4.2).
    */
   private mayExecute(): boolean {
-    if (this.role !== 'secondary' || this.stopped || !this.hasJoined) return false;
+    if (this.role !== 'secondary' || !this.hasJoined) return false;
     return this.holdsCurrentTerm() && this.executed < this.durable;
   }
 
@@ -268,7 +256,7 @@
    */
   private async learnNewestTerm(): Promise<void> {
     const request: MessageBody = { databaseVoteRequest: { term: 0, candidate: '' } };
-    while (!this.knowsTerm && !this.stopped) {
+    while (!this.knowsTerm) {
       const bodies = await Promise.all(this.peers().map((peer) => this.ask(peer, request)));
       const terms = bodies.map((body) => body?.databaseVoteReply?.term);
       for (const term of terms) await this.learnTerm(term ?? 0);
@@ -291,7 +279,6 @@
 
   private waitForPrimary(): void {
     this.electionTimer?.cancel();
-    if (this.stopped) return;
     const base = this.options.electionTimeoutMs;
     const timeout = this.runtime.random.integer(base, Math.floor(base * 1.5));
     this.electionTimer = this.runtime.clock.setTimer(timeout, () => void this.campaign());
@@ -343,7 +330,7 @@
   }
 
   private heartbeat(term: number): void {
-    if (this.stopped || this.role !== 'primary' || this.term !== term) return;
+    if (this.role !== 'primary' || this.term !== term) return;
     this.replicate();
     this.runtime.clock.setTimer(this.options.heartbeatMs, () => this.heartbeat(term));
   }
@@ -358,7 +345,7 @@
     this.sending.add(peer);
     try {
       let again = true;
-      while (again && this.role === 'primary' && this.term === term && !this.stopped) {
+      while (again && this.role === 'primary' && this.term === term) {
         again = await this.sendBatch(peer, term);
       }
     } finally {
--- a/lab/fleet/fleet.ts
+++ b/lab/fleet/fleet.ts
@@ -37,18 +37,14 @@
 
 /** State that an instance shows on its fault port. */
 export interface InstanceState {
-  readonly role: string;
   readonly writable: boolean;
   readonly term: number;
-  readonly received: string;
-  readonly executed: string;
   /** Whether it is a full member, not recovering. */
   readonly online: boolean;
   readonly usage: {
     readonly highestConnections: number;
     readonly highestRunning: number;
     readonly refusedStatements: number;
-    readonly statements: number;
   };
 }
 
@@ -66,7 +62,7 @@
     port: 0,
     sharedKey: Buffer.from(SHARED_KEY),
   });
-  readonly operators: OperatorClient;
+  private readonly operators: OperatorClient;
 
   constructor(
     readonly layout: Layout,
@@ -102,7 +98,7 @@
   }
 
   /** Starts the platform. */
-  startPlatform(): void {
+  private startPlatform(): void {
     const settings = {
       listen: this.layout.platform,
       machines: this.layout.instances.map(({ mysql }) => ({ address: mysql, state: 'live' })),
--- a/lab/history/checker.ts
+++ b/lab/history/checker.ts
@@ -1,13 +1,12 @@
 /** Decides over a history whether the invariants held. Each check names the operations at fault. */
 import { checkConfigurationDelay, checkConfigurations } from './configuration_checks.js';
 import type { ErrorEvent, FinalEvent, HistoryEvent, OkEvent, UsageEvent } from './history.js';
-import {
-  type CheckOptions,
-  DEFAULT_CHECK_OPTIONS,
-  type Operation,
-  type Violation,
-  groupBy,
-} from './violation.js';
+import { type Operation, type Violation, groupBy } from './violation.js';
+
+/** A leaving instance gets no new work after this time, in milliseconds; bound of the brief. */
+const DRAIN_MS = 3000;
+/** An acknowledgement may be on its way for this time after its evidence, in milliseconds. */
+const ACKNOWLEDGEMENT_MS = 700;
 
 /** All operations of a history, in the order of their invocation. */
 export function operationsOf(events: readonly HistoryEvent[]): Operation[] {
@@ -26,7 +25,7 @@
 }
 
 /** Sessions see their own writes, and never go back to an older state. */
-export function checkSessions(operations: readonly Operation[]): Violation[] {
+function checkSessions(operations: readonly Operation[]): Violation[] {
   const violations: Violation[] = [];
   const done = operations.filter(
     (operation) => operation.ok?.version !== undefined && operation.invoke.kind !== 'payment',
@@ -57,7 +56,7 @@
 }
 
 /** Acknowledged writes of a register are linearizable: versions are unique and follow real time. */
-export function checkRegisters(operations: readonly Operation[]): Violation[] {
+function checkRegisters(operations: readonly Operation[]): Violation[] {
   const violations: Violation[] = [];
   const writes = operations.filter(({ invoke, ok }) => invoke.kind === 'write' && ok);
   const registerOf = ({ invoke }: Operation): string => `${invoke.group}/${invoke.key}`;
@@ -104,7 +103,7 @@
 }
 
 /** Reads of sessions without a token see every write that was acknowledged before they were sent. */
-export function checkFreshReads(operations: readonly Operation[]): Violation[] {
+function checkFreshReads(operations: readonly Operation[]): Violation[] {
   const violations: Violation[] = [];
   const done = operations.filter(({ ok }) => ok?.version !== undefined);
   const registerOf = ({ invoke }: Operation): string => `${invoke.group}/${invoke.key}`;
@@ -211,7 +210,7 @@
 }
 
 /** What was acknowledged is kept, what was told not to have run did not, marked requests ran once. */
-export function checkFinalState(
+function checkFinalState(
   events: readonly HistoryEvent[],
   operations: readonly Operation[],
 ): Violation[] {
@@ -227,7 +226,7 @@
 }
 
 /** Each answer belongs to its own request. */
-export function checkAnswers(operations: readonly Operation[]): Violation[] {
+function checkAnswers(operations: readonly Operation[]): Violation[] {
   return operations.flatMap(({ invoke, ok }) => {
     if (invoke.kind !== 'read' || !ok) return [];
     const isOwn = ok.echo === invoke.operation && ok.answeredKey === invoke.key;
@@ -238,17 +237,16 @@
 }
 
 /** No write is acknowledged in a term that was over. */
-export function checkPrimaries(
+function checkPrimaries(
   events: readonly HistoryEvent[],
   operations: readonly Operation[],
-  options: CheckOptions,
 ): Violation[] {
   const elections = events.filter((event) => event.type === 'elected');
   return operations.flatMap(({ invoke, ok }) => {
     const term = ok?.term;
     if (!ok || term === undefined || invoke.kind === 'read') return [];
     const newer = elections.find((event) => event.group === invoke.group && event.term > term);
-    if (!newer || ok.at <= newer.at + options.acknowledgementMs) return [];
+    if (!newer || ok.at <= newer.at + ACKNOWLEDGEMENT_MS) return [];
     const message =
       `${invoke.operation} was acknowledged in term ${term}` +
       ` ${Math.round(ok.at - newer.at)} ms after the election of term ${newer.term}`;
@@ -257,7 +255,7 @@
 }
 
 /** A leaving instance gets no new work after a few seconds. */
-export function checkDrain(events: readonly HistoryEvent[], options: CheckOptions): Violation[] {
+function checkDrain(events: readonly HistoryEvent[]): Violation[] {
   const leavingSince = new Map<string, number>();
   const violations: Violation[] = [];
   for (const event of events) {
@@ -267,7 +265,7 @@
     }
     if (event.type !== 'work') continue;
     const since = leavingSince.get(event.instance);
-    if (since === undefined || event.at <= since + options.drainMs) continue;
+    if (since === undefined || event.at <= since + DRAIN_MS) continue;
     violations.push({
       check: 'drain',
       message: `${event.instance} got work ${Math.round(event.at - since)} ms after it left`,
@@ -277,7 +275,7 @@
 }
 
 /** A planned stop cuts off no request that was in progress. */
-export function checkStops(
+function checkStops(
   events: readonly HistoryEvent[],
   operations: readonly Operation[],
 ): Violation[] {
@@ -315,7 +313,7 @@
 }
 
 /** Once all faults are over, every group serves writes through every proxy. */
-export function checkRecovery(events: readonly HistoryEvent[]): Violation[] {
+function checkRecovery(events: readonly HistoryEvent[]): Violation[] {
   return events.flatMap((event) => {
     if (event.type !== 'recovery' || event.served) return [];
     const reason = event.reason ?? '';
@@ -325,10 +323,7 @@
 }
 
 /** All violations of a history. */
-export function checkHistory(
-  events: readonly HistoryEvent[],
-  options: CheckOptions = DEFAULT_CHECK_OPTIONS,
-): Violation[] {
+export function checkHistory(events: readonly HistoryEvent[]): Violation[] {
   const operations = operationsOf(events);
   return [
     ...checkSessions(operations),
@@ -336,11 +331,11 @@
     ...checkFreshReads(operations),
     ...checkFinalState(events, operations),
     ...checkAnswers(operations),
-    ...checkPrimaries(events, operations, options),
-    ...checkDrain(events, options),
+    ...checkPrimaries(events, operations),
+    ...checkDrain(events),
     ...checkStops(events, operations),
     ...checkConfigurations(events),
-    ...checkConfigurationDelay(events, options),
+    ...checkConfigurationDelay(events),
     ...checkLimits(events),
     ...checkRecovery(events),
   ];
--- a/lab/history/configuration_checks.ts
+++ b/lab/history/configuration_checks.ts
@@ -1,6 +1,12 @@
 /** Checks of accepted configurations over a history. */
 import type { HistoryEvent } from './history.js';
-import { type CheckOptions, type Violation, groupBy } from './violation.js';
+import { type Violation, groupBy } from './violation.js';
+
+/**
+ * An accepted configuration is in force after this time, once no fault is under way, in milliseconds; bound of the
+ * brief.
+ */
+const IN_FORCE_MS = 7000;
 
 /** Revisions in force never go back, and what was accepted is kept. */
 export function checkConfigurations(events: readonly HistoryEvent[]): Violation[] {
@@ -74,10 +80,7 @@
 }
 
 /** An accepted configuration is in force on every proxy within seconds. */
-export function checkConfigurationDelay(
-  events: readonly HistoryEvent[],
-  options: CheckOptions,
-): Violation[] {
+export function checkConfigurationDelay(events: readonly HistoryEvent[]): Violation[] {
   const accepted = events.filter(
     (event) => event.type === 'submission' && event.outcome === 'accepted',
   );
@@ -90,10 +93,10 @@
     if (submission.type !== 'submission') continue;
     for (const [proxy, changes] of inForce) {
       const first = changes.find(({ revision }) => revision >= submission.revision);
-      if (!first || first.at - submission.at <= options.inForceMs) continue;
+      if (!first || first.at - submission.at <= IN_FORCE_MS) continue;
       const calm = calmSince(events, first.at);
       const waited = first.at - Math.max(submission.at, calm ?? Infinity);
-      if (waited <= options.inForceMs) continue;
+      if (waited <= IN_FORCE_MS) continue;
       violations.push({
         check: 'configuration-delay',
         message: `${proxy} had revision ${submission.revision} in force ${Math.round(waited)} ms late`,
--- a/lab/history/history.ts
+++ b/lab/history/history.ts
@@ -60,7 +60,7 @@
 }
 
 /** An instance became primary of its group. */
-export interface ElectedEvent {
+interface ElectedEvent {
   readonly type: 'elected';
   readonly at: number;
   readonly group: string;
@@ -69,14 +69,14 @@
 }
 
 /** A fault began or ended. */
-export interface FaultEvent {
+interface FaultEvent {
   readonly type: 'fault';
   readonly at: number;
   readonly description: string;
 }
 
 /** An instance was told to take no new work, by its configuration or its own word. */
-export interface LeavingEvent {
+interface LeavingEvent {
   readonly type: 'leaving';
   readonly at: number;
   readonly instance: string;
@@ -84,28 +84,28 @@
 }
 
 /** An instance began a statement of a new request. */
-export interface WorkEvent {
+interface WorkEvent {
   readonly type: 'work';
   readonly at: number;
   readonly instance: string;
 }
 
 /** A planned stop of a proxy began. */
-export interface StopEvent {
+interface StopEvent {
   readonly type: 'stop';
   readonly at: number;
   readonly proxy: string;
 }
 
 /** A proxy was ended without warning. */
-export interface KilledEvent {
+interface KilledEvent {
   readonly type: 'killed';
   readonly at: number;
   readonly proxy: string;
 }
 
 /** A proxy put a configuration in force. */
-export interface InForceEvent {
+interface InForceEvent {
   readonly type: 'in_force';
   readonly at: number;
   readonly proxy: string;
@@ -113,7 +113,7 @@
 }
 
 /** An operator's submission had an outcome. */
-export interface SubmissionEvent {
+interface SubmissionEvent {
   readonly type: 'submission';
   readonly at: number;
   readonly submission: string;
@@ -145,7 +145,7 @@
 }
 
 /** Configuration at the end of the run. */
-export interface FinalConfigurationEvent {
+interface FinalConfigurationEvent {
   readonly type: 'final_configuration';
   readonly at: number;
   /** Newest accepted revision, and the submissions in order. */
@@ -156,7 +156,7 @@
 }
 
 /** Whether a group served a write through a proxy once all faults were over. */
-export interface RecoveryEvent {
+interface RecoveryEvent {
   readonly type: 'recovery';
   readonly at: number;
   readonly proxy: string;
--- a/lab/history/violation.ts
+++ b/lab/history/violation.ts
@@ -35,23 +35,6 @@
   readonly error: ErrorEvent | undefined;
 }
 
-/** Bounds that the checks allow, in milliseconds. */
-export interface CheckOptions {
-  /** Time after which a leaving instance gets no new work. */
-  readonly drainMs: number;
-  /** Time after which an accepted configuration is in force, once no fault is under way. */
-  readonly inForceMs: number;
-  /** Time that an acknowledgement may be on its way after its evidence. */
-  readonly acknowledgementMs: number;
-}
-
-/** Bounds of the brief, and of the evidence rule. */
-export const DEFAULT_CHECK_OPTIONS: CheckOptions = {
-  drainMs: 3000,
-  inForceMs: 7000,
-  acknowledgementMs: 700,
-};
-
 /** Items by key, in their order. */
 export function groupBy<T>(items: readonly T[], keyOf: (item: T) => string): Map<string, T[]> {
   const groups = new Map<string, T[]>();
--- a/lab/platform/daemon.ts
+++ b/lab/platform/daemon.ts
@@ -14,7 +14,7 @@
 });
 
 /** Settings of the emulated platform. */
-export const platformSettingsSchema = z.strictObject({
+const platformSettingsSchema = z.strictObject({
   listen: addressSchema,
   /** Time by which the shown list is behind, in milliseconds. */
   lag_ms: z.number().min(0).default(0),
--- a/lab/simulation/scheduler.ts
+++ b/lab/simulation/scheduler.ts
@@ -26,9 +26,6 @@
   now = 0;
   private readonly heap: ScheduledEvent[] = [];
   private nextOrder = 0;
-  private accounts: Map<string, number> | undefined;
-  private owner = '';
-  private ownerSince = 0;
 
   /** Calls `callback` once, `delayMs` virtual milliseconds from now. */
   schedule(delayMs: number, callback: () => void): ScheduledEvent {
@@ -44,29 +41,6 @@
     event.callback = undefined;
   }
 
-  /** Starts to attribute real processor time to the owners of events. */
-  startAccounting(): void {
-    this.accounts = new Map();
-    this.ownerSince = performance.now();
-  }
-
-  /** Ends that; returns milliseconds by owner. */
-  stopAccounting(): ReadonlyMap<string, number> {
-    this.setOwner('');
-    const accounts = this.accounts ?? new Map<string, number>();
-    this.accounts = undefined;
-    return accounts;
-  }
-
-  /** Names who the present event and what follows from it belong to. */
-  setOwner(owner: string): void {
-    if (!this.accounts) return;
-    const now = performance.now();
-    this.accounts.set(this.owner, (this.accounts.get(this.owner) ?? 0) + now - this.ownerSince);
-    this.owner = owner;
-    this.ownerSince = now;
-  }
-
   /** Runs events until virtual time `until`. */
   runUntil(until: number): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -100,7 +74,6 @@
       const { callback } = next;
       if (!callback) continue;
       this.now = next.at;
-      this.setOwner('');
       callback();
       return true;
     }
--- a/lab/simulation/simulate_command.ts
+++ b/lab/simulation/simulate_command.ts
@@ -98,7 +98,7 @@
 }
 
 /** Command that runs one seed again. */
-export function replayCommand(options: SimulateOptions, seed: number): string {
+function replayCommand(options: SimulateOptions, seed: number): string {
   const parts = [
     `whinyoke-lab simulate --deployment ${options.deployment} --seeds ${seed}-${seed}`,
   ];
@@ -128,7 +128,7 @@
 }
 
 /** What happened around the operations that a report's violations name. */
-export function timelineOf(report: SimulationReport): string[] {
+function timelineOf(report: SimulationReport): string[] {
   const isPlainText = !report.history.startsWith('{');
   if (isPlainText) return report.history.split('\n').slice(0, MAXIMUM_TIMELINE);
   const named = new Set(
--- a/lab/simulation/simulation.ts
+++ b/lab/simulation/simulation.ts
@@ -13,7 +13,7 @@
   schemaStatements,
 } from '../workload/booking_session.js';
 import { type CallerConnection, tokenOf } from '../workload/caller.js';
-import { FAULT_KINDS, type FaultKind, startFault } from './faults.js';
+import { type FaultKind, startFault } from './faults.js';
 import { SimulatedOperator, submitFirst } from './operators.js';
 import { World } from './world.js';
 
@@ -213,6 +213,3 @@
   const history = world.history.events;
   return { seed, violations: checkHistory(history), history };
 }
-
-/** All kinds of faults. */
-export const ALL_FAULTS: readonly FaultKind[] = FAULT_KINDS;
--- a/lab/simulation/virtual_process.ts
+++ b/lab/simulation/virtual_process.ts
@@ -42,7 +42,6 @@
       this.held.push(callback);
       return;
     }
-    this.scheduler.setOwner(this.host);
     callback();
   }
 
--- a/lab/workload/mysql_caller.ts
+++ b/lab/workload/mysql_caller.ts
@@ -23,7 +23,6 @@
 interface ServerError extends Error {
   readonly errno?: number;
   readonly sqlState?: string;
-  readonly fatal?: boolean;
 }
 
 function toCallerError(error: ServerError): CallerError {
--- a/test/tools/local_fleet.ts
+++ b/test/tools/local_fleet.ts
@@ -17,7 +17,7 @@
  */
 const ELECTION_TIMEOUT_MS = 3000;
 
-export const LAB_PROGRAM = fileURLToPath(new URL('../../lab/cli/main.js', import.meta.url));
+const LAB_PROGRAM = fileURLToPath(new URL('../../lab/cli/main.js', import.meta.url));
 export const PROXY_PROGRAM = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
 
 /** One group of three instances, one control machine, three proxies of which one is the gateway. */
