--- a/lab/appointed/appointed_judge.ts
+++ b/lab/appointed/appointed_judge.ts
@@ -3,9 +3,16 @@
  * nothing of the code under test.
  */
 import type { CallerErrorKind } from '../../src/appointed/sessions/caller_reply.js';
-import type { DataStatement, PreparedShape } from '../../src/appointed/instance/statement.js';
+import type { PreparedShape } from '../../src/appointed/instance/statement.js';
 import type { SimulatedTenancy } from './simulated_tenancy.js';
-import type { EmulatedInstance, EmulatedSession, LogRecord } from './emulated_instance.js';
+import type {
+  CommitReport,
+  EmulatedInstance,
+  EmulatedSession,
+  InstanceJournal,
+  LogRecord,
+  RunReport,
+} from './emulated_instance.js';
 
 /** Checks, by what is broken. */
 export type ViolationKind =
@@ -29,31 +36,6 @@
   readonly detail: string;
 }
 
-/** What an instance reports of a statement that it runs. */
-export interface RunReport {
-  readonly instance: EmulatedInstance;
-  readonly session: EmulatedSession;
-  readonly id: string;
-  readonly statement: DataStatement;
-  readonly signature: string;
-  readonly rows: readonly string[];
-}
-
-/** What an instance reports of a commit. */
-export interface CommitReport {
-  readonly instance: EmulatedInstance;
-  readonly session: EmulatedSession;
-  readonly id: string;
-  readonly signature: string;
-}
-
-/** Hears of what instances do. */
-export interface InstanceJournal {
-  onRun(report: RunReport): void;
-  onCommit(report: CommitReport): void;
-  onAppended(record: LogRecord): void;
-}
-
 /** What a caller has been told so far, when it sends a request. */
 export interface CallerExpectation {
   readonly group: string;
--- a/lab/appointed/emulated_instance.ts
+++ b/lab/appointed/emulated_instance.ts
@@ -18,7 +18,6 @@
 import { delay } from '../../src/runtime/runtime.js';
 import { type Position, START, covers } from '../../src/positions/position.js';
 import type { VirtualProcess } from '../simulation/virtual_process.js';
-import type { InstanceJournal } from './appointed_judge.js';
 
 /** One committed transaction. */
 export interface LogRecord {
@@ -45,6 +44,7 @@
   term: number;
 }
 
+/** Statements that wait for a slot; one more is refused as busy. */
 const QUEUE_LENGTH = 24;
 
 /** One connection to an instance, on the instance's side. */
@@ -67,6 +67,31 @@
   }
 }
 
+/** What an instance reports of a statement that it runs. */
+export interface RunReport {
+  readonly instance: EmulatedInstance;
+  readonly session: EmulatedSession;
+  readonly id: string;
+  readonly statement: DataStatement;
+  readonly signature: string;
+  readonly rows: readonly string[];
+}
+
+/** What an instance reports of a commit. */
+export interface CommitReport {
+  readonly instance: EmulatedInstance;
+  readonly session: EmulatedSession;
+  readonly id: string;
+  readonly signature: string;
+}
+
+/** Hears of what instances do. */
+export interface InstanceJournal {
+  onRun(report: RunReport): void;
+  onCommit(report: CommitReport): void;
+  onAppended(record: LogRecord): void;
+}
+
 /** Decides what happens to the answer of a statement that ran. */
 export type AnswerFate = 'sent' | 'lost';
 
--- a/lab/database/instance.ts
+++ b/lab/database/instance.ts
@@ -7,7 +7,9 @@
 import { formatPosition } from '../../src/positions/position.js';
 import { GroupMember, type GroupOptions, type LogEntry, type MemberRole } from './group_member.js';
 import { InstanceSession } from './instance_session.js';
+import { NamedLocks } from './named_locks.js';
 import { RowLocks } from './row_locks.js';
+import type { HostedSession, SessionHost } from './session_host.js';
 import { Tables } from './tables.js';
 
 const ER_NO_SUCH_THREAD = { code: 1094, sqlState: 'HY000' };
@@ -40,14 +42,14 @@
 
 /** Observes an instance from outside, for histories. */
 export interface InstanceObserver {
-  onRole?(role: MemberRole, term: number): void;
-  onStatement?(sql: string, session: InstanceSession): void;
+  onRole(role: MemberRole, term: number): void;
 }
 
 /** One instance of a database group. */
-export class DatabaseInstance {
+export class DatabaseInstance implements SessionHost {
   readonly tables = new Tables();
   readonly locks: RowLocks;
+  readonly namedLocks = new NamedLocks();
   readonly member: GroupMember;
   readonly usage: InstanceUsage = {
     connections: 0,
@@ -58,8 +60,7 @@
     refusedStatements: 0,
     statements: 0,
   };
-  private readonly sessions = new Set<InstanceSession>();
-  private readonly namedLocks = new Map<string, InstanceSession>();
+  private readonly sessions = new Set<HostedSession>();
   private nextConnectionId = 1;
   /** Factor on the time that statements take; raised by the lab's `slow` fault. */
   slowness = 1;
@@ -70,7 +71,7 @@
     readonly runtime: Runtime,
     folder: DataFolder,
     readonly options: InstanceOptions,
-    private readonly observer: InstanceObserver = {},
+    private readonly observer?: InstanceObserver,
   ) {
     this.locks = new RowLocks(runtime.clock, options.lockWaitMs);
     this.member = new GroupMember(runtime, folder, options.group, {
@@ -111,16 +112,14 @@
   }
 
   /** Called by a session that ends. */
-  onSessionClosed(session: InstanceSession): void {
+  onSessionClosed(session: HostedSession): void {
     if (!this.sessions.delete(session)) return;
     this.usage.connections--;
-    for (const [name, owner] of this.namedLocks) {
-      if (owner === session) this.namedLocks.delete(name);
-    }
+    this.namedLocks.releaseAll(session);
   }
 
   /** Runs `work` in a slot; rejects at once when none is free. */
-  async inSlot<T>(session: InstanceSession, sql: string, work: () => Promise<T>): Promise<T> {
+  async inSlot<T>(session: HostedSession, work: () => Promise<T>): Promise<T> {
     if (this.usage.running >= this.options.slots) {
       this.usage.refusedStatements++;
       throw new DatabaseError('Too many statements are running', {
@@ -131,7 +130,6 @@
     this.usage.running++;
     this.usage.statements++;
     this.usage.highestRunning = Math.max(this.usage.highestRunning, this.usage.running);
-    this.observer.onStatement?.(sql, session);
     try {
       const time = this.options.statementMs * this.slowness;
       if (time > 0) await Promise.race([delay(this.runtime.clock, time), session.ended]);
@@ -141,21 +139,6 @@
     }
   }
 
-  /** GET_LOCK without a wait: 1 when the session now holds the named lock, otherwise 0. */
-  takeNamedLock(name: string, session: InstanceSession): number {
-    const owner = this.namedLocks.get(name);
-    if (owner && owner !== session) return 0;
-    this.namedLocks.set(name, session);
-    return 1;
-  }
-
-  /** RELEASE_LOCK: 1 when the session held the lock, otherwise 0. */
-  releaseNamedLock(name: string, session: InstanceSession): number {
-    if (this.namedLocks.get(name) !== session) return 0;
-    this.namedLocks.delete(name);
-    return 1;
-  }
-
   /** Announces that the instance takes no new work, or takes that back; a primary steps down. */
   setLeaving(isLeaving: boolean): void {
     this.isLeaving = isLeaving;
@@ -185,6 +168,6 @@
   private onRole(role: MemberRole, term: number): void {
     // Group Replication disconnects clients whose transactions a change of primary ends.
     if (role === 'secondary') for (const session of this.sessions) session.abortTransaction();
-    this.observer.onRole?.(role, term);
+    this.observer?.onRole(role, term);
   }
 }
--- a/lab/database/instance_session.ts
+++ b/lab/database/instance_session.ts
@@ -1,23 +1,19 @@
-/** One connection to an emulated instance: transaction state and statement execution. */
+/**
+ * One connection to an emulated instance: its transaction, its end, and which part runs which statement. Rows are read
+ * and written by RowStatements, names of expressions found by SessionScope.
+ */
 import { DatabaseError } from '../../src/errors/errors.js';
 import { delay } from '../../src/runtime/runtime.js';
-import { covers } from '../../src/positions/position.js';
-import { newestPosition } from '../../src/mysql/topology/gtid.js';
-import { type Scope, evaluate, fixedValue, matches } from './evaluate.js';
-import type { DatabaseInstance } from './instance.js';
+import { evaluate, matches } from './evaluate.js';
 import { GROUP_UUID, memberRows } from './performance_schema.js';
+import { type Select, project } from './projection.js';
 import { ER_INTERRUPTED } from './row_locks.js';
+import { RowStatements } from './row_statements.js';
+import type { HostedSession, SessionHost } from './session_host.js';
+import { SessionScope } from './session_scope.js';
 import { parseStatement } from './sql/parser.js';
 import type { Expression, Statement, Value } from './sql/syntax.js';
-import {
-  type Row,
-  type RowChange,
-  SCHEMA_TABLE,
-  type Table,
-  type TableDefinition,
-  keyOf,
-} from './tables.js';
-import { systemVariable } from './system_variables.js';
+import { type RowChange, SCHEMA_TABLE, type TableDefinition } from './tables.js';
 import { Transaction } from './transaction.js';
 
 /** Answer to one statement. */
@@ -32,8 +28,6 @@
   readonly inTransaction: boolean;
 }
 
-type Select = Extract<Statement, { kind: 'select' }>;
-
 interface Effect {
   readonly columns?: readonly string[];
   readonly rows?: readonly (readonly Value[])[];
@@ -41,11 +35,11 @@
   readonly insertId?: number;
 }
 
+/** Interval at which WAIT_FOR_EXECUTED_GTID_SET looks whether it is over, in milliseconds. */
 const WAIT_POLL_MS = 2;
 const PERFORMANCE_SCHEMA_PREFIX = 'performance_schema.';
 const ER_READ_ONLY = { code: 1290, sqlState: 'HY000' };
-const ER_DUPLICATE_ENTRY = { code: 1062, sqlState: '23000' };
-const ER_BAD_FIELD = { code: 1054, sqlState: '42S22' };
+const ER_TABLE_EXISTS = { code: 1050, sqlState: '42S01' };
 const SHOW_VALUES: Readonly<Record<string, string>> = { VARIABLES: 'Variable_name' };
 
 /** Reads of the server's own state need no slot. */
@@ -61,11 +55,9 @@
 }
 
 /** A connection. Statements of one connection run one after the other. */
-export class InstanceSession {
+export class InstanceSession implements HostedSession {
   private transaction: Transaction | undefined;
   private explicit = false;
-  private userVariables = new Map<string, Value>();
-  private lastInsertId = 0;
   private aborted = false;
   private closed = false;
   private end!: () => void;
@@ -74,10 +66,19 @@
     this.end = resolve;
   });
 
+  private readonly scope: SessionScope;
+  private readonly rows: RowStatements;
+
   constructor(
-    private readonly instance: DatabaseInstance,
+    private readonly host: SessionHost,
     readonly connectionId: number,
-  ) {}
+  ) {
+    this.scope = new SessionScope(host, this);
+    this.rows = new RowStatements(host.tables, this.scope, {
+      currentTransaction: () => (this.transaction ??= new Transaction(host.locks)),
+      requireWritable: () => this.requireWritable(),
+    });
+  }
 
   /** Whether a transaction was begun and not ended. */
   get isInTransaction(): boolean {
@@ -89,7 +90,7 @@
     this.requireOpen();
     const statement = parseStatement(sql);
     if (isMonitoring(statement)) return this.answer(await this.run(statement), undefined);
-    return this.instance.inSlot(this, sql, () => this.runInTransaction(statement));
+    return this.host.inSlot(this, () => this.runInTransaction(statement));
   }
 
   /** Rolls back and forgets all session state, as COM_RESET_CONNECTION does. */
@@ -97,8 +98,7 @@
     this.endTransaction();
     this.explicit = false;
     this.aborted = false;
-    this.userVariables = new Map();
-    this.lastInsertId = 0;
+    this.scope.reset();
   }
 
   /** Rolls back an open transaction because this instance is no longer the primary. */
@@ -114,7 +114,7 @@
     this.closed = true;
     this.end();
     this.endTransaction();
-    this.instance.onSessionClosed(this);
+    this.host.onSessionClosed(this);
   }
 
   private async runInTransaction(statement: Statement): Promise<StatementAnswer> {
@@ -174,7 +174,7 @@
   }
 
   private async commitChanges(changes: readonly RowChange[]): Promise<string> {
-    const position = await this.instance.member.commit(changes);
+    const position = await this.host.member.commit(changes);
     return `${GROUP_UUID}:t${position.term}:${position.sequence}`;
   }
 
@@ -189,7 +189,7 @@
 
   private requireWritable(): void {
     this.requireOpen();
-    if (this.instance.member.isWritable) return;
+    if (this.host.member.isWritable) return;
     this.endTransaction();
     throw new DatabaseError(
       'The MySQL server is running with the --super-read-only option',
@@ -213,25 +213,25 @@
       case 'select':
         return this.select(statement);
       case 'insert':
-        return this.insert(statement);
+        return this.rows.insert(statement);
       case 'update':
-        return this.update(statement);
+        return this.rows.update(statement);
       case 'delete':
-        return this.delete(statement);
+        return this.rows.delete(statement);
       case 'create_table':
       case 'drop_table':
         return this.changeSchema(statement);
       case 'set':
         for (const { name, value } of statement.assignments) {
           if (name.startsWith('@') && !name.startsWith('@@')) {
-            this.userVariables.set(name, evaluate(value, this.scope()));
+            this.scope.setUserVariable(name, evaluate(value, this.scope.withoutRow()));
           }
         }
         return {};
       case 'show':
         return this.show(statement.what);
       case 'kill':
-        this.instance.killSession(statement.connectionId);
+        this.host.killSession(statement.connectionId);
         return {};
       default:
         return {};
@@ -240,7 +240,7 @@
 
   private show(what: string): Effect {
     if (what === 'TABLES') {
-      return { columns: ['Tables'], rows: this.instance.tables.names().map((name) => [name]) };
+      return { columns: ['Tables'], rows: this.host.tables.names().map((name) => [name]) };
     }
     if (SHOW_VALUES[what.split(' ')[0] ?? '']) {
       return { columns: ['Variable_name', 'Value'], rows: [] };
@@ -253,192 +253,60 @@
     if (statement.tables[0]!.startsWith(PERFORMANCE_SCHEMA_PREFIX)) {
       return this.selectMembers(statement);
     }
-    const table = this.instance.tables.get(statement.tables[0]!);
-    let found = this.find(table, statement.where);
+    const table = this.host.tables.get(statement.tables[0]!);
+    let found = this.rows.find(table, statement.where);
     if (statement.forUpdate) {
       this.requireWritable();
-      found = await this.lockAndFindAgain(table, statement.where, found);
+      found = await this.rows.lockAndFindAgain(table, statement.where, found);
     }
     const names = table.definition.columns.map((column) => column.name);
-    return this.project(
+    return project(
       statement,
-      found.map(([, row]) => this.rowScope(table, row)),
+      found.map(([, row]) => this.scope.ofRow(table, row)),
       names,
     );
   }
 
   private async selectWithoutTable(statement: Select): Promise<Effect> {
     for (const item of statement.items) await this.runBlockingCall(item.expression);
-    return this.project(statement, [this.scope()], []);
+    return project(statement, [this.scope.withoutRow()], []);
   }
 
   private selectMembers(statement: Select): Effect {
-    const { member, serverUuid, options } = this.instance;
+    const { member, serverUuid, options } = this.host;
     const rows = memberRows(member, serverUuid, options.group.members);
-    const scopes = rows.map((row) => this.scope((name) => row.get(name.toUpperCase())));
+    const scopes = rows.map((row) => this.scope.ofColumns((name) => row.get(name.toUpperCase())));
     const selected = scopes.filter((scope) => matches(statement.where, scope));
-    return this.project(statement, selected, [...(rows[0]?.keys() ?? [])]);
+    return project(statement, selected, [...(rows[0]?.keys() ?? [])]);
   }
 
   /** SLEEP and WAIT_FOR_EXECUTED_GTID_SET are the only calls that take time. */
   private async runBlockingCall(expression: Expression): Promise<void> {
     if (expression.kind !== 'call') return;
-    const parameters = expression.parameters.map((item) => evaluate(item, this.scope()));
-    const { clock } = this.instance.runtime;
+    const parameters = expression.parameters.map((item) => evaluate(item, this.scope.withoutRow()));
+    const { clock } = this.host.runtime;
     if (expression.name === 'SLEEP') await delay(clock, Number(parameters[0]) * 1000);
     if (expression.name !== 'WAIT_FOR_EXECUTED_GTID_SET') return;
     const seconds = parameters[1] === undefined ? Infinity : Number(parameters[1]);
     const deadline = clock.now() + seconds * 1000;
-    while (!this.hasExecuted(parameters[0]) && clock.now() < deadline && !this.closed) {
+    while (!this.scope.hasExecuted(parameters[0]) && clock.now() < deadline && !this.closed) {
       await delay(clock, WAIT_POLL_MS);
     }
   }
 
-  /** Whether all transactions of a GTID set are executed here. */
-  private hasExecuted(gtidSet: Value | undefined): boolean {
-    return covers(this.instance.member.executedPosition, newestPosition(String(gtidSet ?? '')));
-  }
-
-  private project(statement: Select, scopes: readonly Scope[], names: readonly string[]): Effect {
-    const ordered = this.order(statement, scopes);
-    const limited = statement.limit === undefined ? ordered : ordered.slice(0, statement.limit);
-    const columns = statement.items.flatMap((item) =>
-      item.expression.kind === 'star' ? [...names] : [item.alias],
-    );
-    const isCount = statement.items.some(
-      (item) => item.expression.kind === 'call' && item.expression.name === 'COUNT',
-    );
-    if (isCount) return { columns, rows: [columns.map(() => scopes.length)] };
-    const rows = limited.map((scope) =>
-      statement.items.flatMap((item) =>
-        item.expression.kind === 'star'
-          ? names.map((name) => scope.column(name))
-          : [evaluate(item.expression, scope)],
-      ),
-    );
-    return { columns, rows };
-  }
-
-  private order(statement: Select, scopes: readonly Scope[]): readonly Scope[] {
-    const orderBy = statement.orderBy;
-    if (!orderBy) return scopes;
-    const direction = orderBy.descending ? -1 : 1;
-    return [...scopes].sort((left, right) => {
-      const a = left.column(orderBy.column);
-      const b = right.column(orderBy.column);
-      if (a === b) return 0;
-      return (a === null || (b !== null && a < b) ? -1 : 1) * direction;
-    });
-  }
-
-  private currentTransaction(): Transaction {
-    this.transaction ??= new Transaction(this.instance.locks);
-    return this.transaction;
-  }
-
-  private find(table: Table, where: Expression | undefined): [string, Row][] {
-    const transaction = this.currentTransaction();
-    const fixed = table.definition.primaryKey.map((column) =>
-      fixedValue(where, column, this.scope()),
-    );
-    if (fixed.length > 0 && fixed.every((value) => value !== undefined)) {
-      const key = JSON.stringify(fixed);
-      const row = transaction.read(table, key);
-      return row && matches(where, this.rowScope(table, row)) ? [[key, row]] : [];
-    }
-    const found: [string, Row][] = [];
-    for (const [key, row] of transaction.scan(table)) {
-      if (matches(where, this.rowScope(table, row))) found.push([key, row]);
-    }
-    return found;
-  }
-
-  /** Locks the found rows and reads them again, since they may have changed during the wait. */
-  private async lockAndFindAgain(
-    table: Table,
-    where: Expression | undefined,
-    found: readonly (readonly [string, Row])[],
-  ): Promise<[string, Row][]> {
-    const transaction = this.currentTransaction();
-    for (const [key] of found) await transaction.lock(table, key);
-    const current: [string, Row][] = [];
-    for (const [key] of found) {
-      const row = transaction.read(table, key);
-      if (row && matches(where, this.rowScope(table, row))) current.push([key, row]);
-    }
-    return current;
-  }
-
-  private async insert(statement: Extract<Statement, { kind: 'insert' }>): Promise<Effect> {
-    this.requireWritable();
-    const table = this.instance.tables.get(statement.table);
-    const transaction = this.currentTransaction();
-    let insertId = 0;
-    for (const values of statement.rows) {
-      const row = table.definition.columns.map((column) => {
-        const index = statement.columns.indexOf(column.name);
-        const value = index >= 0 ? evaluate(values[index]!, this.scope()) : null;
-        if (!column.autoIncrement || value !== null) return value;
-        insertId ||= table.nextAutoIncrement;
-        return table.nextAutoIncrement++;
-      });
-      const key = keyOf(table.definition, row);
-      await transaction.lock(table, key);
-      if (transaction.read(table, key)) {
-        const text = `Duplicate entry '${key}' for key '${statement.table}.PRIMARY'`;
-        throw new DatabaseError(text, ER_DUPLICATE_ENTRY);
-      }
-      transaction.write(table, key, row);
-    }
-    this.requireWritable();
-    this.lastInsertId = insertId;
-    return { affectedRows: statement.rows.length, insertId };
-  }
-
-  private async update(statement: Extract<Statement, { kind: 'update' }>): Promise<Effect> {
-    this.requireWritable();
-    const table = this.instance.tables.get(statement.table);
-    const candidates = this.find(table, statement.where);
-    const found = await this.lockAndFindAgain(table, statement.where, candidates);
-    this.requireWritable();
-    const transaction = this.currentTransaction();
-    for (const [key, row] of found) {
-      const scope = this.rowScope(table, row);
-      const changed = table.definition.columns.map((column, index) => {
-        const assignment = statement.assignments.find((item) => item.column === column.name);
-        return assignment ? evaluate(assignment.value, scope) : row[index]!;
-      });
-      transaction.write(table, key, changed);
-    }
-    return { affectedRows: found.length };
-  }
-
-  private async delete(statement: Extract<Statement, { kind: 'delete' }>): Promise<Effect> {
-    this.requireWritable();
-    const table = this.instance.tables.get(statement.table);
-    const candidates = this.find(table, statement.where);
-    const found = await this.lockAndFindAgain(table, statement.where, candidates);
-    this.requireWritable();
-    for (const [key] of found) this.currentTransaction().write(table, key, undefined);
-    return { affectedRows: found.length };
-  }
-
   private async changeSchema(
     statement: Extract<Statement, { kind: 'create_table' | 'drop_table' }>,
   ): Promise<Effect> {
     this.requireWritable();
-    const exists = this.instance.tables.has(statement.table);
+    const exists = this.host.tables.has(statement.table);
     if (statement.kind === 'drop_table') {
-      if (!exists && !statement.ifExists) this.instance.tables.get(statement.table);
+      if (!exists && !statement.ifExists) this.host.tables.get(statement.table);
       await this.commitChanges([{ table: SCHEMA_TABLE, key: statement.table, removed: true }]);
       return {};
     }
     if (exists) {
       if (statement.ifNotExists) return {};
-      throw new DatabaseError(`Table '${statement.table}' already exists`, {
-        code: 1050,
-        sqlState: '42S01',
-      });
+      throw new DatabaseError(`Table '${statement.table}' already exists`, ER_TABLE_EXISTS);
     }
     const definition: TableDefinition = {
       name: statement.table,
@@ -449,56 +317,4 @@
     await this.commitChanges([{ table: SCHEMA_TABLE, key: statement.table, row }]);
     return {};
   }
-
-  private rowScope(table: Table, row: Row): Scope {
-    return this.scope((name) => {
-      const index = table.definition.columns.findIndex((column) => column.name === name);
-      return index < 0 ? undefined : row[index];
-    });
-  }
-
-  private scope(column: (name: string) => Value | undefined = () => undefined): Scope {
-    return {
-      column: (name) => {
-        const value = column(name);
-        if (value === undefined) {
-          throw new DatabaseError(`Unknown column '${name}' in 'field list'`, ER_BAD_FIELD);
-        }
-        return value;
-      },
-      systemVariable: (name) => systemVariable(this.instance, name),
-      userVariable: (name) => this.userVariables.get(name) ?? null,
-      call: (name, parameters) => this.call(name, parameters),
-    };
-  }
-
-  private call(name: string, parameters: readonly Value[]): Value {
-    switch (name) {
-      case 'GET_LOCK':
-        return this.instance.takeNamedLock(String(parameters[0]), this);
-      case 'RELEASE_LOCK':
-        return this.instance.releaseNamedLock(String(parameters[0]), this);
-      case 'CONNECTION_ID':
-        return this.connectionId;
-      case 'LAST_INSERT_ID':
-        return this.lastInsertId;
-      case 'VERSION':
-        return systemVariable(this.instance, 'version');
-      case 'DATABASE':
-        return null;
-      case 'REPEAT':
-        return String(parameters[0]).repeat(Number(parameters[1]));
-      case 'WAIT_FOR_EXECUTED_GTID_SET':
-        return this.hasExecuted(parameters[0]) ? 0 : 1;
-      case 'SLEEP':
-        return 0;
-      case 'COUNT':
-        return 0;
-      default:
-        throw new DatabaseError(`FUNCTION ${name} does not exist`, {
-          code: 1305,
-          sqlState: '42000',
-        });
-    }
-  }
 }
--- a/lab/database/system_variables.ts
+++ b/lab/database/system_variables.ts
@@ -1,10 +1,10 @@
 /** System variables of an emulated instance. */
-import type { DatabaseInstance } from './instance.js';
 import { gtidSet } from './performance_schema.js';
+import type { SessionHost } from './session_host.js';
 import type { Value } from './sql/syntax.js';
 
 /** Value of a system variable; NULL for those that this subset does not know. */
-export function systemVariable(instance: DatabaseInstance, name: string): Value {
+export function systemVariable(instance: SessionHost, name: string): Value {
   switch (name) {
     case 'gtid_executed':
       return gtidSet(instance.member, 'executed');
