--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -3,7 +3,8 @@
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
 import { AcquireError } from '../connections/acquire_error.js';
-import { inDoubt, noteRetry, refuse } from '../routing/refusal.js';
+import { inDoubt, logRetry, refuse } from '../routing/refusal.js';
+import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
 import { RetryPause } from '../routing/retry_pause.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -20,10 +21,6 @@
 import { awaitPrimary } from '../trust/trust_waiter.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
-const MINIMUM_ATTEMPT_MS = 5;
-/** Share of the target latency that every attempt of a read gets. */
-const ATTEMPT_SHARE = 0.4;
-
 /** A statement to run. */
 export interface SingleRequest {
   readonly id: string;
@@ -38,7 +35,7 @@
 
 /** A write that certainly did not run. */
 interface NotRunWrite {
-  readonly cause: string;
+  readonly cause: RefusalCause;
   /** Whether an instance was asked at all. */
   readonly wasOffered: boolean;
 }
@@ -58,9 +55,9 @@
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
-    let cause = 'no instance may serve the read';
+    let cause: RefusalCause = { kind: 'noInstanceForRead' };
     if (route.policy.kind !== 'primary') await this.context.awaitFloor(route.group);
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    while (deadline.allowsAttempt) {
       if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
       const targets = planRead(this.context, plan, tried);
       const target = targets[0];
@@ -75,11 +72,13 @@
         const { answer } = attempt;
         if (!answer.error) return this.succeed(request, target, answer);
         if (answer.error.kind === 'malformed') return fail(answer.error);
-        cause = `${target.instance} answered ${answer.error.kind}`;
+        const error = answer.error.kind;
+        cause = { kind: 'instanceAnswered', instance: target.instance, error };
+        logRetry(this.context, request, target, { kind: 'readAttempt', ending: error });
       } else {
-        cause = `${target.instance}: ${attempt.cause}`;
+        cause = attemptFailed(target, attempt.cause);
+        logRetry(this.context, request, target, { kind: 'readAttempt', ending: attempt.outcome });
       }
-      noteRetry(this.context, request, target, causeOf(attempt));
     }
     const refusal = { id: request.id, deadline, state: 'idle' as const };
     return refuse(this.context, refusal, 'busy', cause);
@@ -92,8 +91,8 @@
     const refusal = { id: request.id, deadline, state: 'idle' as const };
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
-    let cause = 'no trusted primary';
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    let cause: RefusalCause = { kind: 'noTrustedPrimary' };
+    while (deadline.allowsAttempt) {
       const target = await awaitPrimary(this.context, deadline);
       if (!target) break;
       this.context.trust.commitStarted(group);
@@ -104,7 +103,7 @@
       cause = result.cause;
       wasOffered ||= result.wasOffered;
       if (!deadline.allowsRetry(wasOffered)) break;
-      noteRetry(this.context, request, target, result.cause);
+      logRetry(this.context, request, target, result.cause);
       await pause.wait();
     }
     return { reply: refuse(this.context, refusal, 'busy', cause) };
@@ -133,24 +132,20 @@
     targetsLeft: number,
   ): Promise<Attempt> {
     const { deadline } = request;
-    const isLast = targetsLeft <= 1;
-    const waitMs = isLast ? longestWait(target, deadline) : deadline.offerRemaining / targetsLeft;
+    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner, targetsLeft);
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
-    const usual = Math.max(
-      target.pool.load.patience,
-      deadline.route.targetLatencyMs * ATTEMPT_SHARE,
+    const timeoutMs = deadline.readAnswerTimeout(
+      target.pool.load.slowAnswerThreshold,
+      targetsLeft <= 1,
     );
-    // Where there is no other instance, its answer is waited for as long as the caller could still come again.
-    const patienceMs = isLast ? Math.max(usual, deadline.retryRemaining) : usual;
-    const timeoutMs = Math.min(deadline.remaining, patienceMs);
     const { id, statement } = request;
     const command = { kind: 'data' as const, id, statement, after: target.after };
     const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
     noteRun(request.operation, attempt);
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'answered' && !isTargetTrusted(this.context, target)) {
-      return { outcome: 'lost', cause: 'the lease on the primary ended' };
+      return { outcome: 'lost', cause: { kind: 'leaseEnded' } };
     }
     return attempt;
   }
@@ -162,11 +157,12 @@
   ): Promise<CommittedReply | NotRunWrite> {
     const { deadline, id, statement } = request;
     const refusal = { id, deadline, state: 'idle' as const };
-    const held = await this.hold(request, target, longestWait(target, deadline));
+    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner);
+    const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
     if (!isTargetTrusted(this.context, target)) {
       this.runner.release(held);
-      return { cause: 'the lease on the primary ended', wasOffered: false };
+      return { cause: { kind: 'leaseEnded' }, wasOffered: false };
     }
     const command = { kind: 'data' as const, id, statement };
     const attempt = await this.runner.attempt(held, request.content, command, deadline.remaining);
@@ -174,15 +170,18 @@
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'notRun') return { cause: attempt.cause, wasOffered: false };
     if (attempt.outcome === 'lost') {
-      return { reply: inDoubt(this.context, refusal, `${target.instance}: ${attempt.cause}`) };
+      const cause = attemptFailed(target, attempt.cause);
+      return { reply: inDoubt(this.context, refusal, cause) };
     }
     const { answer } = attempt;
     if (answer.error && isNotRun(answer.error.kind)) {
-      return { cause: `${target.instance} answered ${answer.error.kind}`, wasOffered: true };
+      const { kind: error } = answer.error;
+      const cause = { kind: 'instanceAnswered' as const, instance: target.instance, error };
+      return { cause, wasOffered: true };
     }
     if (answer.error) return { reply: fail(answer.error) };
     if (!isTargetTrusted(this.context, target) || !answer.position) {
-      return { reply: inDoubt(this.context, refusal, 'the lease on the primary ended') };
+      return { reply: inDoubt(this.context, refusal, { kind: 'leaseEnded' }) };
     }
     this.context.trust.noteAcknowledged(target.group, answer.position);
     return { reply: this.succeed(request, target, answer), committedAt: answer.position };
@@ -195,22 +194,21 @@
     return verdict.isGranted;
   }
 
-  /** Takes a connection, waiting for it for `patienceMs` at most. */
+  /** Takes a connection, waiting for it for `waitMs` at most. */
   private async hold(
     request: SingleRequest,
     target: Target,
-    patienceMs: number,
+    waitMs: number,
   ): Promise<HeldConnection | NotRunAttempt> {
     const { priority } = request.deadline.route;
     const usefulMs = request.deadline.usefulRemaining;
-    const waitMs = Math.max(MINIMUM_ATTEMPT_MS, patienceMs);
     try {
       const { values } = request.content;
       const needed = { tenant: request.operation.tenant.name, values, priority, usefulMs };
       return await this.runner.hold(target, needed, waitMs);
     } catch (error) {
-      const cause = error instanceof AcquireError ? error.failure : 'no connection';
-      return { outcome: 'notRun', cause: `no connection: ${cause}` };
+      const failure = error instanceof AcquireError ? error.failure : 'no connection';
+      return { outcome: 'notRun', cause: { kind: 'noConnection', failure } };
     }
   }
 
@@ -228,14 +226,6 @@
   }
 }
 
-/**
- * How long a statement waits for a connection to the only instance that is left, in milliseconds. A home knows its queue
- * and refuses at once whom it would serve too late, so there the wait is as long as an answer would be worth something.
- */
-function longestWait({ pool }: Target, deadline: RequestDeadline): number {
-  return pool.isHomed ? deadline.retryRemaining : deadline.offerRemaining;
-}
-
 /** Notes whether an instance may have run the statement. */
 function noteRun(operation: AdmittedOperation, attempt: Attempt): void {
   const error = attempt.outcome === 'answered' ? attempt.answer.error : undefined;
@@ -243,10 +233,8 @@
   if (!isHarmless) operation.noteRun();
 }
 
-/** Why an attempt brought nothing, in few words. */
-function causeOf(attempt: Attempt): string {
-  if (attempt.outcome !== 'answered') return attempt.outcome;
-  return attempt.answer.error?.kind ?? 'untrusted';
+function attemptFailed({ instance }: Target, failure: AttemptFailure): RefusalCause {
+  return { kind: 'attemptFailed', instance, failure };
 }
 
 /** Passes on an error that promises nothing. */
