--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -8,7 +8,7 @@
 import {
   LONGEST_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
-} from '../../src/appointed/trust/replica_lease_confirmer.js';
+} from '../../src/appointed/leases/replica_lease.js';
 import type { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
 import type { InstanceCommand } from '../../src/appointed/instance/statement.js';
 
--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -1,39 +1,35 @@
 /**
  * Replicated state of groups whose primary is appointed by the control plane: the routing document, the
- * instances, the epoch of each group, the registered proxies and the holder of the appointment duty.
+ * instances, the epoch of each group, the registered proxies and the holder of the appointment lease.
+ *
+ * Owns this state; it changes by committed commands only, so it is the same on every control machine. Relies on nothing that
+ * can fail.
  */
 import type { StateMachine } from '../../consensus/log_applier.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
+import { type GroupEntry, GroupTable } from './group_table.js';
+import { type InstanceEntry, InstanceTable } from './instance_table.js';
 
-const { InstanceState } = whinyoke;
+export { type GroupEntry, compareNames } from './group_table.js';
+export type { InstanceEntry } from './instance_table.js';
 
-/** Instances that are gone are remembered, so that a late heartbeat does not bring them back. */
-const MAXIMUM_REMEMBERED_GONE = 500;
-
-/** An immutable instance of the catalog. */
-export type InstanceEntry = Readonly<whinyoke.IInstanceEntry>;
-/** An immutable epoch of a group. */
-export type GroupEntry = Readonly<whinyoke.IGroupEntry>;
 /** A registered run of a proxy. */
 export type ProxyEntry = Readonly<whinyoke.IProxyEntry>;
 
-/** Hears of a change after it was applied. */
+/** Is called after a change was applied. */
 export type CatalogListener = () => void;
 
 /** State machine of the control machines. */
 export class Catalog implements StateMachine {
   private currentDocument: whinyoke.IRoutingDocument | undefined;
-  private readonly instanceById = new Map<string, InstanceEntry>();
-  private readonly groupByName = new Map<string, GroupEntry>();
-  /** Groups by name; made anew after a change, since many replies are made between two changes. */
-  private sortedGroups: readonly GroupEntry[] | undefined;
+  private readonly instanceTable = new InstanceTable();
+  private readonly groupTable = new GroupTable();
   private readonly proxyById = new Map<string, ProxyEntry>();
   /** Operations of each tenant that its leader leaves to a successor; about 20 bytes a tenant that ever ran one. */
   private readonly floorByTenant = new Map<string, number>();
-  private currentDuty: whinyoke.IDutyEntry = {};
+  private currentLease: whinyoke.IDutyEntry = {};
   private currentVersion = 0;
   private proxyLossIndex = 0;
-  private forgottenIndex = 0;
   private readonly listeners = new Set<CatalogListener>();
 
   /** Log index of the newest change that proxies have to know of: documents, instances, groups. */
@@ -51,9 +47,9 @@
     return this.currentDocument?.version ?? 0;
   }
 
-  /** Holder of the appointment duty. */
+  /** Holder and fencing token of the appointment lease, which the stored data calls duty. */
   get duty(): Readonly<whinyoke.IDutyEntry> {
-    return this.currentDuty;
+    return this.currentLease;
   }
 
   /** Log index of the newest entry by which a run of a proxy ended, with what it had acknowledged. */
@@ -63,12 +59,12 @@
 
   /** All instances, those that are gone included. */
   get instances(): readonly InstanceEntry[] {
-    return [...this.instanceById.values()];
+    return this.instanceTable.all;
   }
 
   /** Instances that are not gone. */
   get presentInstances(): readonly InstanceEntry[] {
-    return this.instances.filter((instance) => instance.state !== InstanceState.GONE);
+    return this.instanceTable.present;
   }
 
   /**
@@ -76,36 +72,27 @@
    * forgotten meanwhile, so that only the whole list tells.
    */
   instancesSince(version: number): readonly InstanceEntry[] | undefined {
-    if (version === 0 || version < this.forgottenIndex) return undefined;
-    return this.instances.filter((instance) => (instance.version ?? 0) > version);
+    return this.instanceTable.since(version);
   }
 
   /** Whether an instance of a group left after a version; also true when that can't be told any more. */
   hasLostInstanceSince(group: string, version: number): boolean {
-    if (version < this.forgottenIndex) return true;
-    return this.instances.some((instance) => {
-      const isOfGroup = instance.group === group || instance.group === '';
-      const isLater = (instance.version ?? 0) > version;
-      return isOfGroup && isLater && instance.state === InstanceState.GONE;
-    });
+    return this.instanceTable.hasLostSince(group, version);
   }
 
   /** Groups whose epoch changed after a version. */
   groupsSince(version: number): readonly GroupEntry[] {
-    return this.groups.filter((group) => (group.version ?? 0) > version);
+    return this.groupTable.since(version);
   }
 
   /** All groups. */
   get groups(): readonly GroupEntry[] {
-    return [...this.groupByName.values()];
+    return this.groupTable.all;
   }
 
   /** All groups in the order of their names. */
   get groupsByName(): readonly GroupEntry[] {
-    this.sortedGroups ??= this.groups.toSorted((left, right) =>
-      compareNames(left.group ?? '', right.group ?? ''),
-    );
-    return this.sortedGroups;
+    return this.groupTable.byName;
   }
 
   /** Registered proxies. */
@@ -115,7 +102,7 @@
 
   /** Instance of that identifier. */
   instance(id: string): InstanceEntry | undefined {
-    return this.instanceById.get(id);
+    return this.instanceTable.get(id);
   }
 
   /** Present instances that told the address of another one. */
@@ -125,7 +112,7 @@
 
   /** Group of that name. */
   group(name: string): GroupEntry | undefined {
-    return this.groupByName.get(name);
+    return this.groupTable.get(name);
   }
 
   /** Proxy of that identifier. */
@@ -144,6 +131,7 @@
     return () => this.listeners.delete(listener);
   }
 
+  /** Applies a committed command; the result tells whether anything changed. */
   apply(index: number, command: Uint8Array): Uint8Array {
     const decoded = whinyoke.CatalogCommand.decode(command);
     const isChanged = this.applyCommand(index, decoded);
@@ -151,37 +139,35 @@
       this.currentVersion = index;
       this.notify();
     }
-    const result = { changed: isChanged, version: index, token: this.currentDuty.token };
+    const result = { changed: isChanged, version: index, token: this.currentLease.token };
     return whinyoke.CatalogResult.encode(result).finish();
   }
 
+  /** Whole state, for a snapshot. */
   serialize(): Uint8Array {
     const snapshot: whinyoke.ICatalogSnapshot = {
       document: this.currentDocument,
       instances: this.instances,
       groups: this.groups,
       proxies: this.proxies,
-      duty: this.currentDuty,
+      duty: this.currentLease,
       version: this.currentVersion,
       proxyLossVersion: this.proxyLossIndex,
-      forgottenVersion: this.forgottenIndex,
+      forgottenVersion: this.instanceTable.forgottenVersion,
       floors: [...this.floorByTenant].map(([tenant, operations]) => ({ tenant, operations })),
     } as whinyoke.ICatalogSnapshot;
     return whinyoke.CatalogSnapshot.encode(snapshot).finish();
   }
 
+  /** Replaces the state by that of a snapshot. */
   restore(_lastIndex: number, state: Uint8Array): void {
     const snapshot = whinyoke.CatalogSnapshot.decode(state);
     this.currentDocument = snapshot.document ?? undefined;
-    this.currentDuty = snapshot.duty ?? {};
+    this.currentLease = snapshot.duty ?? {};
     this.currentVersion = snapshot.version;
     this.proxyLossIndex = snapshot.proxyLossVersion;
-    this.forgottenIndex = snapshot.forgottenVersion;
-    this.instanceById.clear();
-    for (const item of snapshot.instances) this.instanceById.set(item.id ?? '', item);
-    this.groupByName.clear();
-    this.sortedGroups = undefined;
-    for (const item of snapshot.groups) this.groupByName.set(item.group ?? '', item);
+    this.instanceTable.restore(snapshot.instances, snapshot.forgottenVersion);
+    this.groupTable.restore(snapshot.groups);
     this.proxyById.clear();
     for (const item of snapshot.proxies) this.proxyById.set(item.id ?? '', item);
     this.floorByTenant.clear();
@@ -195,11 +181,11 @@
       case 'putDocument':
         return this.putDocument(command.putDocument!);
       case 'putInstance':
-        return this.putInstance(index, command.putInstance!);
+        return this.instanceTable.put(index, command.putInstance!);
       case 'putGroup':
-        return this.putGroup(index, command.putGroup!);
+        return this.groupTable.put(index, command.putGroup!);
       case 'setTarget':
-        return this.setTarget(command.setTarget!);
+        return this.groupTable.setTarget(command.setTarget!);
       case 'putProxy':
         return this.putProxies(index, [command.putProxy!]);
       case 'putProxies':
@@ -210,7 +196,7 @@
       case 'putFloors':
         return this.putFloors(command.putFloors!.floors ?? []);
       case 'takeDuty':
-        return this.takeDuty(command.takeDuty!);
+        return this.takeLease(command.takeDuty!);
       default:
         return false;
     }
@@ -238,50 +224,9 @@
     return floors.length > 0;
   }
 
-  private putInstance(index: number, instance: whinyoke.IInstanceEntry): boolean {
-    const known = this.instanceById.get(instance.id ?? '');
-    const isLate = (instance.sequence ?? 0) < (known?.sequence ?? 0);
-    if (isLate || known?.state === InstanceState.GONE) return false;
-    // Fields with default values are kept by the message's prototype only.
-    const entry = whinyoke.InstanceEntry.create({ ...instance, version: index });
-    this.instanceById.set(instance.id ?? '', entry);
-    this.forgetOldest();
-    return true;
-  }
-
-  private forgetOldest(): void {
-    const gone = this.instances.filter((instance) => instance.state === InstanceState.GONE);
-    const excess = gone.slice(0, Math.max(0, gone.length - MAXIMUM_REMEMBERED_GONE));
-    for (const instance of excess) {
-      this.forgottenIndex = Math.max(this.forgottenIndex, instance.version ?? 0);
-      this.instanceById.delete(instance.id ?? '');
-    }
-  }
-
-  private putGroup(index: number, group: whinyoke.IGroupEntry): boolean {
-    const present = this.groupByName.get(group.group ?? '');
-    if (group.epoch !== (present?.epoch ?? 0) + 1) return false;
-    const isSteady = group.phase !== whinyoke.GroupPhase.CHANGING;
-    const steadySince = isSteady ? index : present?.steadySince;
-    this.setGroup({ ...group, version: index, steadySince });
-    return true;
-  }
-
-  private setGroup(group: GroupEntry): void {
-    this.groupByName.set(group.group ?? '', group);
-    this.sortedGroups = undefined;
-  }
-
-  private setTarget(choice: whinyoke.IGroupEntry): boolean {
-    const present = this.groupByName.get(choice.group ?? '');
-    if (!present || present.epoch !== choice.epoch) return false;
-    this.setGroup({ ...present, target: choice.target });
-    return true;
-  }
-
-  private takeDuty(duty: whinyoke.IDutyEntry): boolean {
-    if (duty.holder === this.currentDuty.holder) return false;
-    this.currentDuty = { ...duty, token: (this.currentDuty.token ?? 0) + 1 };
+  private takeLease(next: whinyoke.IDutyEntry): boolean {
+    if (next.holder === this.currentLease.holder) return false;
+    this.currentLease = { ...next, token: (this.currentLease.token ?? 0) + 1 };
     return true;
   }
 
@@ -290,13 +235,7 @@
   }
 }
 
-/** Order of names by their code units, the same in every process. */
-export function compareNames(left: string, right: string): number {
-  if (left === right) return 0;
-  return left < right ? -1 : 1;
-}
-
-/** Whether proxies have to know of a command; registrations of proxies and the duty concern control only. */
+/** Whether proxies have to know of a command; registrations of proxies and the appointment lease concern control only. */
 function isForProxies(command: whinyoke.CatalogCommand): boolean {
   return ['putDocument', 'putInstance', 'putGroup'].includes(command.kind ?? '');
 }
--- /dev/null
+++ b/src/appointed/catalog/instance_table.ts
@@ -0,0 +1,84 @@
+/**
+ * Instances of the catalog, those that are gone included. Part of the replicated state: the same on every machine.
+ *
+ * Owns the entries and up to which log index entries were forgotten. Relies on nothing that can fail.
+ */
+import { whinyoke } from '../../protocol/generated/messages.js';
+
+const { InstanceState } = whinyoke;
+
+/** Instances that are gone are remembered, so that a late heartbeat does not bring them back. A guess, not measured. */
+const MAXIMUM_REMEMBERED_GONE = 500;
+
+/** An immutable instance of the catalog. */
+export type InstanceEntry = Readonly<whinyoke.IInstanceEntry>;
+
+/** Instances by identifier. */
+export class InstanceTable {
+  private readonly entries = new Map<string, InstanceEntry>();
+  private forgottenIndex = 0;
+
+  /** Newest version of an entry that was forgotten. */
+  get forgottenVersion(): number {
+    return this.forgottenIndex;
+  }
+
+  /** All instances, those that are gone included. */
+  get all(): readonly InstanceEntry[] {
+    return [...this.entries.values()];
+  }
+
+  /** Instances that are not gone. */
+  get present(): readonly InstanceEntry[] {
+    return this.all.filter((instance) => instance.state !== InstanceState.GONE);
+  }
+
+  /** Instance of that identifier. */
+  get(id: string): InstanceEntry | undefined {
+    return this.entries.get(id);
+  }
+
+  /** Instances that changed after a version; undefined when some of them were forgotten meanwhile. */
+  since(version: number): readonly InstanceEntry[] | undefined {
+    if (version === 0 || version < this.forgottenIndex) return undefined;
+    return this.all.filter((instance) => (instance.version ?? 0) > version);
+  }
+
+  /** Whether an instance of a group left after a version; also true when that can't be told any more. */
+  hasLostSince(group: string, version: number): boolean {
+    if (version < this.forgottenIndex) return true;
+    return this.all.some((instance) => {
+      const isOfGroup = instance.group === group || instance.group === '';
+      const isLater = (instance.version ?? 0) > version;
+      return isOfGroup && isLater && instance.state === InstanceState.GONE;
+    });
+  }
+
+  /** Takes over an entry; returns whether anything changed. Late entries, and ones of instances that are gone, change nothing. */
+  put(index: number, instance: whinyoke.IInstanceEntry): boolean {
+    const known = this.entries.get(instance.id ?? '');
+    const isLate = (instance.sequence ?? 0) < (known?.sequence ?? 0);
+    if (isLate || known?.state === InstanceState.GONE) return false;
+    // Fields with default values are kept by the message's prototype only.
+    const entry = whinyoke.InstanceEntry.create({ ...instance, version: index });
+    this.entries.set(instance.id ?? '', entry);
+    this.forgetOldest();
+    return true;
+  }
+
+  /** Replaces everything by the entries of a snapshot. */
+  restore(instances: readonly whinyoke.IInstanceEntry[], forgottenVersion: number): void {
+    this.forgottenIndex = forgottenVersion;
+    this.entries.clear();
+    for (const item of instances) this.entries.set(item.id ?? '', item);
+  }
+
+  private forgetOldest(): void {
+    const gone = this.all.filter((instance) => instance.state === InstanceState.GONE);
+    const excess = gone.slice(0, Math.max(0, gone.length - MAXIMUM_REMEMBERED_GONE));
+    for (const instance of excess) {
+      this.forgottenIndex = Math.max(this.forgottenIndex, instance.version ?? 0);
+      this.entries.delete(instance.id ?? '');
+    }
+  }
+}
--- a/src/appointed/control/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -1,7 +1,13 @@
 /**
- * Decides whether an instance that control hears of for the first time is really at the address that it tells. A heartbeat
- * may be delayed by seconds: its sender may have crashed meanwhile, and another instance may have its address. The one at
- * the address is then asked; a late heartbeat must not end an instance that is alive.
+ * DECISION: whether an instance that control hears of for the first time is really at the address that it names.
+ *
+ * Answers: a heartbeat that was delayed by seconds; its sender may have crashed meanwhile, and another instance may have its
+ *   address. A late heartbeat must not end an instance that is alive.
+ * Inputs: the present holder of the address, milliseconds since that one's newest heartbeat, the answer at the address.
+ * Rule: granted when nobody holds the address or its holder is silent; otherwise whoever answers at the address decides.
+ * Constants: below. Tests: test/unit/address_claim.test.ts.
+ *
+ * Owns nothing. Relies on the instance at the address, which may not answer: the claim is unclear then, and comes again.
  */
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceMonitor } from '../failover/instance_monitor.js';
@@ -14,9 +20,10 @@
 
 /**
  * A holder of the address that was silent for longer is gone, in milliseconds: instances tell themselves about every 1.2 s,
- * so two of its heartbeats are missing.
+ * so two of its heartbeats are missing. A guess, not measured.
  */
 const HOLDER_SILENCE_MS = 3000;
+/** Time to open a connection to the address, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
 /** Claims on addresses, at one control machine. */
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -1,6 +1,20 @@
-/** A control machine for groups whose primary is appointed: catalog, leases, changes of primary. */
+/**
+ * A control machine for groups whose primary is appointed: puts its parts together and hands messages to them.
+ *
+ * - `sync_service.ts`: registers proxies, grants leases, sends what is new
+ * - `allowance_service.ts`: grants operations of limited tenants
+ * - `catalog_service.ts`: changes and reads of the catalog by operators and instances
+ * - `primary_position_cache.ts`: newest positions of the primaries
+ * - `cluster_contact.ts`: which other control machines answer
+ * - `src/appointed/failover`: failed primaries, changes of primary, the appointment lease
+ * - `src/consensus`: the replicated log and the place of this machine in the cluster
+ *
+ * Owns the timers of upkeep and whether this machine serves as the leader. Relies on the other control machines, the disk,
+ * the instances and the platform's appointment call; any of them may fail.
+ */
 import { Catalog } from '../catalog/catalog.js';
 import { RaftLog } from '../../consensus/raft_log.js';
+import type { RaftObserver } from '../../consensus/member_state.js';
 import { RaftNode } from '../../consensus/raft_node.js';
 import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../consensus/raft_options.js';
 import { ClusterJoiner, loadIdentity } from '../../consensus/cluster_joiner.js';
@@ -10,24 +24,25 @@
 import { InstanceMonitor } from '../failover/instance_monitor.js';
 import { LeaseLedger } from '../failover/lease_ledger.js';
 import type { PrimaryAppointer } from '../failover/primary_appointer.js';
-import { PrimaryHealthBoard } from '../failover/primary_health_board.js';
+import { PrimaryHealthOpinions } from '../failover/primary_health_opinions.js';
+import { LEASE_MS, STALE_LEADER_MS } from '../leases/lease_times.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { InstanceConnector } from '../instance/instance_connection.js';
 import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import type { MessageBody, Runtime, Timer } from '../../runtime/runtime.js';
-import { StallDetector } from '../../runtime/stall_detector.js';
+import type { Clock, MessageBody, Runtime, Timer } from '../../runtime/runtime.js';
 import { AddressClaims } from './address_claim.js';
 import { AllowanceService } from './allowance_service.js';
 import { CatalogService } from './catalog_service.js';
-import { PositionBoard } from './position_board.js';
-import { LEASE_MS, SyncService } from './sync_service.js';
+import { ClusterContact } from './cluster_contact.js';
+import { PrimaryPositionCache } from './primary_position_cache.js';
+import { SyncService } from './sync_service.js';
 
 /** Identity and surroundings of a control machine. */
 export interface AppointedControlOptions {
-  /** Name under which this process holds the appointment duty. */
+  /** Name under which this process holds the appointment lease. */
   readonly name: string;
   /** Address for messages of other processes. */
   readonly address: string;
@@ -46,42 +61,46 @@
   readonly raft?: Partial<RaftOptions>;
 }
 
-/** Timing of control machines that appoint primaries, in milliseconds. */
+/**
+ * Timing of control machines that appoint primaries, in milliseconds; see `src/consensus/election_timer.ts`. Shorter election
+ * timeouts than the default, since proxies wait for leases. Guesses for machines of one region; held against two regions
+ * 30 ms apart in test/simulation/elections.test.ts.
+ */
 export const APPOINTED_RAFT_OPTIONS: RaftOptions = {
   ...DEFAULT_RAFT_OPTIONS,
   heartbeatMs: 100,
   electionTimeoutMs: 300,
   earlyElectionMs: 120,
 };
+/** Time between two rounds of upkeep (removal of silent proxies, the directory), in milliseconds. A guess, not measured. */
 const UPKEEP_MS = 500;
-/** How often the leader looks for primaries whose position is wanted and not known, in milliseconds. */
+/** Time between two looks for primaries whose position is wanted and not known, in milliseconds. A guess, not measured. */
 const POSITIONS_MS = 100;
-/** A former leader may go on granting leases for this long after it lost its majority; milliseconds. */
-const STALE_LEADER_MS = 1000;
-/**
- * After it stood still a member waits this long before it acts on what it knew, in milliseconds: a leader sends news every
- * 100 ms.
- */
-const AFTER_STALL_MS = 1000;
-/** A control machine that answered within this time is in touch, in milliseconds. */
-const CONTACT_MS = 1000;
+/** What most parts need of the machine. */
+interface SharedSurroundings {
+  readonly clock: Clock;
+  readonly node: RaftNode;
+  readonly catalog: Catalog;
+  readonly propose: Proposer;
+  readonly log: DecisionLog;
+}
 
 /** One control machine. */
 export class AppointedControl {
-  private readonly catalogService: CatalogService;
+  private readonly ledger = new LeaseLedger();
+  private readonly monitor = new InstanceMonitor();
+  private readonly health = new PrimaryHealthOpinions();
+  private readonly contact: ClusterContact;
+  private readonly positions: PrimaryPositionCache;
   private readonly syncService: SyncService;
   private readonly allowanceService: AllowanceService;
+  private readonly catalogService: CatalogService;
+  private readonly appointmentLease: AppointmentLease;
   private readonly controller: FailoverController;
-  private readonly duty: AppointmentLease;
-  private readonly ledger = new LeaseLedger();
-  private readonly monitor = new InstanceMonitor();
-  private readonly board = new PrimaryHealthBoard();
-  private readonly positions: PositionBoard;
   private readonly joiner: ClusterJoiner;
   private seeds: readonly string[];
   /** Whether this member serves proxies as the leader. */
   private isServing = false;
-  private readonly stalls: StallDetector;
   private upkeep: Timer | undefined;
   private positionTimer: Timer | undefined;
 
@@ -91,66 +110,24 @@
     private readonly runtime: Runtime,
     private readonly options: AppointedControlOptions,
   ) {
-    const { clock, messenger } = runtime;
+    const { clock } = runtime;
+    const { connector, log, documents } = options;
+    const { ledger, monitor, health } = this;
+    const isLeading = (): boolean => node.leadsWithState;
     const propose: Proposer = (command) => this.propose(command);
-    this.stalls = new StallDetector(clock);
+    const shared = { clock, node, catalog, propose, log };
     this.seeds = options.seeds;
-    this.positions = new PositionBoard(
-      clock,
-      catalog,
-      options.connector,
-      () => node.leadsWithState,
-    );
-    this.syncService = new SyncService({
-      clock,
-      node,
-      catalog,
-      ledger: this.ledger,
-      health: this.board,
-      positions: this.positions,
-      propose,
-    });
-    const { documents, log: decisionLog } = options;
-    this.allowanceService = new AllowanceService(
-      { clock, node, catalog, documents, propose, log: decisionLog },
-      options.quotaRules,
-    );
-    this.catalogService = new CatalogService(
-      clock,
-      messenger,
-      node,
-      catalog,
-      this.monitor,
-      new AddressClaims(clock, catalog, this.monitor, options.connector),
-      propose,
-      options.log,
-    );
-    const { name, address, appointer, log, connector } = options;
-    this.duty = new AppointmentLease(
-      { name, address },
-      catalog,
-      messenger,
-      appointer,
-      propose,
-      (other) => this.isInTouch(other),
-      () => this.knowsDuty(),
-    );
-    const context = {
-      clock,
-      catalog,
-      ledger: this.ledger,
-      administrator: new InstanceAdministrator(connector),
-      duty: this.duty,
-      propose,
-      log,
-      isLeading: () => node.leadsWithState,
-    };
-    this.controller = new FailoverController(context, this.monitor, this.board);
-    this.joiner = new ClusterJoiner(node, runtime, () => this.seeds, {
-      recoverAlone: false,
-      trustsAddresses: false,
-      elastic: { mayFound: options.isFirstStart, voters: options.voters },
-    });
+    this.contact = new ClusterContact(node, clock);
+    this.positions = new PrimaryPositionCache(clock, catalog, connector, isLeading);
+    this.syncService = new SyncService({ ...shared, ledger, health, positions: this.positions });
+    this.allowanceService = new AllowanceService({ ...shared, documents }, options.quotaRules);
+    this.catalogService = this.makeCatalogService(shared);
+    this.appointmentLease = this.makeAppointmentLease(propose);
+    const { appointmentLease } = this;
+    const administrator = new InstanceAdministrator(connector);
+    const context = { ...shared, ledger, administrator, appointmentLease, isLeading };
+    this.controller = new FailoverController(context, monitor, health);
+    this.joiner = this.makeJoiner();
   }
 
   /** Reads the durable state and prepares everything; nothing is sent before `start`. */
@@ -159,23 +136,17 @@
     const log = await RaftLog.open(runtime.folder);
     const catalog = new Catalog();
     const raftOptions = { ...APPOINTED_RAFT_OPTIONS, ...options.raft };
-    const node: RaftNode = new RaftNode(
-      identity,
-      options.address,
-      runtime,
-      log,
-      catalog,
-      raftOptions,
-      {
-        onRole: (role, term) => {
-          options.log(Events.roleChanged, { role, term });
-          if (role === 'leader') coordinator.beginLeadership();
-        },
-        onLeadership: () => coordinator.onLeadership(),
+    const observer: RaftObserver = {
+      onRole: (role, term) => {
+        options.log(Events.roleChanged, { role, term });
+        if (role === 'leader') control.beginLeadership();
       },
-    );
-    const coordinator = new AppointedControl(node, catalog, runtime, options);
-    return coordinator;
+      onLeadership: () => control.onLeadership(),
+    };
+    const { address } = options;
+    const node = new RaftNode(identity, address, runtime, log, catalog, raftOptions, observer);
+    const control = new AppointedControl(node, catalog, runtime, options);
+    return control;
   }
 
   /** Joins the cluster and serves. */
@@ -183,7 +154,7 @@
     this.runtime.messenger.serve((body) => this.handle(body));
     await this.joiner.prepare();
     this.node.start();
-    this.stalls.start();
+    this.contact.start();
     this.joiner.start();
     this.controller.start();
     this.runUpkeep();
@@ -195,7 +166,7 @@
     this.upkeep?.cancel();
     this.positionTimer?.cancel();
     this.controller.stop();
-    this.stalls.stop();
+    this.contact.stop();
     this.joiner.stop();
     this.node.stop();
   }
@@ -220,17 +191,41 @@
       return { allowanceReply: await this.allowanceService.answer(body.allowanceRequest) };
     }
     if (body.appointRequest) {
-      return { appointReply: await this.duty.onRequest(body.appointRequest) };
+      return { appointReply: await this.appointmentLease.onRequest(body.appointRequest) };
     }
     if (body.joinRequest) return { joinReply: await this.joiner.onJoin(body.joinRequest) };
     return this.node.handle(body);
   }
 
+  private makeCatalogService(shared: SharedSurroundings): CatalogService {
+    const { monitor, runtime, catalog } = this;
+    const { clock, messenger } = runtime;
+    const claims = new AddressClaims(clock, catalog, monitor, this.options.connector);
+    return new CatalogService({ ...shared, messenger, monitor, claims });
+  }
+
+  private makeAppointmentLease(propose: Proposer): AppointmentLease {
+    const { catalog, contact, options } = this;
+    const { name, address, appointer } = options;
+    const { messenger } = this.runtime;
+    const self = { name, address };
+    return new AppointmentLease({ self, catalog, messenger, appointer, propose, contact });
+  }
+
+  private makeJoiner(): ClusterJoiner {
+    const { isFirstStart: mayFound, voters } = this.options;
+    return new ClusterJoiner(this.node, this.runtime, () => this.seeds, {
+      recoverAlone: false,
+      trustsAddresses: false,
+      elastic: { mayFound, voters },
+    });
+  }
+
   private beginLeadership(): void {
     const now = this.runtime.clock.now();
     this.ledger.begin(now + LEASE_MS + STALE_LEADER_MS, now);
     this.monitor.begin(now);
-    this.board.clear();
+    this.health.clear();
     this.positions.begin();
     this.allowanceService.begin();
     this.isServing = false;
@@ -256,18 +251,6 @@
     return whinyoke.CatalogResult.decode(await this.node.propose(bytes));
   }
 
-  /** A leader has proof; any other member must have run without a stall, and have heard of its leader lately. */
-  private knowsDuty(): boolean {
-    if (this.node.role === 'leader') return this.node.leadsWithState;
-    const since = this.runtime.clock.now() - AFTER_STALL_MS;
-    return this.node.hasQuorum && !this.stalls.hasStalledSince(since);
-  }
-
-  private isInTouch(address: string): boolean {
-    const member = this.node.membership.members.findLast((item) => item.address === address);
-    return member !== undefined && this.node.contactAge(member.id) < CONTACT_MS;
-  }
-
   private runUpkeep(): void {
     this.upkeep = this.runtime.clock.setTimer(UPKEEP_MS, () => {
       // A removal that fails is tried again at the next upkeep, by whoever leads then.
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -19,27 +19,35 @@
 const FORWARD_TIMEOUT_MS = 900;
 const UNAVAILABLE: whinyoke.ICatalogReply = { outcome: CatalogOutcome.UNAVAILABLE };
 
+/** What the service needs of its control machine. */
+export interface CatalogServiceSurroundings {
+  readonly clock: Clock;
+  readonly messenger: Messenger;
+  readonly node: Pick<RaftNode, 'role' | 'leadsWithState' | 'leaderAddress' | 'address'>;
+  readonly catalog: Catalog;
+  readonly monitor: InstanceMonitor;
+  readonly claims: AddressClaims;
+  readonly propose: Proposer;
+  readonly log: DecisionLog;
+}
+
 /** Service of one control machine. */
 export class CatalogService {
-  constructor(
-    private readonly clock: Clock,
-    private readonly messenger: Messenger,
-    private readonly node: RaftNode,
-    private readonly catalog: Catalog,
-    private readonly monitor: InstanceMonitor,
-    private readonly claims: AddressClaims,
-    private readonly propose: Proposer,
-    private readonly log: DecisionLog,
-  ) {}
+  constructor(private readonly surroundings: CatalogServiceSurroundings) {}
 
   /** Takes a request here or at the leader. */
   async submit(request: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> {
-    if (this.node.role === 'leader') return this.handle(request);
-    const { leaderAddress } = this.node;
-    if (leaderAddress === '' || leaderAddress === this.node.address) return UNAVAILABLE;
+    if (this.surroundings.node.role === 'leader') return this.handle(request);
+    const { leaderAddress } = this.surroundings.node;
+    if (leaderAddress === '' || leaderAddress === this.surroundings.node.address)
+      return UNAVAILABLE;
     try {
       const body = { catalogRequest: request };
-      const answer = await this.messenger.request(leaderAddress, body, FORWARD_TIMEOUT_MS);
+      const answer = await this.surroundings.messenger.request(
+        leaderAddress,
+        body,
+        FORWARD_TIMEOUT_MS,
+      );
       return answer.catalogReply ?? UNAVAILABLE;
     } catch (error) {
       this.logFailure(request, `passed on to ${leaderAddress}: ${messageOf(error)}`);
@@ -49,10 +57,10 @@
 
   /** Answers a request as the leader. */
   async handle(request: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> {
-    if (!this.node.leadsWithState) return UNAVAILABLE;
+    if (!this.surroundings.node.leadsWithState) return UNAVAILABLE;
     try {
       if (request.putDocument) return await this.putDocument(request.putDocument);
-      if (request.beat) return await this.noteBeat(request.beat);
+      if (request.beat) return await this.noteHeartbeat(request.beat);
       return await this.readDocument();
     } catch (error) {
       this.logFailure(request, messageOf(error));
@@ -61,7 +69,7 @@
   }
 
   private logFailure(request: whinyoke.ICatalogRequest, reason: string): void {
-    this.log(Events.catalogChangeFailed, {
+    this.surroundings.log(Events.catalogChangeFailed, {
       request: Object.keys(request)[0] ?? '',
       instance: request.beat?.instance?.id ?? '',
       version: request.putDocument?.version ?? 0,
@@ -70,45 +78,47 @@
   }
 
   private async putDocument(document: whinyoke.IRoutingDocument): Promise<whinyoke.ICatalogReply> {
-    if ((document.version ?? 0) <= this.catalog.documentVersion) await this.confirmLeadership();
-    else await this.propose({ putDocument: document });
+    if ((document.version ?? 0) <= this.surroundings.catalog.documentVersion)
+      await this.confirmLeadership();
+    else await this.surroundings.propose({ putDocument: document });
     return { outcome: CatalogOutcome.DONE };
   }
 
   private async readDocument(): Promise<whinyoke.ICatalogReply> {
     await this.confirmLeadership();
-    return { outcome: CatalogOutcome.DONE, document: this.catalog.document };
+    return { outcome: CatalogOutcome.DONE, document: this.surroundings.catalog.document };
   }
 
   /** An empty entry that is committed proves that nobody else led in between. */
   private async confirmLeadership(): Promise<void> {
-    await this.propose({});
+    await this.surroundings.propose({});
   }
 
   /** An instance that tells an address is the only one there: others at it are gone. */
   private async removeFormerHolders(instance: whinyoke.IInstanceEntry): Promise<void> {
-    for (const other of this.catalog.othersAt(instance)) {
-      await this.propose({ putInstance: { ...other, state: InstanceState.GONE } });
+    for (const other of this.surroundings.catalog.othersAt(instance)) {
+      await this.surroundings.propose({ putInstance: { ...other, state: InstanceState.GONE } });
     }
   }
 
-  private async noteBeat(beat: whinyoke.IInstanceBeat): Promise<whinyoke.ICatalogReply> {
-    const instance = beat.instance ?? {};
-    const known = this.catalog.instance(instance.id ?? '');
-    if (beat.leaves) {
+  private async noteHeartbeat(heartbeat: whinyoke.IInstanceBeat): Promise<whinyoke.ICatalogReply> {
+    const instance = heartbeat.instance ?? {};
+    const known = this.surroundings.catalog.instance(instance.id ?? '');
+    if (heartbeat.leaves) {
       const left = { ...known, id: instance.id, state: InstanceState.GONE };
-      if (known?.state !== InstanceState.GONE) await this.propose({ putInstance: left });
+      if (known?.state !== InstanceState.GONE)
+        await this.surroundings.propose({ putInstance: left });
       return { outcome: CatalogOutcome.DONE };
     }
     if (known?.state === InstanceState.GONE) return { outcome: CatalogOutcome.DONE };
     if (!known) {
-      const claim = await this.claims.examine(instance);
+      const claim = await this.surroundings.claims.examine(instance);
       if (claim !== 'granted') return this.refuseClaim(instance, claim);
     }
-    this.monitor.note(beat, this.clock.now());
+    this.surroundings.monitor.note(heartbeat, this.surroundings.clock.now());
     const isLate = (instance.sequence ?? 0) < (known?.sequence ?? 0);
     if (!isLate && !isSame(known, instance)) {
-      await this.propose({ putInstance: instance });
+      await this.surroundings.propose({ putInstance: instance });
       await this.removeFormerHolders(instance);
     }
     return { outcome: CatalogOutcome.DONE };
@@ -120,7 +130,11 @@
     claim: ClaimOutcome,
   ): whinyoke.ICatalogReply {
     const { id, address } = instance;
-    this.log(Events.addressClaimRefused, { instance: id ?? '', address: address ?? '', claim });
+    this.surroundings.log(Events.addressClaimRefused, {
+      instance: id ?? '',
+      address: address ?? '',
+      claim,
+    });
     return claim === 'refused' ? { outcome: CatalogOutcome.DONE } : UNAVAILABLE;
   }
 }
--- a/src/appointed/control/change_gate.ts
+++ b/src/appointed/control/change_notifier.ts
@@ -1,6 +1,13 @@
 /**
- * Wakes the held requests of proxies when the catalog has news. Changes of primary are told at once. Other changes are
- * gathered for a moment: each of them wakes every proxy, and at a start or in a storm of documents many come together.
+ * DECISION: when the held requests of proxies are woken.
+ *
+ * Answers: a change of primary that every proxy must know at once; a start, or many documents, where changes come together
+ *   and each of them would wake every proxy.
+ * Inputs: the catalog's version, and the epochs of the groups that changed since the last wake.
+ * Rule: a change of primary wakes all held requests at once; anything else is gathered for GATHER_MS.
+ * Constants: below.
+ *
+ * Owns the held requests of one control machine. Relies on the catalog only, which can't fail.
  */
 import type { Catalog } from '../catalog/catalog.js';
 import type { Clock } from '../../runtime/runtime.js';
@@ -15,8 +22,8 @@
 /** Epoch that a group gets when it is seen for the first time. */
 const FIRST_EPOCH = 1;
 
-/** Gate of one control machine. */
-export class ChangeGate {
+/** Notifier of one control machine. */
+export class ChangeNotifier {
   private readonly waiters: TimedWaiters;
   private announcedVersion = 0;
   private isGathering = false;
@@ -39,22 +46,22 @@
     return this.waiters.wait(maximumWaitMs);
   }
 
-  /** Ends all waits, and counts everything up to now as told. */
-  open(): void {
+  /** Ends all waits; everything up to now counts as announced. */
+  notifyAll(): void {
     this.announcedVersion = this.catalog.version;
     this.waiters.wakeAll();
   }
 
   private onChange(): void {
     if (this.isUrgent()) {
-      this.open();
+      this.notifyAll();
       return;
     }
     if (this.isGathering) return;
     this.isGathering = true;
     this.clock.setTimer(GATHER_MS, () => {
       this.isGathering = false;
-      this.open();
+      this.notifyAll();
     });
   }
 
--- a/src/appointed/control/position_board.ts
+++ b/src/appointed/control/primary_position_cache.ts
@@ -25,7 +25,7 @@
 const CONNECT_TIMEOUT_MS = 500;
 
 /** Board of one leader. */
-export class PositionBoard {
+export class PrimaryPositionCache {
   private readonly positions = new Map<string, PrimaryPosition>();
   private readonly asking = new Set<string>();
   private wantedUntil = -Infinity;
--- a/src/appointed/control/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -1,5 +1,5 @@
 /**
- * What the leader tells each proxy of its surroundings: control machines, proxies that may pass requests on, and how
+ * What the leader tells each proxy of its surroundings: control machines, forwarders (proxies that pass requests on to the leader), and how
  * many proxies share the connections of an instance. Told only when it changed.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
@@ -10,7 +10,7 @@
 /** A proxy counts as live for the division of connections for this long, in milliseconds. */
 const LIVE_MS = 5000;
 /** Other proxies that each proxy is told, for requests while control is out of reach. */
-const RELAY_COUNT = 2;
+const FORWARDER_COUNT = 2;
 /** Directories of one term; a leader makes a new one at most each time its upkeep runs. */
 const VERSIONS_IN_TERM = 2 ** 24;
 
@@ -80,17 +80,18 @@
     return {
       version: this.version,
       controlAddresses: [...this.controls],
-      relays: this.relaysFor(proxy),
+      // The wire calls forwarders relays.
+      relays: this.forwardersFor(proxy),
       liveProxies: this.liveProxies,
       zones: [...this.zones],
     };
   }
 
   /** Neighbours in the list, so that requests that are passed on spread over all proxies. */
-  private relaysFor(proxy: ProxyEntry): string[] {
+  private forwardersFor(proxy: ProxyEntry): string[] {
     const { addresses } = this;
     const place = this.places.get(proxy.id ?? '') ?? -1;
-    const count = Math.min(RELAY_COUNT, Math.max(0, addresses.length - 1));
+    const count = Math.min(FORWARDER_COUNT, Math.max(0, addresses.length - 1));
     return Array.from(
       { length: count },
       (_, step) => addresses[(place + 1 + step) % addresses.length]!,
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -3,23 +3,19 @@
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 import type { LeaseLedger } from '../failover/lease_ledger.js';
-import type { PrimaryHealthBoard } from '../failover/primary_health_board.js';
+import type { PrimaryHealthOpinions } from '../failover/primary_health_opinions.js';
+import { LEASE_MS } from '../leases/lease_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 import { TimedWaiters } from '../../runtime/timed_waiters.js';
 import { CatalogUpdates } from './catalog_updates.js';
-import { ChangeGate } from './change_gate.js';
-import type { PositionBoard } from './position_board.js';
+import { ChangeNotifier } from './change_notifier.js';
+import type { PrimaryPositionCache } from './primary_position_cache.js';
 import { ProxyDirectory } from './proxy_directory.js';
 import { ProxyRegistrar } from './proxy_registrar.js';
 
 const { GroupPhase } = whinyoke;
 
-/**
- * Life of a lease on a primary, in milliseconds: longer than a restart of all control machines takes, so that
- * one stops no writes. A change of primary waits that long for proxies that are cut off.
- */
-export const LEASE_MS = 3000;
 const MAXIMUM_HOLD_MS = 2000;
 /** A proxy that is silent for this long is removed from the catalog, in milliseconds. */
 const REMOVE_AFTER_MS = 20_000;
@@ -29,8 +25,8 @@
   readonly node: RaftNode;
   readonly catalog: Catalog;
   readonly ledger: LeaseLedger;
-  readonly health: PrimaryHealthBoard;
-  readonly positions: PositionBoard;
+  readonly health: PrimaryHealthOpinions;
+  readonly positions: PrimaryPositionCache;
   readonly propose: Proposer;
 }
 
@@ -40,7 +36,7 @@
   private readonly registrar: ProxyRegistrar;
   private readonly directory: ProxyDirectory;
   private readonly updates: CatalogUpdates;
-  private readonly gate: ChangeGate;
+  private readonly notifier: ChangeNotifier;
 
   constructor(private readonly surroundings: SyncSurroundings) {
     const { clock, node, catalog, propose } = surroundings;
@@ -48,7 +44,7 @@
     this.registrar = new ProxyRegistrar(catalog, propose);
     this.directory = new ProxyDirectory(clock, node, catalog);
     this.updates = new CatalogUpdates(catalog);
-    this.gate = new ChangeGate(clock, catalog);
+    this.notifier = new ChangeNotifier(clock, catalog);
   }
 
   /** Begins a leadership, once everything that was committed before is applied: the registered proxies are known then. */
@@ -72,13 +68,13 @@
     const proxy = request.proxy ?? {};
     if (!(await this.registrar.register(proxy))) return this.refusal();
     this.note(request, proxy);
-    if (!this.gate.hasNewsFor(request.knownVersion ?? 0)) await this.gate.wait(holdMs);
+    if (!this.notifier.hasNewsFor(request.knownVersion ?? 0)) await this.notifier.wait(holdMs);
     return this.isLeading ? this.reply(request, proxy) : this.refusal();
   }
 
   /** Tells all proxies that wait what is known now. */
   tellAll(): void {
-    this.gate.open();
+    this.notifier.notifyAll();
   }
 
   /** Looks after the registered proxies; called now and then. */
--- a/src/appointed/failover/appointment_fence.ts
+++ b/src/appointed/failover/appointment_fence.ts
@@ -1,14 +1,17 @@
 /**
- * When a replica may be appointed beside proxies that did not confirm the end of their leases. Such a proxy may trust the
- * old primary for as long as no replica that it knows is held (`src/appointed/trust/replica_lease_confirmer.ts`), so the chosen replica
- * must have been held for longer than a lease that replicas confirm. Pure.
+ * DECISION: when a replica may be appointed beside proxies that did not confirm the end of their leases.
+ *
+ * Answers: a change of primary while some proxies are cut off from control but reach the instances.
+ * Inputs: since when the replica has been held, the catalog version that names it, the oldest catalog version that such a
+ *   proxy knows, and until when such a proxy asks replicas (milliseconds on the leader's clock).
+ * Rule: such a proxy may trust the old primary for as long as no replica that it knows is held
+ *   (`src/appointed/leases/replica_lease.ts`). So the replica must be known to it, and must have been held for longer than a
+ *   lease that replicas confirm; or the proxy must have stopped asking.
+ * Constants: below, and those of `replica_lease.ts`. See docs/design/appointed-primaries.md. Pure.
  */
-import {
-  LONGEST_REPLICA_LEASE_SILENCE_MS,
-  REPLICA_LEASE_MS,
-} from '../trust/replica_lease_confirmer.js';
+import { LONGEST_REPLICA_LEASE_SILENCE_MS, REPLICA_LEASE_MS } from '../leases/replica_lease.js';
 
-/** Allowance for steady clocks that run differently, in milliseconds. */
+/** Allowance for steady clocks that run differently, in milliseconds. A guess, not measured. */
 const CLOCK_MARGIN_MS = 100;
 
 /** From its last contact on, a proxy may have its leases confirmed by replicas for that long, in milliseconds. */
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -1,48 +1,68 @@
 /**
- * The duty to appoint primaries. One process holds it at a time; holder and fencing token are in the
- * replicated log. The duty stays with its holder while that is in touch, also when another machine leads.
+ * DECISION: who may call the platform to appoint a primary.
+ *
+ * Answers: two control machines that both believe to lead; a holder that crashed or stood still.
+ * Inputs: holder and fencing token in the replicated log, whether the holder answered the leader lately, whether what this
+ *   process knows of the log is current.
+ * Rule: one process holds the lease at a time. It stays with its holder while that is in touch, also when another machine
+ *   leads; the leader then asks the holder to appoint. Otherwise the leader takes it, which raises the token, and the platform
+ *   refuses lower ones. A holder calls only while its knowledge is current.
+ * Constants: below, and the two of `cluster_contact.ts` in `src/appointed/control`.
+ *
+ * Owns nothing: the lease is in the catalog, under its stored name `duty`. Relies on a majority (to take the lease), on the
+ * holder's answer and on the platform; each may fail, and the change of primary tries again.
  */
 import type { Catalog } from '../catalog/catalog.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Messenger } from '../../runtime/runtime.js';
 import type { AppointmentAuthority, PrimaryAppointer } from './primary_appointer.js';
 
+/** Time for the holder to call the platform and answer, in milliseconds. A guess, not measured. */
 const REQUEST_TIMEOUT_MS = 2500;
 
 /** Proposes a command to the replicated log. */
 export type Proposer = (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>;
 
-/** Duty as seen by one control machine. */
+/** What a control machine knows of the others. */
+export interface ControlContact {
+  /** Whether the control machine at an address answered lately. */
+  isInTouch(address: string): boolean;
+  /** Whether what this process knows of the lease is as new as any majority knows. */
+  readonly isCurrent: boolean;
+}
+
+/** What the lease needs of its control machine. */
+export interface AppointmentSurroundings {
+  /** Name and address under which this process holds the lease. */
+  readonly self: { readonly name: string; readonly address: string };
+  readonly catalog: Catalog;
+  readonly messenger: Messenger;
+  readonly appointer: PrimaryAppointer;
+  readonly propose: Proposer;
+  readonly contact: ControlContact;
+}
+
+/** The lease as seen by one control machine. */
 export class AppointmentLease {
-  constructor(
-    private readonly self: { readonly name: string; readonly address: string },
-    private readonly catalog: Catalog,
-    private readonly messenger: Messenger,
-    private readonly appointer: PrimaryAppointer,
-    private readonly propose: Proposer,
-    /** Whether a control machine answered lately. */
-    private readonly isInTouch: (address: string) => boolean,
-    /** Whether what this process knows of the duty is as new as any majority knows. */
-    private readonly isCurrent: () => boolean,
-  ) {}
+  constructor(private readonly surroundings: AppointmentSurroundings) {}
 
-  /** Has the holder appoint; takes the duty over when the holder is not in touch. For the leader. */
+  /** Has the holder appoint; takes the lease over when the holder is not in touch. For the leader. */
   async appoint(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty } = this.catalog;
-    const address = duty.holderAddress ?? '';
-    const isOther = duty.holder !== undefined && duty.holder !== this.self.name;
-    if (isOther && this.isInTouch(address)) {
-      const outcome = await this.askHolder(address, group, instance, duty.token ?? 0);
+    const { duty: lease } = this.surroundings.catalog;
+    const address = lease.holderAddress ?? '';
+    const isOther = lease.holder !== undefined && lease.holder !== this.surroundings.self.name;
+    if (isOther && this.surroundings.contact.isInTouch(address)) {
+      const outcome = await this.askHolder(address, group, instance, lease.token ?? 0);
       if (outcome !== undefined) return outcome;
     }
-    if (duty.holder !== this.self.name) await this.takeOver();
+    if (lease.holder !== this.surroundings.self.name) await this.takeOver();
     return this.appointAsHolder(group, instance);
   }
 
-  /** Answers the leader: appoints if this process still holds the duty under that token. */
+  /** Answers the leader: appoints if this process still holds the lease under that token. */
   async onRequest(request: whinyoke.IAppointRequest): Promise<whinyoke.IAppointReply> {
-    const { duty } = this.catalog;
-    if (duty.holder !== this.self.name || duty.token !== request.token) {
+    const { duty: lease } = this.surroundings.catalog;
+    if (lease.holder !== this.surroundings.self.name || lease.token !== request.token) {
       return { outcome: whinyoke.AppointOutcome.TRY_LATER };
     }
     const outcome = await this.appointAsHolder(request.group ?? '', request.instance ?? '');
@@ -50,17 +70,25 @@
   }
 
   private async takeOver(): Promise<void> {
-    await this.propose({ takeDuty: { holder: this.self.name, holderAddress: this.self.address } });
+    await this.surroundings.propose({
+      takeDuty: {
+        holder: this.surroundings.self.name,
+        holderAddress: this.surroundings.self.address,
+      },
+    });
   }
 
   private appointAsHolder(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty } = this.catalog;
+    const { duty: lease } = this.surroundings.catalog;
     // A holder that stood still may have been replaced: it must not call under its former token.
-    if (duty.holder !== this.self.name || !this.isCurrent()) {
+    if (lease.holder !== this.surroundings.self.name || !this.surroundings.contact.isCurrent) {
       return Promise.resolve(whinyoke.AppointOutcome.TRY_LATER);
     }
-    const authority: AppointmentAuthority = { holder: this.self.name, token: duty.token ?? 0 };
-    return this.appointer.appoint(group, instance, authority);
+    const authority: AppointmentAuthority = {
+      holder: this.surroundings.self.name,
+      token: lease.token ?? 0,
+    };
+    return this.surroundings.appointer.appoint(group, instance, authority);
   }
 
   private async askHolder(
@@ -71,9 +99,10 @@
   ): Promise<whinyoke.AppointOutcome | undefined> {
     const request = { appointRequest: { group, instance, token } };
     try {
-      const body = await this.messenger.request(address, request, REQUEST_TIMEOUT_MS);
+      const body = await this.surroundings.messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.appointReply?.outcome ?? undefined;
     } catch {
+      // The holder is out of reach: the caller takes the lease over, which the log of the change shows by its outcome.
       return undefined;
     }
   }
--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -1,4 +1,14 @@
-/** Choice of the instance that becomes primary. Pure. */
+/**
+ * DECISION: which instance becomes primary.
+ *
+ * Answers: the primary failed or leaves, all leases on it have ended, and no acknowledged commit may be lost.
+ * Inputs: positions (term and sequence) of the replicas that answered, how many did not, the old primary's position when it
+ *   told it, what the proxies had acknowledged, and whether proxies or instances left since its epoch began.
+ * Rule: the eligible instance with the newest position, if one of three proofs shows that it holds every acknowledged commit:
+ *   `allReplicas` (every replica answered and none is ahead of it), `oldPrimary` (it holds what the old primary held),
+ *   `confirmations` (every proxy confirmed, and it holds what they had acknowledged). Without a proof none is chosen.
+ * Constants: none. Tests: test/unit/failover.test.ts. Pure.
+ */
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import { comparePositions, covers } from '../../positions/position.js';
 import type { RevocationState } from './lease_ledger.js';
--- a/src/appointed/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -1,4 +1,8 @@
-/** Administrative commands to instances: state, stop and resume of receiving, end of a leadership. */
+/**
+ * Administrative commands to instances: state, stop and resume of receiving, end of a leadership.
+ *
+ * Owns no connection beyond one command. Relies on the instance, which may not answer: the result is undefined then.
+ */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type {
   InstanceConnector,
@@ -7,6 +11,7 @@
 } from '../instance/instance_connection.js';
 import type { InstanceCommand } from '../instance/statement.js';
 
+/** Time to connect, and for an answer, in milliseconds. A guess, not measured. */
 const TIMEOUT_MS = 500;
 
 /** Connection target of an instance. */
@@ -55,6 +60,7 @@
         connection.close();
       }
     } catch {
+      // An instance that can't be reached tells no state. Callers repeat their commands and log what they conclude.
       return undefined;
     }
   }
--- a/src/appointed/failover/lease_ledger.ts
+++ b/src/appointed/failover/lease_ledger.ts
@@ -1,7 +1,15 @@
 /**
- * The leader's account of leases on primaries: which proxies may still trust an epoch, and what they had
- * acknowledged when they stopped. Errs towards longer leases: a proxy counts from when it sent its request,
- * the ledger from when it answered.
+ * DECISION: when all leases on a primary have ended.
+ *
+ * Answers: a change of primary, in which no proxy may still use the old one.
+ * Inputs: leases granted to each run of a proxy, confirmations of proxies with what they had acknowledged, the registered
+ *   proxies, and when this leadership began (milliseconds on the leader's clock).
+ * Rule: a proxy holds no lease once it confirmed the present epoch, or once its newest lease has ended; a new leader counts
+ *   leases of former leaders until LEASE_MS and STALE_LEADER_MS after it began. Errs towards longer leases: a proxy counts
+ *   from when it sent its request, the ledger from when it answered.
+ * Constants: `src/appointed/leases/lease_times.ts`.
+ *
+ * Owns the account of one leader, in memory. Relies on the proxies, which may be silent: their leases end by time then.
  */
 import type { ProxyEntry } from '../catalog/catalog.js';
 import { type Position, START, latest } from '../../positions/position.js';
@@ -50,17 +58,17 @@
     this.begunAt = now;
   }
 
-  /** Notes a request of a proxy that knows the catalog up to a version. */
+  /** A proxy that knows the catalog up to a version sent a request. */
   noteContact(proxy: ProxyEntry, knownVersion: number, now: number): void {
     this.contacts.set(runOf(proxy), { at: now, knownVersion });
   }
 
-  /** Notes a lease on the present epoch of a group. */
+  /** A proxy gets a lease on the present epoch of a group. */
   grant(group: string, proxy: ProxyEntry, until: number): void {
     this.heldUntil.set(key(group, proxy), until);
   }
 
-  /** Notes that a proxy trusts no epoch of the group before `epoch`. */
+  /** A proxy confirms that it trusts no epoch of the group before `epoch`. */
   confirm(proxy: ProxyEntry, revocation: whinyoke.IRevocation): void {
     const position = revocation.hasPosition
       ? (positionOf(revocation.position) ?? START)
--- a/src/appointed/failover/primary_appointer.ts
+++ b/src/appointed/failover/primary_appointer.ts
@@ -1,9 +1,9 @@
-/** The call outside that makes an instance the primary of its group. */
+/** The call to the platform that makes an instance the primary of its group. It may fail; it is safe to repeat. */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /** Who makes the call. */
 export interface AppointmentAuthority {
-  /** Name of the process that holds the duty. */
+  /** Name of the process that holds the appointment lease. */
   readonly holder: string;
   /** Fencing token: rises with each change of holder. */
   readonly token: number;
--- /dev/null
+++ b/src/appointed/failover/primary_change_log.ts
@@ -0,0 +1,54 @@
+/** Log lines of one change of primary. Owns nothing but the time at which the change was taken up. */
+import type { InstanceStatus } from '../instance/instance_connection.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import { Events } from '../../observability/events.js';
+import { formatPosition } from '../../positions/position.js';
+import type { Clock } from '../../runtime/runtime.js';
+import type { CandidateReport, Choice } from './candidate.js';
+import type { RevocationState } from './lease_ledger.js';
+
+/** Log of one change. */
+export class PrimaryChangeLog {
+  private readonly begunAt: number;
+
+  constructor(
+    private readonly clock: Clock,
+    private readonly log: DecisionLog,
+    private readonly group: string,
+    private readonly epoch: number,
+  ) {
+    this.begunAt = clock.now();
+  }
+
+  /** Milliseconds since this process took the change up. */
+  get elapsedMs(): number {
+    return this.clock.now() - this.begunAt;
+  }
+
+  /** A step was done. */
+  step(step: string, detail: string): void {
+    const { group, epoch } = this;
+    const elapsed = Math.round(this.elapsedMs);
+    this.log(Events.primaryChangeStep, { group, epoch, step, elapsed_ms: elapsed, detail });
+  }
+
+  /** A replica was chosen, or none could be. */
+  choice(
+    reports: readonly CandidateReport[],
+    oldPrimary: InstanceStatus | undefined,
+    { acknowledged, isConfirmedByAll }: RevocationState,
+    choice: Choice | undefined,
+  ): void {
+    this.log(Events.primaryCandidates, {
+      group: this.group,
+      epoch: this.epoch,
+      candidates: reports
+        .map(({ instance, status }) => `${instance}@${formatPosition(status.received)}`)
+        .join(' '),
+      old_primary: oldPrimary ? formatPosition(oldPrimary.received) : 'silent',
+      acknowledged: acknowledged ? formatPosition(acknowledged) : 'none',
+      confirmed_by_all: isConfirmedByAll,
+      choice: choice ? `${choice.instance} by ${choice.evidence}` : 'none',
+    });
+  }
+}
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -8,32 +8,38 @@
  * 4. the replica that provably holds every acknowledged commit is chosen and named in the log;
  * 5. it is appointed, and says itself that it is primary of a new term;
  * 6. the epoch is raised and its phase is STEADY.
+ *
+ * Owns the progress of one change in memory only. Relies on the majority of the control machines (a proposal may fail: the
+ * controller starts again), on the instances and on the platform's appointment call (a try that fails is repeated).
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { Events } from '../../observability/events.js';
-import { whinyoke } from '../../protocol/generated/messages.js';
-import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
-import { objectionOf } from '../trust/replica_lease_confirmer.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
-import { formatPosition } from '../../positions/position.js';
-import type { AppointmentLease, Proposer } from './appointment_lease.js';
 import { appointmentObjection } from './appointment_fence.js';
+import type { AppointmentLease, Proposer } from './appointment_lease.js';
 import { type CandidateReport, type Choice, chooseCandidate } from './candidate.js';
 import { type InstanceAdministrator, targetOf } from './instance_administrator.js';
 import type { LeaseLedger, RevocationState } from './lease_ledger.js';
+import { PrimaryChangeLog } from './primary_change_log.js';
+import { ReplicaHold } from './replica_hold.js';
 
 const { AppointOutcome, GroupPhase, InstanceState } = whinyoke;
 
+/** Time between two looks at the leases of proxies, in milliseconds. A guess, not measured. */
 const REVOCATION_POLL_MS = 10;
+/** Time between two questions to the appointed instance, in milliseconds. A guess, not measured. */
 const STATUS_POLL_MS = 40;
+/** Time for an appointed instance to say that it is primary, in milliseconds. A guess, not measured. */
 const APPOINTED_TIMEOUT_MS = 2000;
+/** Time between two tries of a change, in milliseconds. A guess, not measured. */
 const RETRY_PAUSE_MS = 150;
 /**
  * Time for proxies to confirm, in milliseconds, before the replicas are held beside the wait for the leases of those
  * that did not: longer than commits under way hold up a confirmation (250 ms).
  */
-const CONFIRMATION_PATIENCE_MS = 400;
+const CONFIRMATION_WAIT_MS = 400;
 
 /** What a change needs of its process. */
 export interface ChangerContext {
@@ -41,165 +47,143 @@
   readonly catalog: Catalog;
   readonly ledger: LeaseLedger;
   readonly administrator: InstanceAdministrator;
-  readonly duty: AppointmentLease;
+  readonly appointmentLease: AppointmentLease;
   readonly propose: Proposer;
   readonly log: DecisionLog;
   /** Whether this process still leads in the term in which the change was begun. */
   readonly isLeading: () => boolean;
 }
 
+/** The instance that a former leader appointed in this change before it could tell so. */
+function appointedAlready(
+  reports: readonly CandidateReport[],
+  oldTerm: number,
+): string | undefined {
+  const leading = reports.filter(
+    ({ status }) => status.role === 'primary' && status.term > oldTerm,
+  );
+  leading.sort((left, right) => right.status.term - left.status.term);
+  return leading[0]?.instance;
+}
+
 /** Changer of one group in one CHANGING epoch. */
 export class PrimaryChanger {
   private readonly group: string;
   private readonly epoch: number;
-  /** Since when each replica has told without a break that the old primary is not to be trusted. */
-  private readonly objectingSince = new Map<string, number>();
-  /** Newest term that an instance of the group told. */
-  private newestTerm: number;
+  /** Term of the old primary. */
+  private readonly oldTerm: number;
+  private readonly hold: ReplicaHold;
+  private readonly changeLog: PrimaryChangeLog;
 
   constructor(
     private readonly context: ChangerContext,
     private readonly entry: GroupEntry,
   ) {
+    const { clock, administrator, log } = context;
     this.group = entry.group ?? '';
     this.epoch = entry.epoch ?? 0;
-    this.newestTerm = entry.term ?? 0;
+    this.oldTerm = entry.term ?? 0;
+    this.hold = new ReplicaHold(clock, administrator, this.oldTerm);
+    this.changeLog = new PrimaryChangeLog(clock, log, this.group, this.epoch);
   }
 
   /** Runs until the group has a primary again, or this process leads no longer. */
   async run(): Promise<void> {
-    const { clock } = this.context;
-    const begunAt = clock.now();
-    const revocation = await this.awaitRevocation(begunAt);
+    const revocation = await this.awaitRevocation();
     if (!revocation) return;
-    this.logStep(
-      'leases_ended',
-      clock.now() - begunAt,
-      `confirmed by all: ${revocation.isConfirmedByAll}`,
-    );
+    this.changeLog.step('leases_ended', `confirmed by all: ${revocation.isConfirmedByAll}`);
     while (this.isCurrent()) {
-      const isDone = await this.tryOnce(begunAt);
+      const isDone = await this.tryOnce();
       if (isDone) return;
-      await delay(clock, RETRY_PAUSE_MS);
+      await delay(this.context.clock, RETRY_PAUSE_MS);
     }
   }
 
+  // ---- what is known ----
+
   private isCurrent(): boolean {
     return this.context.isLeading() && this.context.catalog.group(this.group)?.epoch === this.epoch;
   }
 
-  private async awaitRevocation(begunAt: number): Promise<RevocationState | undefined> {
+  private revocation(): RevocationState {
+    const { catalog, ledger, clock } = this.context;
+    return ledger.revocation(this.group, this.epoch, catalog.proxies, clock.now());
+  }
+
+  private get members(): readonly InstanceEntry[] {
+    const { presentInstances } = this.context.catalog;
+    return presentInstances.filter((instance) => instance.group === this.group);
+  }
+
+  private get replicas(): readonly InstanceEntry[] {
+    return this.members.filter((instance) => instance.id !== this.entry.primary);
+  }
+
+  private get oldPrimary(): InstanceEntry | undefined {
+    return this.members.find((instance) => instance.id === this.entry.primary);
+  }
+
+  /** Whether no run of a proxy ended since the old primary's epoch began. */
+  private isHistoryWhole(): boolean {
+    return this.context.catalog.proxyLossVersion < (this.entry.steadySince ?? 0);
+  }
+
+  /** Whether no instance of the group left since the old primary's epoch began. */
+  private isMembershipWhole(): boolean {
+    return !this.context.catalog.hasLostInstanceSince(this.group, this.entry.steadySince ?? 0);
+  }
+
+  // ---- step 2: leases end ----
+
+  /** Waits until no proxy trusts the old primary; undefined when this process leads no longer. */
+  private async awaitRevocation(): Promise<RevocationState | undefined> {
     let isHolding = false;
     while (this.isCurrent()) {
       const state = this.revocation();
       if (state.isComplete) return state;
-      if (!isHolding && this.context.clock.now() - begunAt > CONFIRMATION_PATIENCE_MS) {
+      if (!isHolding && this.changeLog.elapsedMs > CONFIRMATION_WAIT_MS) {
         isHolding = true;
-        void this.holdAll(this.replicas, this.newTerm);
+        void this.hold.holdAll(this.replicas, this.hold.newTerm);
       }
       await delay(this.context.clock, REVOCATION_POLL_MS);
     }
     return undefined;
   }
 
-  private revocation(): RevocationState {
-    const { catalog, ledger, clock } = this.context;
-    return ledger.revocation(this.group, this.epoch, catalog.proxies, clock.now());
-  }
+  // ---- steps 3 to 6, repeated until they succeed ----
 
-  private async tryOnce(begunAt: number): Promise<boolean> {
-    const { clock } = this.context;
-    const instance = await this.chooseAndRecord(begunAt);
+  /** One try of all steps after the end of the leases; resolves with whether the group has a primary again. */
+  private async tryOnce(): Promise<boolean> {
+    const instance = await this.chooseTarget();
     if (!instance || !this.isCurrent()) return false;
-    this.logStep('target_chosen', clock.now() - begunAt, instance);
-    const outcome = await this.context.duty.appoint(this.group, instance);
-    this.logStep('appoint_answered', clock.now() - begunAt, AppointOutcome[outcome]);
+    this.changeLog.step('target_chosen', instance);
+    const outcome = await this.context.appointmentLease.appoint(this.group, instance);
+    this.changeLog.step('appoint_answered', AppointOutcome[outcome]);
     if (outcome !== AppointOutcome.APPOINTED) return false;
     const status = await this.awaitPrimary(instance);
     if (!status) return false;
     await this.finish(instance, status);
-    this.logStep('primary_appointed', clock.now() - begunAt, `${instance} term ${status.term}`);
+    this.changeLog.step('primary_appointed', `${instance} term ${status.term}`);
     return true;
   }
 
-  private get members(): readonly InstanceEntry[] {
-    const { presentInstances } = this.context.catalog;
-    return presentInstances.filter((instance) => instance.group === this.group);
-  }
-
-  private async chooseAndRecord(begunAt: number): Promise<string | undefined> {
-    const { catalog, administrator, propose, clock } = this.context;
-    const { newTerm: term, replicas } = this;
-    const old = this.members.find((instance) => instance.id === this.entry.primary);
-    const stepDown = old && administrator.stepDown(targetOf(old), term);
-    const reports = await this.holdAll(replicas, term);
-    const appointed = this.appointedAlready(reports);
+  /** Steps 3 and 4: holds the replicas, ends the old primary's term, and names the instance that follows in the log. */
+  private async chooseTarget(): Promise<string | undefined> {
+    const { replicas, oldPrimary } = this;
+    const { newTerm } = this.hold;
+    const stepDown =
+      oldPrimary && this.context.administrator.stepDown(targetOf(oldPrimary), newTerm);
+    const reports = await this.hold.holdAll(replicas, newTerm);
+    const appointed = appointedAlready(reports, this.oldTerm);
     if (appointed !== undefined) return appointed;
     const missing = replicas.length - reports.length;
     // An old primary that is dark holds the change up only when its answer is needed.
     const choice =
       this.choose(reports, missing, undefined) ??
-      this.choose(reports, missing, await this.oldPrimaryReport(old, stepDown));
-    if (!choice) return undefined;
-    const target = choice.instance;
-    const objection = this.appointmentObjection(target);
-    if (objection !== undefined) {
-      this.logStep('fence_not_passed', clock.now() - begunAt, `${target}: ${objection}`);
-      return undefined;
-    }
-    if (catalog.group(this.group)?.target !== target) {
-      await propose({ setTarget: { group: this.group, epoch: this.epoch, target } });
-    }
-    return target;
-  }
-
-  /** The instance that a former leader appointed in this change before it could tell so. */
-  private appointedAlready(reports: readonly CandidateReport[]): string | undefined {
-    const oldTerm = this.entry.term ?? 0;
-    const leading = reports.filter(
-      ({ status }) => status.role === 'primary' && status.term > oldTerm,
-    );
-    leading.sort((left, right) => right.status.term - left.status.term);
-    return leading[0]?.instance;
-  }
-
-  private get replicas(): readonly InstanceEntry[] {
-    return this.members.filter((instance) => instance.id !== this.entry.primary);
-  }
-
-  /** Term that the new primary will lead at least. */
-  private get newTerm(): number {
-    return this.newestTerm + 1;
-  }
-
-  /** Why the chosen instance may not be appointed yet, beside proxies that did not confirm. */
-  private appointmentObjection(instance: string): string | undefined {
-    const { isConfirmedByAll, unconfirmed } = this.revocation();
-    // The old primary that leads again is the one that such a proxy trusts.
-    if (isConfirmedByAll || instance === this.entry.primary) return undefined;
-    const { catalog, clock } = this.context;
-    const replica = {
-      version: catalog.instance(instance)?.version ?? Infinity,
-      heldSince: this.objectingSince.get(instance),
-    };
-    // Who trusts the old primary knows at least the catalog in which its epoch began.
-    const knownVersion = Math.max(unconfirmed.knownVersion, this.entry.steadySince ?? 0);
-    return appointmentObjection(replica, { ...unconfirmed, knownVersion }, clock.now());
-  }
-
-  /** Stops all replicas from receiving; those that answer are candidates. */
-  private async holdAll(
-    replicas: readonly InstanceEntry[],
-    term: number,
-  ): Promise<readonly CandidateReport[]> {
-    const statuses = await Promise.all(replicas.map((instance) => this.hold(instance, term)));
-    const reports: CandidateReport[] = [];
-    for (const [index, status] of statuses.entries()) {
-      const instance = replicas[index]!;
-      const isEligible = instance.state === InstanceState.READY;
-      if (status) reports.push({ instance: instance.id ?? '', status, isEligible });
-    }
-    return reports;
+      this.choose(reports, missing, await this.oldPrimaryReport(oldPrimary, stepDown));
+    if (!choice || !this.passesFence(choice.instance)) return undefined;
+    if (!this.isRecorded(choice.instance)) await this.record(choice.instance);
+    return choice.instance;
   }
 
   /** The old primary holds everything; it may lead again when no replica can. */
@@ -224,68 +208,59 @@
       revocation: this.revocation(),
       isHistoryWhole: this.isHistoryWhole(),
       isMembershipWhole: this.isMembershipWhole(),
-      term: this.entry.term ?? 0,
+      term: this.oldTerm,
     };
-    const choice = chooseCandidate({ ...input, reports: [...replicas] });
+    const ofReplicas = chooseCandidate({ ...input, reports: [...replicas] });
     // Where no replica provably holds everything, the old primary does, and may lead again.
-    const again =
-      !choice && oldPrimary
-        ? chooseCandidate({ ...input, reports: [...replicas, oldPrimary] })
-        : undefined;
-    this.logChoice(replicas, oldPrimary?.status, choice ?? again);
-    return choice ?? again;
-  }
-
-  /** Stops a replica from receiving; one that does so already, or that follows a newer term, is left as it is. */
-  private async hold(instance: InstanceEntry, term: number): Promise<InstanceStatus | undefined> {
-    const { administrator } = this.context;
-    const target = targetOf(instance);
-    // A restart ends it, so one that was held before is asked whether it still is.
-    const known = this.objectingSince.has(target.id)
-      ? await administrator.status(target)
-      : undefined;
-    this.noteStatus(target.id, known);
-    if (known && this.objectingSince.has(target.id)) return known;
-    const status =
-      (await administrator.pause(target, term)) ?? (await administrator.status(target));
-    this.noteStatus(target.id, status);
-    return status;
+    const choice =
+      ofReplicas ??
+      (oldPrimary && chooseCandidate({ ...input, reports: [...replicas, oldPrimary] }));
+    this.changeLog.choice(replicas, oldPrimary?.status, this.revocation(), choice);
+    return choice;
   }
 
-  private noteStatus(instance: string, status: InstanceStatus | undefined): void {
-    if (!status) return;
-    this.newestTerm = Math.max(this.newestTerm, status.term);
-    const isObjecting = objectionOf({ instance, status }, this.entry.term ?? 0) !== undefined;
-    if (!isObjecting) this.objectingSince.delete(instance);
-    else if (!this.objectingSince.has(instance)) {
-      this.objectingSince.set(instance, this.context.clock.now());
-    }
+  /** Whether the chosen instance may be appointed now, beside proxies that did not confirm. */
+  private passesFence(instance: string): boolean {
+    const { isConfirmedByAll, unconfirmed } = this.revocation();
+    // The old primary that leads again is the one that such a proxy trusts.
+    if (isConfirmedByAll || instance === this.entry.primary) return true;
+    const { catalog, clock } = this.context;
+    const replica = {
+      version: catalog.instance(instance)?.version ?? Infinity,
+      heldSince: this.hold.heldSince(instance),
+    };
+    // A proxy that trusts the old primary knows at least the catalog in which that one's epoch began.
+    const knownVersion = Math.max(unconfirmed.knownVersion, this.entry.steadySince ?? 0);
+    const objection = appointmentObjection(replica, { ...unconfirmed, knownVersion }, clock.now());
+    if (objection === undefined) return true;
+    this.changeLog.step('fence_not_passed', `${instance}: ${objection}`);
+    return false;
   }
 
-  /** Whether no run of a proxy ended since the old primary's epoch began. */
-  private isHistoryWhole(): boolean {
-    return this.context.catalog.proxyLossVersion < (this.entry.steadySince ?? 0);
+  private isRecorded(target: string): boolean {
+    return this.context.catalog.group(this.group)?.target === target;
   }
 
-  /** Whether no instance of the group left since the old primary's epoch began. */
-  private isMembershipWhole(): boolean {
-    return !this.context.catalog.hasLostInstanceSince(this.group, this.entry.steadySince ?? 0);
+  private record(target: string): Promise<whinyoke.CatalogResult> {
+    return this.context.propose({ setTarget: { group: this.group, epoch: this.epoch, target } });
   }
 
+  /** Step 5: waits until the appointed instance says itself that it is primary. */
   private async awaitPrimary(instance: string): Promise<InstanceStatus | undefined> {
-    const { clock, administrator } = this.context;
+    const { clock, administrator, catalog } = this.context;
     const begunAt = clock.now();
     while (this.isCurrent() && clock.now() - begunAt < APPOINTED_TIMEOUT_MS) {
-      const entry = this.context.catalog.instance(instance);
+      const entry = catalog.instance(instance);
       const status = entry && (await administrator.status(targetOf(entry)));
       const isOld = instance === this.entry.primary;
-      const isNewTerm = status && (isOld || status.term > (this.entry.term ?? 0));
+      const isNewTerm = status && (isOld || status.term > this.oldTerm);
       if (status?.role === 'primary' && isNewTerm) return status;
       await delay(clock, STATUS_POLL_MS);
     }
     return undefined;
   }
 
+  /** Step 6: the next epoch begins, and the other replicas receive again. */
   private async finish(primary: string, status: InstanceStatus): Promise<void> {
     const next = {
       group: this.group,
@@ -299,33 +274,4 @@
       if (instance.id !== primary) void this.context.administrator.resume(targetOf(instance));
     }
   }
-
-  private logStep(step: string, elapsedMs: number, detail: string): void {
-    this.context.log(Events.primaryChangeStep, {
-      group: this.group,
-      epoch: this.epoch,
-      step,
-      elapsed_ms: Math.round(elapsedMs),
-      detail,
-    });
-  }
-
-  private logChoice(
-    reports: readonly CandidateReport[],
-    oldPrimary: InstanceStatus | undefined,
-    choice: Choice | undefined,
-  ): void {
-    const { acknowledged, isConfirmedByAll } = this.revocation();
-    this.context.log(Events.primaryCandidates, {
-      group: this.group,
-      epoch: this.epoch,
-      candidates: reports
-        .map(({ instance, status }) => `${instance}@${formatPosition(status.received)}`)
-        .join(' '),
-      old_primary: oldPrimary ? formatPosition(oldPrimary.received) : 'silent',
-      acknowledged: acknowledged ? formatPosition(acknowledged) : 'none',
-      confirmed_by_all: isConfirmedByAll,
-      choice: choice ? `${choice.instance} by ${choice.evidence}` : 'none',
-    });
-  }
 }
--- a/src/appointed/failover/primary_health_board.ts
+++ b/src/appointed/failover/primary_health_opinions.ts
@@ -1,15 +1,25 @@
-/** Opinions of the proxies on the primaries of groups, and the verdict that follows from them. */
+/**
+ * DECISION: when a primary counts as failed, in the eyes of the proxies. What follows from that: `failover_controller.ts`.
+ *
+ * Answers: a primary that crashed, refuses or is cut off from some proxies only.
+ * Inputs: the newest report of each proxy on the primary of an epoch, with its age and the time for which the trouble lasts
+ *   (milliseconds).
+ * Rule: reports on another epoch and old ones don't count. A report of trouble counts as bad once the trouble has lasted
+ *   long enough, any healthy one as good; silence needs more time than a refusal.
+ * Constants: `src/appointed/leases/primary_health_times.ts`.
+ *
+ * Owns the reports that this leader got; a new leader begins without any. Relies on the proxies: one that is cut off from
+ * control has no opinion.
+ */
+import {
+  COUNTED_REFUSAL_MS,
+  COUNTED_SILENCE_MS,
+  REPORT_LIFETIME_MS,
+} from '../leases/primary_health_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
-/** An opinion older than this does not count, in milliseconds. */
-const OPINION_LIFETIME_MS = 1300;
-/** A silent primary must have been silent for this long, in milliseconds. */
-const SILENCE_MS = 400;
-/** A refusal must have lasted this long, so that a restart of a proxy's connections is none. */
-const REFUSAL_MS = 60;
-
 interface Opinion {
   readonly at: number;
   readonly epoch: number;
@@ -27,11 +37,11 @@
   readonly trouble: string | undefined;
 }
 
-/** Board of one leader. */
-export class PrimaryHealthBoard {
+/** Opinions that one leader was told. */
+export class PrimaryHealthOpinions {
   private readonly opinions = new Map<string, Map<string, Opinion>>();
 
-  /** Notes the opinions of a proxy. */
+  /** Takes the newest opinions of a proxy. */
   note(proxy: string, reports: readonly whinyoke.IPrimaryReport[], now: number): void {
     for (const report of reports) {
       const group = report.group ?? '';
@@ -57,12 +67,13 @@
     let bad = 0;
     let trouble: string | undefined;
     for (const opinion of this.opinions.get(group)?.values() ?? []) {
-      if (opinion.epoch !== epoch || now - opinion.at > OPINION_LIFETIME_MS) continue;
+      if (opinion.epoch !== epoch || now - opinion.at > REPORT_LIFETIME_MS) continue;
       if (opinion.health === PrimaryHealth.HEALTHY) {
         good++;
         continue;
       }
-      const needed = opinion.health === PrimaryHealth.SILENT ? SILENCE_MS : REFUSAL_MS;
+      const needed =
+        opinion.health === PrimaryHealth.SILENT ? COUNTED_SILENCE_MS : COUNTED_REFUSAL_MS;
       if (now - opinion.since < needed) continue;
       bad++;
       trouble = PrimaryHealth[opinion.health].toLowerCase();
--- /dev/null
+++ b/src/appointed/failover/replica_hold.ts
@@ -0,0 +1,85 @@
+/**
+ * Holds the replicas of a group during a change of primary: they receive nothing more from the old primary, and tell so to
+ * proxies that ask them to confirm leases (`src/appointed/leases/replica_lease.ts`).
+ *
+ * Owns since when each replica has been held, and the newest term that an instance told. Relies on the replicas' answers;
+ * one that does not answer is no candidate in this try.
+ */
+import type { InstanceEntry } from '../catalog/catalog.js';
+import type { InstanceStatus } from '../instance/instance_connection.js';
+import { objectionOf } from '../leases/replica_lease.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Clock } from '../../runtime/runtime.js';
+import type { CandidateReport } from './candidate.js';
+import { type InstanceAdministrator, targetOf } from './instance_administrator.js';
+
+const { InstanceState } = whinyoke;
+
+/** Hold of the replicas of one group in one change. */
+export class ReplicaHold {
+  /** Since when each replica has told without a break that the old primary is not to be trusted. */
+  private readonly objectingSince = new Map<string, number>();
+  /** Newest term that an instance of the group told. */
+  private newestTerm: number;
+
+  /**
+   * @param oldTerm - term of the old primary
+   */
+  constructor(
+    private readonly clock: Clock,
+    private readonly administrator: InstanceAdministrator,
+    private readonly oldTerm: number,
+  ) {
+    this.newestTerm = oldTerm;
+  }
+
+  /** Term that the new primary will lead at least. */
+  get newTerm(): number {
+    return this.newestTerm + 1;
+  }
+
+  /** Since when a replica has been held, or has followed a newer term, without a break; undefined when it has not. */
+  heldSince(instance: string): number | undefined {
+    return this.objectingSince.get(instance);
+  }
+
+  /** Holds replicas for a term; those that answer are candidates. */
+  async holdAll(
+    replicas: readonly InstanceEntry[],
+    term: number,
+  ): Promise<readonly CandidateReport[]> {
+    const statuses = await Promise.all(replicas.map((instance) => this.hold(instance, term)));
+    const reports: CandidateReport[] = [];
+    for (const [index, status] of statuses.entries()) {
+      const instance = replicas[index]!;
+      const isEligible = instance.state === InstanceState.READY;
+      if (status) reports.push({ instance: instance.id ?? '', status, isEligible });
+    }
+    return reports;
+  }
+
+  /** Stops a replica from receiving; one that does so already, or that follows a newer term, is left as it is. */
+  private async hold(instance: InstanceEntry, term: number): Promise<InstanceStatus | undefined> {
+    const target = targetOf(instance);
+    // A restart of an instance ends its hold, so one that was held before is asked whether it still is.
+    const known = this.objectingSince.has(target.id)
+      ? await this.administrator.status(target)
+      : undefined;
+    this.takeStatus(target.id, known);
+    if (known && this.objectingSince.has(target.id)) return known;
+    const status =
+      (await this.administrator.pause(target, term)) ?? (await this.administrator.status(target));
+    this.takeStatus(target.id, status);
+    return status;
+  }
+
+  private takeStatus(instance: string, status: InstanceStatus | undefined): void {
+    if (!status) return;
+    this.newestTerm = Math.max(this.newestTerm, status.term);
+    const isObjecting = objectionOf({ instance, status }, this.oldTerm) !== undefined;
+    if (!isObjecting) this.objectingSince.delete(instance);
+    else if (!this.objectingSince.has(instance)) {
+      this.objectingSince.set(instance, this.clock.now());
+    }
+  }
+}
--- /dev/null
+++ b/src/appointed/leases/primary_health_times.ts
@@ -0,0 +1,25 @@
+/**
+ * DECISION: how long a primary must be silent, and for how long an opinion on it counts.
+ *
+ * Answers: a primary crashed, was cut off or stands still; or it is well and answers a proxy late.
+ * Inputs: ages of statements and answers on each proxy, ages of reports on the leading control machine (milliseconds).
+ * Rule: a proxy reports a primary as silent, refusing or healthy (`src/appointed/trust`); the leader counts the reports on
+ *   the present epoch that are young enough (`src/appointed/failover/primary_health_opinions.ts`), and
+ *   `failover_controller.ts` decides from the counts and the primary's own heartbeat.
+ *
+ * The two sides differ on purpose: a proxy reports a little before the leader counts, since a report travels. Pure.
+ */
+
+/** At a proxy: statements without an answer for longer than this make a primary silent, in milliseconds. A guess. */
+export const REPORTED_SILENCE_MS = 350;
+/** At a proxy: an answer that is older than this says nothing of a primary, in milliseconds. A guess, not measured. */
+export const ANSWER_LIFETIME_MS = 1500;
+/** At the leader: a silence counts once it has lasted for this long, in milliseconds. A guess, not measured. */
+export const COUNTED_SILENCE_MS = 400;
+/**
+ * At the leader: a refusal counts once it has lasted for this long, in milliseconds, so that a restart of a proxy's
+ * connections is none. A guess, not measured.
+ */
+export const COUNTED_REFUSAL_MS = 60;
+/** At the leader: a report that is older than this does not count, in milliseconds. A guess, not measured. */
+export const REPORT_LIFETIME_MS = 1300;
--- a/src/appointed/trust/primary_observer.ts
+++ b/src/appointed/trust/primary_observer.ts
@@ -1,17 +1,14 @@
 /** What a proxy sees of the primary of a group through its own statements, for failure detection. */
+import { ANSWER_LIFETIME_MS, REPORTED_SILENCE_MS } from '../leases/primary_health_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
-/** Statements without an answer for longer than this make a primary silent, in milliseconds. */
-const SILENCE_MS = 350;
 /**
  * Statements without an answer for longer than this have another connection opened, in milliseconds: connections may fall
- * silent for good while new ones work. Before {@link SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
+ * silent for good while new ones work. Before {@link REPORTED_SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
  */
 const SUSPICION_MS = 200;
-/** Answers older than this say nothing, in milliseconds. */
-const OPINION_LIFETIME_MS = 1500;
 
 /** Present opinion. */
 export interface PrimaryOpinion {
@@ -39,7 +36,7 @@
   }
 
   /** Since when statements stay without any answer. */
-  silentSince(now: number, patienceMs = SILENCE_MS): number | undefined {
+  silentSince(now: number, patienceMs = REPORTED_SILENCE_MS): number | undefined {
     // Statements are kept in the order in which they were sent.
     for (const sentAt of this.sentTimes.values()) {
       if (sentAt < this.lastAnswerAt) continue;
@@ -98,6 +95,6 @@
       return { health: PrimaryHealth.SILENT, sinceMs: now - silentSince };
     }
     const age = now - this.all.answeredAt;
-    return age <= OPINION_LIFETIME_MS ? { health: PrimaryHealth.HEALTHY, sinceMs: age } : undefined;
+    return age <= ANSWER_LIFETIME_MS ? { health: PrimaryHealth.HEALTHY, sinceMs: age } : undefined;
   }
 }
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -9,24 +9,19 @@
  *
  * See docs/design/appointed-primaries.md.
  */
+import {
+  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  REPLICA_LEASE_MS,
+  type ReplicaAnswer,
+  objectionOf,
+} from '../leases/replica_lease.js';
 import { Events } from '../../observability/events.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import type { PrimaryTrust } from './primary_trust.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
-/**
- * Life of a lease that replicas confirm, from the moment when they were asked, in milliseconds: three rounds, so that
- * one or two may fail. A change of primary waits that long for proxies that are out of reach.
- */
-export const REPLICA_LEASE_MS = 700;
-/**
- * Longest silence of control in which replicas are asked, in milliseconds: a proxy that is cut off for longer knows too
- * little of the group's members. Less than the time after which control forgets a silent proxy (20 s).
- */
-export const LONGEST_REPLICA_LEASE_SILENCE_MS = 12_000;
 /** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. */
 const FIRST_SILENCE_MS = 1200;
 /** Time between two rounds of a group, in milliseconds. */
@@ -60,11 +55,6 @@
   replicasOf(group: string): readonly ConfirmingReplica[];
 }
 
-/** Outcome of asking one replica. */
-type ConfirmerAnswer =
-  | { readonly instance: string; readonly status: InstanceStatus }
-  | { readonly instance: string; readonly problem: string };
-
 interface GroupRounds {
   startedAt: number;
   isUnderWay: boolean;
@@ -72,17 +62,6 @@
   outcome: string | undefined;
 }
 
-/** Why an answer does not confirm a primary of `term`; undefined when it does. */
-export function objectionOf(answer: ConfirmerAnswer, term: number): string | undefined {
-  const { instance } = answer;
-  if ('problem' in answer) return `${instance}: ${answer.problem}`;
-  const { role, term: ownTerm, heldTerm } = answer.status;
-  if (role !== 'replica') return `${instance} is primary of term ${ownTerm}`;
-  if (ownTerm > term) return `${instance} follows term ${ownTerm}`;
-  if (heldTerm > term) return `${instance} is held for term ${heldTerm}`;
-  return undefined;
-}
-
 /** Asks the replicas of all groups of one proxy. */
 export class ReplicaLeaseConfirmer {
   private readonly rounds = new Map<string, GroupRounds>();
@@ -166,7 +145,7 @@
     this.note(group, rounds, objection ?? CONFIRMED);
   }
 
-  private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ConfirmerAnswer> {
+  private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ReplicaAnswer> {
     if (!pool) return { instance, problem: 'not connected' };
     let pooled: PooledConnection | undefined;
     try {
--- a/src/consensus/elastic_membership.ts
+++ b/src/consensus/elastic_membership.ts
@@ -1,14 +1,18 @@
 /**
- * Upkeep of a cluster whose machines come and go: keeps a fixed number of voters and replaces those that are
- * lost by learners that have caught up. One member changes at a time; a voter is removed only after its
- * successor votes. Pure.
+ * DECISION: which machines vote, in a cluster whose machines come and go.
+ *
+ * Answers: control machines that are lost for good, that lost their disk, or that come back.
+ * Inputs: the membership, milliseconds since each member answered, entries that each member lacks, voters to keep.
+ * Rule: keeps a fixed number of voters and replaces those that are lost by learners that have caught up. One member changes
+ *   at a time; a voter is removed only after its successor votes. A later member at an address replaces an earlier one there.
+ * Constants: below. See docs/design/control-membership.md. Pure.
  */
 import type { Member, Membership } from './membership.js';
 
-/** A voter that is silent for longer is replaced when a learner is ready, in milliseconds. */
-export const VOTER_SILENCE_MS = 1500;
-/** A learner that is silent for longer is removed, in milliseconds. */
-export const LEARNER_SILENCE_MS = 10_000;
+/** A voter that is silent for longer is replaced when a learner is ready, in milliseconds. A guess, not measured. */
+const VOTER_SILENCE_MS = 1500;
+/** A learner that is silent for longer is removed, in milliseconds: it holds up nothing. A guess, not measured. */
+const LEARNER_SILENCE_MS = 10_000;
 
 /** What the leader knows of the members. */
 export interface MembershipFacts {
--- a/src/consensus/election_timer.ts
+++ b/src/consensus/election_timer.ts
@@ -1,8 +1,23 @@
-/** When a member that hears of no leader tries to become one. */
+/**
+ * DECISION: when a member that hears of no leader tries to become one.
+ *
+ * Answers: a leader that is lost; a start of all members at once; candidates that collide, also in regions far apart.
+ * Inputs: election timeouts of the options (milliseconds), whether a leader was seen since the start, the place of this
+ *   member among the voters, votes lost since a leader was known, and a random draw for each wait.
+ * Rule: with a leader seen, one to two election timeouts after its newest message. Before that, with early elections: the
+ *   first try after a ninth of the early timeout and a third more for each voter with a lesser name; later ones between a
+ *   third of it and a multiple that grows with each lost vote. A vote for another member adds the time that it needs to win.
+ * Constants: below; docs/design/control-over-regions.md shows the ways weighed.
+ *
+ * Owns one timer. Relies on the clock and on random numbers, neither of which fails.
+ */
 import type { Clock, RandomSource, Timer } from '../runtime/runtime.js';
 import type { RaftOptions } from './raft_options.js';
 
-/** Most of the first wait that is left to chance, as a part of its length: equal ranks must not collide for ever. */
+/**
+ * Most of the first wait that is left to chance, as a part of its length: equal ranks must not collide for ever. A guess, not
+ * measured.
+ */
 const FIRST_WAIT_SPREAD = 0.25;
 
 /**
@@ -10,7 +25,7 @@
  * two regions 30 ms apart took 903 ms until a leader stayed, with 1 and 3 1,007 and 1,204 ms (elections.test.ts).
  */
 const SPREAD_BY_LOST_VOTE = 2;
-/** Beyond so many lost votes the tries are not spread over more time. */
+/** Beyond so many lost votes the tries are not spread over more time. A guess, not measured. */
 const MOST_LOST_VOTES = 3;
 
 /** Timer of one member. */
@@ -43,14 +58,14 @@
     });
   }
 
-  /** Notes that there was a leader since this member started: from now on silence is borne for longer. */
+  /** There is a leader: from now on this member tries only after whole election timeouts, until it restarts. */
   noteLeader(): void {
     this.hasSeenLeader = true;
     this.lostVotes = 0;
   }
 
   /**
-   * Notes that this member got too few votes: others wanted them at the same time. Candidates that collided once are a
+   * This member got too few votes: others wanted them at the same time. Candidates that collided once are a
    * trip apart at most, so their next tries are spread over more than that.
    */
   noteLostVote(): void {
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -44,19 +44,19 @@
   const monitor = new InstanceMonitor();
   const node = { role: 'leader', leadsWithState: true } as unknown as RaftNode;
   const messenger = { request: () => Promise.reject(new Error('unused')), serve: () => undefined };
-  const service = new CatalogService(
+  const service = new CatalogService({
     clock,
     messenger,
     node,
     catalog,
     monitor,
-    new AddressClaims(clock, catalog, monitor, connector),
-    (command) => {
+    claims: new AddressClaims(clock, catalog, monitor, connector),
+    propose: (command) => {
       const bytes = whinyoke.CatalogCommand.encode(command).finish();
       return Promise.resolve(whinyoke.CatalogResult.decode(catalog.apply(++index, bytes)));
     },
-    () => undefined,
-  );
+    log: () => undefined,
+  });
   return {
     catalog,
     advance: (durationMs) => (now += durationMs),
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -13,14 +13,14 @@
 } from '../../src/appointed/failover/appointment_fence.js';
 import { LeaseLedger, type RevocationState } from '../../src/appointed/failover/lease_ledger.js';
 import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
-import { PrimaryHealthBoard } from '../../src/appointed/failover/primary_health_board.js';
+import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { InstanceStatus } from '../../src/appointed/instance/instance_connection.js';
 import {
   LONGEST_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
   objectionOf,
-} from '../../src/appointed/trust/replica_lease_confirmer.js';
+} from '../../src/appointed/leases/replica_lease.js';
 import { PrimaryTrust } from '../../src/appointed/trust/primary_trust.js';
 
 const { GroupPhase, InstanceRole, InstanceState, PrimaryHealth } = whinyoke;
@@ -251,16 +251,16 @@
 });
 
 void t.test('opinions of proxies on a primary', (t) => {
-  const board = new PrimaryHealthBoard();
+  const opinions = new PrimaryHealthOpinions();
   const say = (proxy: string, health: whinyoke.PrimaryHealth, sinceMs: number): void =>
-    board.note(proxy, [{ group: 'g', epoch: 1, health, sinceMs }], 1000);
+    opinions.note(proxy, [{ group: 'g', epoch: 1, health, sinceMs }], 1000);
   say('p1', PrimaryHealth.REFUSING, 100);
   say('p2', PrimaryHealth.HEALTHY, 10);
   say('p3', PrimaryHealth.SILENT, 100);
-  t.match(board.verdict('g', 1, 1000), { bad: 1, good: 1 }, 'silence must last');
-  t.match(board.verdict('g', 1, 1500), { bad: 2, good: 1 });
-  t.match(board.verdict('g', 2, 1500), { bad: 0, good: 0 }, 'opinions are on one epoch');
-  t.match(board.verdict('g', 1, 9000), { bad: 0, good: 0 }, 'old opinions do not count');
+  t.match(opinions.verdict('g', 1, 1000), { bad: 1, good: 1 }, 'silence must last');
+  t.match(opinions.verdict('g', 1, 1500), { bad: 2, good: 1 });
+  t.match(opinions.verdict('g', 2, 1500), { bad: 0, good: 0 }, 'opinions are on one epoch');
+  t.match(opinions.verdict('g', 1, 9000), { bad: 0, good: 0 }, 'old opinions do not count');
   t.end();
 });
 
@@ -329,7 +329,7 @@
   const known = catalog.version;
   apply({ putProxy: PROXIES[0]! });
   apply({ takeDuty: { holder: 'c1' } });
-  t.equal(catalog.version, known, 'proxies and the duty concern control only');
+  t.equal(catalog.version, known, 'proxies and the appointment lease concern control only');
   apply(instance('i-2', InstanceState.GONE));
   t.match(catalog.instancesSince(known), [{ id: 'i-2', state: InstanceState.GONE }]);
   t.same(catalog.groupsSince(known), []);
@@ -381,7 +381,7 @@
 /** A controller on a leader that knows one group, and the commands that it proposes. */
 function controllerOf(): {
   controller: FailoverController;
-  board: PrimaryHealthBoard;
+  opinions: PrimaryHealthOpinions;
   proposed: whinyoke.ICatalogCommand[];
   setNow: (time: number) => void;
 } {
@@ -409,37 +409,37 @@
     log: () => undefined,
     isLeading: () => true,
   } as unknown as ChangerContext;
-  const board = new PrimaryHealthBoard();
-  const controller = new FailoverController(context, new InstanceMonitor(), board);
-  return { controller, board, proposed, setNow: (time: number) => (now = time) };
+  const opinions = new PrimaryHealthOpinions();
+  const controller = new FailoverController(context, new InstanceMonitor(), opinions);
+  return { controller, opinions, proposed, setNow: (time: number) => (now = time) };
 }
 
 void t.test('a primary that turns silent long after its epoch began is replaced at once', (t) => {
-  const { controller, board, proposed, setNow } = controllerOf();
+  const { controller, opinions, proposed, setNow } = controllerOf();
   controller.tick();
   setNow(60_000);
   const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 600 };
-  board.note('p1', [silent], 60_000);
-  board.note('p2', [silent], 60_000);
+  opinions.note('p1', [silent], 60_000);
+  opinions.note('p2', [silent], 60_000);
   controller.tick();
   t.match(proposed, [{ putGroup: { epoch: 2, phase: GroupPhase.CHANGING } }]);
   t.end();
 });
 
 void t.test('a new leader takes the epoch that it finds for an old one', (t) => {
-  const { controller, board, proposed } = controllerOf();
+  const { controller, opinions, proposed } = controllerOf();
   const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 600 };
-  board.note('p1', [silent], 0);
-  board.note('p2', [silent], 0);
+  opinions.note('p1', [silent], 0);
+  opinions.note('p2', [silent], 0);
   controller.tick();
   t.equal(proposed.length, 1);
   t.end();
 });
 
 void t.test('one proxy against another does not replace a primary', (t) => {
-  const { controller, board, proposed } = controllerOf();
-  board.note('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.REFUSING, sinceMs: 600 }], 0);
-  board.note('p2', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
+  const { controller, opinions, proposed } = controllerOf();
+  opinions.note('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.REFUSING, sinceMs: 600 }], 0);
+  opinions.note('p2', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
   controller.tick();
   t.equal(proposed.length, 0);
   t.end();
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -4,7 +4,7 @@
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { documentOf } from '../../src/appointed/catalog/document_source.js';
 import { CatalogUpdates } from '../../src/appointed/control/catalog_updates.js';
-import { PositionBoard } from '../../src/appointed/control/position_board.js';
+import { PrimaryPositionCache } from '../../src/appointed/control/primary_position_cache.js';
 import { ProxyRegistrar } from '../../src/appointed/control/proxy_registrar.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import {
@@ -60,8 +60,8 @@
   connect: () => Promise.reject(new ConnectError('refused', 'nobody listens')),
 };
 
-function boardOf(catalog: Catalog, clock: Clock, connector = NO_CONNECTOR): PositionBoard {
-  return new PositionBoard(clock, catalog, connector, () => true);
+function cacheOf(catalog: Catalog, clock: Clock, connector = NO_CONNECTOR): PrimaryPositionCache {
+  return new PrimaryPositionCache(clock, catalog, connector, () => true);
 }
 
 void t.test('all proxies that wait are registered by one entry', async (t) => {
@@ -116,28 +116,28 @@
 void t.test('the leader hands on positions of the present epoch only', async (t) => {
   const { catalog, apply } = createCatalog();
   const clock = new StillClock(1000);
-  const board = boardOf(catalog, clock);
+  const cache = cacheOf(catalog, clock);
   await apply(steadyGroup(1));
-  t.equal(board.newest(), undefined);
-  board.note([{ group: 'g', epoch: 2, position: POSITION, askedAt: 900 }]);
-  t.equal(board.newest(), undefined, 'of an epoch that is not known');
-  board.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 1100 }]);
-  t.equal(board.newest(), undefined, 'of the future');
-  board.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 900 }]);
-  board.note([{ group: 'g', epoch: 1, position: { term: 3, sequence: 39 }, askedAt: 800 }]);
-  t.same(board.newest(), { terms: [3], sequences: [40], agesMs: [100] });
+  t.equal(cache.newest(), undefined);
+  cache.note([{ group: 'g', epoch: 2, position: POSITION, askedAt: 900 }]);
+  t.equal(cache.newest(), undefined, 'of an epoch that is not known');
+  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 1100 }]);
+  t.equal(cache.newest(), undefined, 'of the future');
+  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 900 }]);
+  cache.note([{ group: 'g', epoch: 1, position: { term: 3, sequence: 39 }, askedAt: 800 }]);
+  t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [100] });
   clock.advance(5000);
-  t.equal(board.newest(), undefined, 'too old');
-  board.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 5900 }]);
+  t.equal(cache.newest(), undefined, 'too old');
+  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 5900 }]);
   await apply({ putGroup: { group: 'g', epoch: 2, phase: GroupPhase.CHANGING } });
-  t.equal(board.newest(), undefined, 'the primary is being changed');
+  t.equal(cache.newest(), undefined, 'the primary is being changed');
 });
 
 void t.test('the leader asks a primary when a position is wanted and nobody reports', async (t) => {
   const { catalog, apply } = createCatalog();
   const clock = new StillClock(1000);
   const asked: string[] = [];
-  const board = boardOf(catalog, clock, {
+  const cache = cacheOf(catalog, clock, {
     connect: (target) => {
       asked.push(target.id);
       const connection = {
@@ -151,18 +151,18 @@
   });
   await apply({ putInstance: { id: 'i-1', group: 'g', address: '10.0.0.1:5000' } });
   await apply(steadyGroup(1));
-  await board.askMissing();
+  await cache.askMissing();
   t.same(asked, [], 'nobody wants it');
-  board.noteWanted();
-  await board.askMissing();
+  cache.noteWanted();
+  await cache.askMissing();
   t.same(asked, ['i-1']);
-  t.same(board.newest(), { terms: [3], sequences: [40], agesMs: [1] });
+  t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [1] });
   clock.advance(500);
-  board.noteWanted();
-  await board.askMissing();
+  cache.noteWanted();
+  await cache.askMissing();
   t.same(asked, ['i-1'], 'young enough');
   clock.advance(200);
-  await board.askMissing();
+  await cache.askMissing();
   t.same(asked, ['i-1', 'i-1']);
 });
 
