--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -69,13 +69,13 @@
 
   /**
    * Instances that changed after a version, those that are gone included; undefined when some of them were
-   * forgotten meanwhile, so that only the whole list tells.
+   * forgotten meanwhile, so that a proxy needs the whole list.
    */
   instancesSince(version: number): readonly InstanceEntry[] | undefined {
     return this.instanceTable.since(version);
   }
 
-  /** Whether an instance of a group left after a version; also true when that can't be told any more. */
+  /** Whether an instance of a group left after a version; also true when that is no longer known. */
   hasLostInstanceSince(group: string, version: number): boolean {
     return this.instanceTable.hasLostSince(group, version);
   }
@@ -105,7 +105,7 @@
     return this.instanceTable.get(id);
   }
 
-  /** Present instances that told the address of another one. */
+  /** Other present instances at the address of an instance. */
   othersAt({ id, address }: InstanceEntry): readonly InstanceEntry[] {
     return this.presentInstances.filter((other) => other.address === address && other.id !== id);
   }
@@ -131,7 +131,7 @@
     return () => this.listeners.delete(listener);
   }
 
-  /** Applies a committed command; the result tells whether anything changed. */
+  /** Applies a committed command; the result says whether anything changed. */
   apply(index: number, command: Uint8Array): Uint8Array {
     const decoded = whinyoke.CatalogCommand.decode(command);
     const isChanged = this.applyCommand(index, decoded);
--- a/src/appointed/catalog/document_source.ts
+++ b/src/appointed/catalog/document_source.ts
@@ -1,4 +1,4 @@
-/** Text of routing documents as it is stored and sent: compressed. */
+/** Text of routing documents as it is stored and sent: compressed. Pure; damaged bytes throw. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
--- a/src/appointed/catalog/instance_table.ts
+++ b/src/appointed/catalog/instance_table.ts
@@ -44,7 +44,7 @@
     return this.all.filter((instance) => (instance.version ?? 0) > version);
   }
 
-  /** Whether an instance of a group left after a version; also true when that can't be told any more. */
+  /** Whether an instance of a group left after a version; also true when that is no longer known. */
   hasLostSince(group: string, version: number): boolean {
     if (version < this.forgottenIndex) return true;
     return this.all.some((instance) => {
--- a/src/appointed/catalog/route_table.ts
+++ b/src/appointed/catalog/route_table.ts
@@ -1,4 +1,7 @@
-/** Routes as the router uses them: which group serves a database, and how fresh its reads must be. */
+/**
+ * Routes as proxies use them: which group serves a database, and how fresh its reads must be. Immutable values, made from a
+ * routing document by a `RoutingDocumentReader`.
+ */
 import type { TenantDirectory } from '../tenancy/tenant.js';
 
 /** How fresh reads of a route must be. */
--- a/src/appointed/control/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -4,10 +4,10 @@
  * Answers: a heartbeat that was delayed by seconds; its sender may have crashed meanwhile, and another instance may have its
  *   address. A late heartbeat must not end an instance that is alive.
  * Inputs: the present holder of the address, milliseconds since that one's newest heartbeat, the answer at the address.
- * Rule: granted when nobody holds the address or its holder is silent; otherwise whoever answers at the address decides.
+ * Rule: granted when nobody holds the address or its holder is silent; otherwise the instance that answers at the address decides.
  * Constants: below. Tests: test/unit/address_claim.test.ts.
  *
- * Owns nothing. Relies on the instance at the address, which may not answer: the claim is unclear then, and comes again.
+ * Owns nothing. Relies on the instance at the address, which may not answer: the claim is unclear then, and the instance's next heartbeat repeats it.
  */
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceMonitor } from '../failover/instance_monitor.js';
@@ -19,7 +19,7 @@
 export type ClaimOutcome = 'granted' | 'refused' | 'unclear';
 
 /**
- * A holder of the address that was silent for longer is gone, in milliseconds: instances tell themselves about every 1.2 s,
+ * A holder of the address that was silent for longer is gone, in milliseconds: instances send one about every 1.2 s,
  * so two of its heartbeats are missing. A guess, not measured.
  */
 const HOLDER_SILENCE_MS = 3000;
@@ -35,7 +35,7 @@
     private readonly connector: InstanceConnector,
   ) {}
 
-  /** Whether a newcomer may take its address over from whoever holds it. */
+  /** Whether a newcomer may take its address over from the instance that holds it. */
   async examine(newcomer: InstanceEntry): Promise<ClaimOutcome> {
     const now = this.clock.now();
     const [holder] = this.catalog.othersAt(newcomer);
@@ -51,7 +51,7 @@
       connection.close();
       return 'granted';
     } catch (error) {
-      // Anything but another identifier says nothing of who is there; the instance tells itself again.
+      // Anything but another identifier says nothing of who is there; the newcomer's next heartbeat asks again.
       const isOther = error instanceof ConnectError && error.failure === 'wrongInstance';
       return isOther ? 'refused' : 'unclear';
     }
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -1,4 +1,10 @@
-/** Answers proxies that ask for operations of tenants, on the leader. */
+/**
+ * Answers proxies that ask for operations of tenants, on the leader. How many are granted: `src/appointed/tenancy/
+ * operation_ledger.ts`.
+ *
+ * Owns the ledger of one leadership and which proxies have not said yet what they hold. Relies on a majority to change what a
+ * leader leaves to its successor; where that fails, a line is logged, and callers of the tenant wait for the next request.
+ */
 import { inflateSource } from '../catalog/document_source.js';
 import type { Catalog } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
@@ -36,17 +42,16 @@
   readonly limit: OperationLimit;
 }
 
-function nameOf(proxy: string, incarnation: string): string {
-  return `${proxy}\n${incarnation}`;
-}
-
 /** Service of one control machine. */
 export class AllowanceService {
   private readonly ledger: OperationLedger;
   /** Newest sequence of each run of a proxy. */
   private readonly sequences = new Map<string, number>();
-  /** Runs that may hold reserves of former leaders and have not told; undefined until this leader was asked. */
-  private unaccounted: Set<string> | undefined;
+  /**
+   * Incarnation of each proxy that may hold operations granted by former leaders and has not said how many; undefined until
+   * this leader was asked.
+   */
+  private unaccounted: Map<string, string> | undefined;
   private begunAt = 0;
   private committing: Promise<void> | undefined;
   private tenants = new TenantDirectory([]);
@@ -71,8 +76,10 @@
   /** Answers one request. */
   async answer(request: whinyoke.IAllowanceRequest): Promise<whinyoke.IAllowanceReply> {
     const { node } = this.surroundings;
-    const run = nameOf(request.proxy ?? '', request.incarnation ?? '');
-    if (!node.leadsWithState || !this.isRegistered(run)) return REFUSED;
+    const proxy = request.proxy ?? '';
+    const incarnation = request.incarnation ?? '';
+    const run = `${proxy}\n${incarnation}`;
+    if (!node.leadsWithState || !this.isRegistered(proxy, incarnation)) return REFUSED;
     const sequence = request.sequence ?? 0;
     if (sequence <= (this.sequences.get(run) ?? 0)) return REFUSED;
     this.sequences.set(run, sequence);
@@ -81,7 +88,7 @@
     const term = node.currentTerm;
     await this.lowerFloorsFor(demands);
     if (!node.leadsWithState || node.currentTerm !== term) return REFUSED;
-    this.account(run, request.complete ?? false);
+    this.account(proxy, incarnation, request.complete ?? false);
     const now = this.surroundings.clock.now();
     const isWaitingOnly = request.waitingOnly ?? false;
     const allowances = demands.map((demand) => {
@@ -92,31 +99,34 @@
       return { tenant, ...allowance };
     });
     void this.commitFloors();
-    const needsAll = this.unaccounted?.has(run) ?? false;
+    const needsAll = this.unaccounted?.get(proxy) === incarnation;
     return { accepted: true, allowances, term, needsAll };
   }
 
   /** Only a registered run may hold anything, so that a successor knows whom to wait for. */
-  private isRegistered(run: string): boolean {
-    const [id = ''] = run.split('\n');
-    const entry = this.surroundings.catalog.proxy(id);
-    return entry !== undefined && nameOf(id, entry.incarnation ?? '') === run;
+  private isRegistered(proxy: string, incarnation: string): boolean {
+    const entry = this.surroundings.catalog.proxy(proxy);
+    return entry !== undefined && (entry.incarnation ?? '') === incarnation;
   }
 
-  /** Notes that a run told what it holds; once none is left that may hold something, reserves are added again. */
-  private account(run: string, isComplete: boolean): void {
+  /**
+   * A run said what it holds, completely or not. Once no run may hold anything unknown, the ledger grants reserves again (what
+   * proxies may run without asking).
+   */
+  private account(proxy: string, incarnation: string, isComplete: boolean): void {
     const { catalog, clock, log, node } = this.surroundings;
     if (!this.unaccounted) {
-      const runs = catalog.proxies.map(({ id, incarnation }) =>
-        nameOf(id ?? '', incarnation ?? ''),
+      const runs = catalog.proxies.map(
+        (entry) => [entry.id ?? '', entry.incarnation ?? ''] as const,
       );
-      this.unaccounted = new Set(runs);
+      this.unaccounted = new Map(runs);
       log(Events.allowancesBegun, { term: node.currentTerm, runs: runs.length });
     }
     if (this.unaccounted.size === 0) return;
-    if (isComplete) this.unaccounted.delete(run);
-    for (const other of this.unaccounted) {
-      if (!this.isRegistered(other)) this.unaccounted.delete(other);
+    const isOwn = this.unaccounted.get(proxy) === incarnation;
+    if (isComplete && isOwn) this.unaccounted.delete(proxy);
+    for (const [other, run] of this.unaccounted) {
+      if (!this.isRegistered(other, run)) this.unaccounted.delete(other);
     }
     if (this.unaccounted.size > 0) return;
     this.ledger.noteAllKnown();
@@ -129,7 +139,7 @@
   private limited(demand: whinyoke.ITenantDemand): LimitedDemand[] {
     const tenant = demand.tenant ?? '';
     const limit = this.tenants.named(tenant)?.limit;
-    // The proxy knows a document that this machine doesn't, or the other way round: it comes again.
+    // The proxy knows a document that this machine doesn't, or the other way round: it asks again.
     if (!limit) return [];
     const { waiting, returned, held, wantedReserve } = demand;
     return [
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -243,7 +243,7 @@
     this.syncService.begin();
     // Proxies that have just started read nothing from replicas before they know positions of the primaries.
     this.positions.noteWanted();
-    void this.positions.askMissing().then(() => this.syncService.tellAll());
+    void this.positions.askMissing().then(() => this.syncService.answerAll());
   }
 
   private async propose(command: whinyoke.ICatalogCommand): Promise<whinyoke.CatalogResult> {
@@ -253,7 +253,7 @@
 
   private runUpkeep(): void {
     this.upkeep = this.runtime.clock.setTimer(UPKEEP_MS, () => {
-      // A removal that fails is tried again at the next upkeep, by whoever leads then.
+      // A removal that fails changes nothing; the next upkeep proposes it again, on the machine that leads then.
       if (this.node.leadsWithState) this.syncService.maintain().catch(() => undefined);
       this.runUpkeep();
     });
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -1,7 +1,10 @@
 /**
  * Changes and reads of the catalog on behalf of operators and instances. Any control machine takes them;
- * one that does not lead passes them on to the leader. An answer is given only once a majority has the
+ * one that does not lead forwards them to the leader. An answer is given only once a majority has the
  * change on disk.
+ *
+ * Owns nothing. Relies on the leader and on a majority: without either the sender gets UNAVAILABLE, a line is logged, and it
+ * asks again.
  */
 import type { AddressClaims, ClaimOutcome } from './address_claim.js';
 import type { Catalog } from '../catalog/catalog.js';
@@ -16,6 +19,7 @@
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
+/** Time for the leader to answer a request that was forwarded to it, in milliseconds. A guess, not measured. */
 const FORWARD_TIMEOUT_MS = 900;
 const UNAVAILABLE: whinyoke.ICatalogReply = { outcome: CatalogOutcome.UNAVAILABLE };
 
@@ -94,7 +98,7 @@
     await this.surroundings.propose({});
   }
 
-  /** An instance that tells an address is the only one there: others at it are gone. */
+  /** Removes other instances at an address: the one that sends heartbeats from it is the only one there. */
   private async removeFormerHolders(instance: whinyoke.IInstanceEntry): Promise<void> {
     for (const other of this.surroundings.catalog.othersAt(instance)) {
       await this.surroundings.propose({ putInstance: { ...other, state: InstanceState.GONE } });
--- a/src/appointed/control/catalog_updates.ts
+++ b/src/appointed/control/catalog_updates.ts
@@ -1,4 +1,8 @@
-/** What changed in the catalog since a version, encoded once for all proxies that know the same version. */
+/**
+ * What changed in the catalog since a version, encoded once for all proxies that know the same version.
+ *
+ * Owns the encoded updates of the present version. Relies on the catalog only; nothing here can fail.
+ */
 import type { Catalog } from '../catalog/catalog.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
--- a/src/appointed/control/change_notifier.ts
+++ b/src/appointed/control/change_notifier.ts
@@ -36,7 +36,7 @@
     catalog.onChange(() => this.onChange());
   }
 
-  /** Whether there is something that a proxy with this version should be told at once. */
+  /** Whether a proxy that knows this version should be answered at once. */
   hasNewsFor(knownVersion: number): boolean {
     return knownVersion < this.announcedVersion;
   }
--- a/src/appointed/control/primary_position_cache.ts
+++ b/src/appointed/control/primary_position_cache.ts
@@ -1,7 +1,10 @@
 /**
- * Newest known positions of the primaries, on the leader. Proxies that hear from a primary report what it told, and the
+ * Newest known positions of the primaries, on the leader. Proxies that hear from a primary report its position, and the
  * leader hands that on to those that read from its replicas without hearing from it. Where nobody reports, the leader
  * asks the primary itself. See docs/design/reads-at-scale.md.
+ *
+ * Owns the positions of one leadership. Relies on reports of proxies and on the primaries' answers; either may be missing, and
+ * readers then ask their primary themselves.
  */
 import type { Catalog, GroupEntry } from '../catalog/catalog.js';
 import { targetOf } from '../failover/instance_administrator.js';
@@ -22,9 +25,10 @@
 const LONGEST_AGE_MS = 3000;
 /** For how long the wish of a proxy counts, in milliseconds. */
 const WANTED_MS = 1000;
+/** Time to open a connection to a primary, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Board of one leader. */
+/** Cache of one leader. */
 export class PrimaryPositionCache {
   private readonly positions = new Map<string, PrimaryPosition>();
   private readonly asking = new Set<string>();
@@ -53,7 +57,7 @@
     }
   }
 
-  /** Notes that a proxy lacks positions. */
+  /** A proxy lacks positions. */
   noteWanted(): void {
     this.wantedUntil = this.clock.now() + WANTED_MS;
   }
@@ -92,7 +96,7 @@
     return known === undefined || now - known.askedAt > ASK_AGE_MS;
   }
 
-  /** A primary tells its position when a connection to it begins. */
+  /** Asks a primary, which names its position when a connection to it begins. */
   private async ask(entry: GroupEntry): Promise<void> {
     const group = entry.group ?? '';
     const instance = this.catalog.instance(entry.primary ?? '');
@@ -107,7 +111,7 @@
         this.keep(group, { epoch: entry.epoch ?? 0, position, askedAt });
       }
     } catch {
-      // The primary is asked again soon; until then its group's readers go to it themselves.
+      // The primary is asked again at the next look; until then its group's readers ask it themselves.
     } finally {
       this.asking.delete(group);
     }
--- a/src/appointed/control/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -1,17 +1,21 @@
 /**
- * What the leader tells each proxy of its surroundings: control machines, forwarders (proxies that pass requests on to the leader), and how
- * many proxies share the connections of an instance. Told only when it changed.
+ * What the leader sends each proxy about its surroundings: control machines, forwarders (proxies that pass requests on to the
+ * leader while control is out of a proxy's reach), and how many proxies share the connections of an instance. A proxy gets it
+ * only when it changed.
+ *
+ * Owns the directory of one leadership and when each proxy sent its newest request. Relies on the catalog and on that time:
+ * a proxy that is silent counts as gone.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 
-/** A proxy counts as live for the division of connections for this long, in milliseconds. */
+/** A proxy counts as live for the division of connections for this long, in milliseconds. A guess, not measured. */
 const LIVE_MS = 5000;
-/** Other proxies that each proxy is told, for requests while control is out of reach. */
+/** Forwarders that each proxy knows: another one where the first is lost too. A guess, not measured. */
 const FORWARDER_COUNT = 2;
-/** Directories of one term; a leader makes a new one at most each time its upkeep runs. */
+/** Most directories of one term; a leader makes a new one at most each time its upkeep runs. */
 const VERSIONS_IN_TERM = 2 ** 24;
 
 /** Directory of one leader. */
@@ -40,7 +44,7 @@
     this.refresh();
   }
 
-  /** Notes a request of a proxy. */
+  /** A proxy sent a request. */
   noteContact(proxy: ProxyEntry): void {
     this.contacts.set(proxy.id ?? '', this.clock.now());
   }
@@ -74,7 +78,7 @@
     for (const [place, proxy] of proxies.entries()) this.places.set(proxy.id ?? '', place);
   }
 
-  /** What a proxy is to be told; undefined when it knows that already. */
+  /** The directory for a proxy; undefined when it knows this version already. */
   entryFor(proxy: ProxyEntry, knownVersion: number): whinyoke.IProxyDirectory | undefined {
     if (knownVersion === this.version) return undefined;
     return {
--- a/src/appointed/control/proxy_registrar.ts
+++ b/src/appointed/control/proxy_registrar.ts
@@ -1,4 +1,8 @@
-/** Registers runs of proxies in the replicated log: one entry for all that wait. */
+/**
+ * Registers runs of proxies in the replicated log: one entry for all that wait.
+ *
+ * Owns the proxies that wait. Relies on a majority; without one a proxy stays unregistered, is refused and asks again.
+ */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 
@@ -33,7 +37,7 @@
     this.waiting = [];
     this.nextEntry = undefined;
     if (proxies.length === 0) return Promise.resolve();
-    // A proposal that fails leaves its proxies unregistered; each of them is told so and comes again.
+    // A proposal that fails leaves its proxies unregistered: each of them is refused and asks again.
     this.presentEntry = this.propose({ putProxies: { proxies } }).then(
       () => undefined,
       () => undefined,
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -1,4 +1,9 @@
-/** Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new. */
+/**
+ * Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new.
+ *
+ * Owns the held requests. Relies on a majority (to register a proxy) and on this member leading; where either is missing, the
+ * proxy is refused with what is known of the leader, and asks again.
+ */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { Proposer } from '../failover/appointment_lease.js';
@@ -16,8 +21,9 @@
 
 const { GroupPhase } = whinyoke;
 
+/** Longest time for which a request is held, in milliseconds: less than a lease, which its answer renews. Not measured. */
 const MAXIMUM_HOLD_MS = 2000;
-/** A proxy that is silent for this long is removed from the catalog, in milliseconds. */
+/** A proxy that is silent for this long is removed from the catalog, in milliseconds: longer than any lease. A guess. */
 const REMOVE_AFTER_MS = 20_000;
 /** What the service needs of its process. */
 export interface SyncSurroundings {
@@ -52,7 +58,7 @@
     this.directory.begin();
   }
 
-  /** The leader has changed, or this member has come to lead: requests that wait for that go on. */
+  /** Continues requests that wait for a leader: another member leads, or this one has come to lead. */
   leadershipChanged(): void {
     this.leaderWaiters.wakeAll();
   }
@@ -67,13 +73,13 @@
     if (!this.isLeading) return this.refusal();
     const proxy = request.proxy ?? {};
     if (!(await this.registrar.register(proxy))) return this.refusal();
-    this.note(request, proxy);
+    this.take(request, proxy);
     if (!this.notifier.hasNewsFor(request.knownVersion ?? 0)) await this.notifier.wait(holdMs);
     return this.isLeading ? this.reply(request, proxy) : this.refusal();
   }
 
-  /** Tells all proxies that wait what is known now. */
-  tellAll(): void {
+  /** Answers all held requests with what is known now. */
+  answerAll(): void {
     this.notifier.notifyAll();
   }
 
@@ -105,8 +111,8 @@
     };
   }
 
-  /** Takes over what a request tells. */
-  private note(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
+  /** Takes over what a request reports. */
+  private take(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
     const { clock, node, ledger, health, positions } = this.surroundings;
     const now = clock.now();
     this.directory.noteContact(proxy);
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -24,7 +24,7 @@
 export type Proposer = (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>;
 
 /** What a control machine knows of the others. */
-export interface ControlContact {
+interface ControlContact {
   /** Whether the control machine at an address answered lately. */
   isInTouch(address: string): boolean;
   /** Whether what this process knows of the lease is as new as any majority knows. */
@@ -102,7 +102,7 @@
       const body = await this.surroundings.messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.appointReply?.outcome ?? undefined;
     } catch {
-      // The holder is out of reach: the caller takes the lease over, which the log of the change shows by its outcome.
+      // The holder is out of reach: the caller takes the lease over, so no appointment is lost.
       return undefined;
     }
   }
--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -3,7 +3,7 @@
  *
  * Answers: the primary failed or leaves, all leases on it have ended, and no acknowledged commit may be lost.
  * Inputs: positions (term and sequence) of the replicas that answered, how many did not, the old primary's position when it
- *   told it, what the proxies had acknowledged, and whether proxies or instances left since its epoch began.
+ *   answered, what the proxies had acknowledged, and whether proxies or instances left since its epoch began.
  * Rule: the eligible instance with the newest position, if one of three proofs shows that it holds every acknowledged commit:
  *   `allReplicas` (every replica answered and none is ahead of it), `oldPrimary` (it holds what the old primary held),
  *   `confirmations` (every proxy confirmed, and it holds what they had acknowledged). Without a proof none is chosen.
@@ -23,11 +23,13 @@
 
 /** Everything that decides. */
 export interface ChoiceInput {
+  /** Answers of the replicas. */
   readonly reports: readonly CandidateReport[];
   /** Replicas that did not answer; any of them may hold what nobody else holds. */
   readonly missing: number;
-  /** Position that the old primary told after all leases had ended, when it did. */
+  /** Position that the old primary answered after all leases had ended; undefined when it did not. */
   readonly oldPrimary: InstanceStatus | undefined;
+  /** What the proxies said when their leases ended. */
   readonly revocation: Pick<RevocationState, 'isConfirmedByAll' | 'acknowledged'>;
   /** Whether the confirmations cover everything acknowledged in the epoch: no proxy was lost in it. */
   readonly isHistoryWhole: boolean;
@@ -38,7 +40,7 @@
 }
 
 /** What the choice rests on. */
-export type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
+type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
 
 /** The chosen instance. */
 export interface Choice {
@@ -49,7 +51,7 @@
 /**
  * Whether the newest of all replicas must hold what was acknowledged, whatever position the proxies name: a
  * commit of this term was acknowledged only after a replica had received it and all before it, and none has
- * left since. The named position may lie beyond, since the answer to one commit tells the end of a log in
+ * left since. The named position may lie beyond, since the answer to one commit names the end of a log in
  * which others are still waiting for their replica.
  */
 function holdsAcknowledgedOfTerm({ revocation, isMembershipWhole, term }: ChoiceInput): boolean {
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -108,7 +108,7 @@
       const primary = best.instance.id;
       await propose({ putGroup: { group, epoch: 1, phase, primary, term: best.term } });
     } catch (error) {
-      // Tried again at the next tick, by whoever leads then.
+      // The group has no epoch yet; the next tick tries again, on the machine that leads then.
       this.logFailure(group, 'adopt', error);
     } finally {
       this.isAdopting = false;
--- a/src/appointed/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -27,7 +27,7 @@
 export class InstanceAdministrator {
   constructor(private readonly connector: InstanceConnector) {}
 
-  /** State of an instance; undefined when it does not tell it. */
+  /** State of an instance; undefined when it does not answer. */
   status(target: InstanceTarget): Promise<InstanceStatus | undefined> {
     return this.run(target, { kind: 'status' });
   }
@@ -60,7 +60,7 @@
         connection.close();
       }
     } catch {
-      // An instance that can't be reached tells no state. Callers repeat their commands and log what they conclude.
+      // An instance that can't be reached has no known state. Callers repeat their commands and log what they conclude.
       return undefined;
     }
   }
--- a/src/appointed/failover/instance_monitor.ts
+++ b/src/appointed/failover/instance_monitor.ts
@@ -45,7 +45,7 @@
     return now - (this.heartbeats.get(instance)?.at ?? this.begunAt);
   }
 
-  /** Role that the instance told last. */
+  /** Role that the instance's newest heartbeat names. */
   roleOf(instance: string): whinyoke.InstanceRole {
     return this.heartbeats.get(instance)?.role ?? whinyoke.InstanceRole.UNKNOWN;
   }
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -54,7 +54,7 @@
   readonly isLeading: () => boolean;
 }
 
-/** The instance that a former leader appointed in this change before it could tell so. */
+/** The instance that a former leader appointed in this change before it could finish it. */
 function appointedAlready(
   reports: readonly CandidateReport[],
   oldTerm: number,
--- a/src/appointed/failover/primary_health_opinions.ts
+++ b/src/appointed/failover/primary_health_opinions.ts
@@ -37,7 +37,7 @@
   readonly trouble: string | undefined;
 }
 
-/** Opinions that one leader was told. */
+/** Opinions that one leader received. */
 export class PrimaryHealthOpinions {
   private readonly opinions = new Map<string, Map<string, Opinion>>();
 
--- a/src/appointed/failover/replica_hold.ts
+++ b/src/appointed/failover/replica_hold.ts
@@ -1,8 +1,8 @@
 /**
- * Holds the replicas of a group during a change of primary: they receive nothing more from the old primary, and tell so to
+ * Holds the replicas of a group during a change of primary: they receive nothing more from the old primary, and answer so to
  * proxies that ask them to confirm leases (`src/appointed/leases/replica_lease.ts`).
  *
- * Owns since when each replica has been held, and the newest term that an instance told. Relies on the replicas' answers;
+ * Owns since when each replica has been held, and the newest term that an instance named. Relies on the replicas' answers;
  * one that does not answer is no candidate in this try.
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
@@ -17,9 +17,9 @@
 
 /** Hold of the replicas of one group in one change. */
 export class ReplicaHold {
-  /** Since when each replica has told without a break that the old primary is not to be trusted. */
+  /** Since when each replica has answered without a break that the old primary is not to be trusted. */
   private readonly objectingSince = new Map<string, number>();
-  /** Newest term that an instance of the group told. */
+  /** Newest term that an instance of the group named. */
   private newestTerm: number;
 
   /**
--- a/src/consensus/cluster_joiner.ts
+++ b/src/consensus/cluster_joiner.ts
@@ -4,6 +4,9 @@
  * A machine is known by a name that lives on its disk. One whose disk was lost makes a new name, joins as
  * a learner, and votes only when the leader made it a voter in place of the lost one: an old name with
  * an empty disk could forget what it had confirmed. See docs/design/control-membership.md.
+ *
+ * Owns the timer of the search and whether a change of membership is under way. Relies on the other control machines, which may
+ * be out of reach, and on the disk: each tick tries again what failed.
  */
 import { type Member, Membership } from './membership.js';
 import { nextMembership } from './elastic_membership.js';
@@ -12,7 +15,9 @@
 import { type Runtime, type Timer } from '../runtime/runtime.js';
 
 const IDENTITY_FILE = 'identity';
-const RETRY_MS = 300;
+/** Time between two looks at the place of this machine, in milliseconds. A guess, not measured. */
+const LOOK_INTERVAL_MS = 300;
+/** Time for a machine to answer, in milliseconds. A guess, not measured. */
 const REQUEST_TIMEOUT_MS = 500;
 
 /** Name of this machine from its disk, made when there is none. */
@@ -26,7 +31,7 @@
 }
 
 /** Rules of a cluster whose machines come and go at any address. */
-export interface ElasticOptions {
+interface ElasticOptions {
   /** Whether this machine may found a cluster with the others of its list. */
   readonly mayFound: boolean;
   /** Number of voters to keep; other machines stand by as learners. */
@@ -35,6 +40,7 @@
 
 /** How to begin. */
 export interface JoinerOptions {
+  /** Begin a new cluster of one from the state on this disk, after a majority of the disks was lost for good. */
   readonly recoverAlone: boolean;
   /** Take addresses for names and begin at once. Unsafe; only for the lab. */
   readonly trustsAddresses: boolean;
@@ -113,10 +119,10 @@
     try {
       await this.findPlace();
     } catch {
-      // The disk refused a write; the next tick tries again.
+      // The disk refused a write, so this machine founded nothing; the next tick tries again.
     }
     if (this.stopped) return;
-    this.timer = this.runtime.clock.setTimer(RETRY_MS, () => void this.tick());
+    this.timer = this.runtime.clock.setTimer(LOOK_INTERVAL_MS, () => void this.tick());
   }
 
   private async findPlace(): Promise<void> {
@@ -164,6 +170,7 @@
       const body = await messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.joinReply ?? undefined;
     } catch {
+      // Counts as a machine that is not there; the next tick asks it again.
       return undefined;
     }
   }
@@ -215,7 +222,7 @@
     try {
       await this.node.changeMembership(next);
     } catch {
-      // Tried again at the next tick, by whoever leads then.
+      // The leadership was lost or a change is under way. The next tick compares again, on the machine that leads then.
     } finally {
       this.replacing = false;
     }
--- a/src/consensus/leader_election.ts
+++ b/src/consensus/leader_election.ts
@@ -8,7 +8,7 @@
  *   granted it. A voter grants one vote a term, to a candidate whose log is not behind its own, and no pre-vote while it
  *   hears of a leader or waits for one that it voted for. The candidate with the votes of a majority of voters leads.
  *   A candidate waits for its votes for twice the time of its pre-vote; a voter gives the winner the time that the
- *   candidate told it, at most an election timeout. No constants of its own. Both holds were measured over 200 returns
+ *   candidate named in its request, at most an election timeout. No constants of its own. Both holds were measured over 200 returns
  *   of power: docs/design/control-over-regions.md, test/simulation/elections.test.ts.
  *
  * Owns when a leader was heard of last, and until when one is waited for. Relies on the disk (a vote counts once it is
--- a/src/consensus/log_applier.ts
+++ b/src/consensus/log_applier.ts
@@ -1,4 +1,9 @@
-/** Applies committed entries to the state machine in order, and replaces old ones by snapshots. */
+/**
+ * Applies committed entries to the state machine in order, and replaces old ones by snapshots.
+ *
+ * Owns how far entries are committed and applied. Relies on the disk for snapshots only: without one the log grows, and the
+ * next commit tries again.
+ */
 import { whinyoke } from '../protocol/generated/messages.js';
 import type { LogEntry, RaftLog } from './raft_log.js';
 
@@ -12,9 +17,11 @@
   restore(lastIndex: number, state: Uint8Array): void;
 }
 
-/** Hears of entries as they are applied. */
+/** Is called as entries are applied. */
 export interface ApplierListener {
+  /** One entry was applied, with this result of the state machine. */
   onEntry(entry: LogEntry, result: Uint8Array): void;
+  /** Everything up to an index is applied. */
   onApplied(index: number): void;
 }
 
@@ -98,7 +105,8 @@
       membership: this.log.membershipAt(this.applied) ?? {},
       state: this.machine.serialize(),
     };
-    // Without a snapshot the log only grows; the next commit tries again.
+    // A snapshot that could not be stored is lost, and nothing else: the log grows, and the next commit tries again. The disk's
+    // fault shows at the next entry, which is not confirmed.
     const isOver = (): void => {
       this.compacting = false;
     };
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -1,9 +1,11 @@
-/** Members of a consensus cluster and the sizes of their majorities. */
+/** Members of a consensus cluster and the sizes of their majorities. Values without any state; nothing here can fail. */
 import type { whinyoke } from '../protocol/generated/messages.js';
 
 /** One member. Its name is made anew when its disk was lost. */
 export interface Member {
+  /** Identity, from the member's disk. */
   readonly id: string;
+  /** Where others reach it. */
   readonly address: string;
   /** Receives the log but does not vote. */
   readonly isLearner: boolean;
@@ -11,6 +13,7 @@
 
 /** An immutable set of members. */
 export class Membership {
+  /** No members: a machine that is in no cluster. */
   static readonly empty = new Membership([]);
 
   constructor(readonly members: readonly Member[]) {}
--- a/src/consensus/peer_replicator.ts
+++ b/src/consensus/peer_replicator.ts
@@ -18,8 +18,11 @@
 
 /** The leader that a replicator works for. */
 export interface AppendSource {
+  /** Shared state of the member, with its log. */
   readonly state: MemberState;
+  /** Clock and messenger. */
   readonly runtime: RaftRuntime;
+  /** Times of heartbeats and answers. */
   readonly options: RaftOptions;
   /** Content of an append message from an index on; undefined when only a snapshot helps. */
   appendRequestFrom(nextIndex: number, limit: number): whinyoke.IAppendRequest | undefined;
--- a/src/consensus/raft_errors.ts
+++ b/src/consensus/raft_errors.ts
@@ -1,4 +1,4 @@
-/** Errors of a consensus member. */
+/** Errors of a consensus member, by what they say of the outcome. */
 import { WhinyokeError } from '../errors/errors.js';
 
 /** A proposal that was not accepted by this member; it had no effect. */
--- a/src/consensus/raft_log.ts
+++ b/src/consensus/raft_log.ts
@@ -3,6 +3,8 @@
  *
  * Files: `log-<first index>` for each segment, `snapshot` for the state that replaced older entries, `vote`
  * for term and vote, `identity` for the member's name. Nothing counts until it is synced.
+ *
+ * Owns these files but `identity`. Relies on the disk, which may refuse any write: the promise of that write rejects then.
  */
 import { StorageCorruptionError } from '../errors/errors.js';
 import { whinyoke } from '../protocol/generated/messages.js';
@@ -17,34 +19,44 @@
 
 /** An entry of the replicated log. */
 export interface LogEntry {
+  /** Term of the leader that made it. */
   readonly term: number;
+  /** Place in the log, from 1. */
   readonly index: number;
   readonly kind: whinyoke.EntryKind;
+  /** Input of the state machine; empty for other kinds. */
   readonly command: Uint8Array;
+  /** Members from this entry on; only for changes of membership. */
   readonly membership: whinyoke.IMembership | undefined;
 }
 
 /** Term and vote that must survive a restart. */
 export interface VoteState {
   readonly term: number;
+  /** Identity of the member voted for; empty for none. */
   readonly votedFor: string;
 }
 
 /** State machine content that replaces all entries up to an index. */
 export interface Snapshot {
+  /** Index of the newest entry that it replaces. */
   readonly lastIndex: number;
+  /** Term of that entry. */
   readonly lastTerm: number;
+  /** Members as of that entry. */
   readonly membership: whinyoke.IMembership;
+  /** Content of the state machine. */
   readonly state: Uint8Array;
 }
 
 const SNAPSHOT_FILE = 'snapshot';
 const VOTE_FILE = 'vote';
 const SEGMENT_PREFIX = 'log-';
+/** Digits of an index in a file's name, so that names sort like indexes. */
 const INDEX_DIGITS = 12;
 
-/** Bytes after which a new segment is begun. */
-export const SEGMENT_BYTES = 256 * 1024;
+/** Bytes after which a new segment is begun: what a snapshot lets go is deleted by whole segments. A guess, not measured. */
+const SEGMENT_BYTES = 256 * 1024;
 
 interface PendingSnapshot {
   readonly snapshot: Snapshot;
@@ -252,6 +264,7 @@
 
   private inOrder(work: () => Promise<void>): Promise<void> {
     const done = this.writing.then(work);
+    // Only the order of writes hangs on this; a failure reaches the caller through `done`.
     this.writing = done.catch(() => undefined);
     return done;
   }
--- a/src/consensus/raft_node.ts
+++ b/src/consensus/raft_node.ts
@@ -100,7 +100,7 @@
     return this.applier.appliedIndex;
   }
 
-  /** Whether a leader is in contact with a majority, as far as this member can tell: within an election timeout. */
+  /** Whether a leader is in contact with a majority, as far as this member knows: within an election timeout. */
   get hasQuorum(): boolean {
     if (this.state.role === 'leader') return this.replication.hasQuorum;
     return this.state.leader !== '' && this.election.heardLeaderRecently;
--- a/src/consensus/vote_collector.ts
+++ b/src/consensus/vote_collector.ts
@@ -10,7 +10,9 @@
 
 /** What the collector needs of its member. */
 export interface VoteSurroundings {
+  /** The candidate's state, with the voters. */
   readonly state: MemberState;
+  /** The way to the voters. */
   readonly messenger: Messenger;
   /** A voter that does not answer for so long counts as a refusal, in milliseconds. */
   readonly timeoutMs: number;
--- a/src/mysql/control/configuration_store.ts
+++ b/src/mysql/control/configuration_store.ts
@@ -1,12 +1,17 @@
-/** The replicated state machine of accepted configurations. */
+/**
+ * The replicated state machine of accepted configurations.
+ *
+ * Owns the documents, the first outcomes of submissions and the history; they change by committed commands only, so they are the
+ * same on every control machine. Relies on nothing that can fail.
+ */
 import type { StateMachine } from '../../consensus/log_applier.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { SubmissionKind, SubmissionOutcome, Verdict } = whinyoke;
 
-/** Outcomes kept so that a resend gets the first one. */
+/** Outcomes kept so that a resend gets the first one. Part of the replicated state: all machines must agree on it. */
 const MAXIMUM_OUTCOMES = 2000;
-/** Entries kept for `whinyoke history`. */
+/** Entries kept for `whinyoke history`. Part of the replicated state: all machines must agree on it. */
 const MAXIMUM_HISTORY = 1000;
 
 /** Accepted configurations, first outcomes of submissions, and history. */
@@ -48,12 +53,14 @@
     return () => this.listeners.delete(listener);
   }
 
+  /** Applies a committed submission; the result is its outcome. */
   apply(_index: number, command: Uint8Array): Uint8Array {
     const decoded = whinyoke.StoreCommand.decode(command);
     const reply = this.applySubmission(decoded.submission ?? {}, decoded.checkedRevision);
     return whinyoke.SubmitReply.encode(reply).finish();
   }
 
+  /** Whole state, for a snapshot. */
   serialize(): Uint8Array {
     const outcomes = [...this.outcomes].map(([submissionId, reply]) => ({ submissionId, reply }));
     return whinyoke.StoreSnapshot.encode({
@@ -64,6 +71,7 @@
     }).finish();
   }
 
+  /** Replaces the state by that of a snapshot. */
   restore(_lastIndex: number, state: Uint8Array): void {
     const snapshot = whinyoke.StoreSnapshot.decode(state);
     this.currentRevision = snapshot.revision;
--- a/src/mysql/control/control_core.ts
+++ b/src/mysql/control/control_core.ts
@@ -1,4 +1,10 @@
-/** A control machine: replicated configurations, their distribution, and the list of proxies. */
+/**
+ * A control machine for groups that choose their primary themselves: replicated configurations, their distribution, and the list
+ * of proxies. Puts its parts together and hands messages to them.
+ *
+ * Owns the held requests for changes. Relies on the other control machines and the disk (both behind `node`), and on the
+ * platform's list, each of which may fail.
+ */
 import { RaftLog } from '../../consensus/raft_log.js';
 import type { RaftObserver } from '../../consensus/member_state.js';
 import { RaftNode } from '../../consensus/raft_node.js';
@@ -29,12 +35,11 @@
   readonly recoverAlone?: boolean;
 }
 
+/** Longest time for which a request for changes is held, in milliseconds. A guess, not measured. */
 const MAXIMUM_HOLD_MS = 10_000;
 
 /** One control machine. */
 export class ControlCore {
-  readonly store = new ConfigurationStore();
-
   private constructor(
     readonly node: RaftNode,
     private readonly runtime: Runtime,
@@ -42,10 +47,9 @@
     private readonly submissions: SubmissionService,
     private readonly registry: ProxyRegistry,
     private readonly platform: PlatformWatcher | undefined,
-    store: ConfigurationStore,
-  ) {
-    this.store = store;
-  }
+    /** The replicated state. */
+    readonly store: ConfigurationStore,
+  ) {}
 
   /** Reads the durable state and prepares everything; nothing is sent before `start`. */
   static async open(
--- a/src/mysql/control/platform_watcher.ts
+++ b/src/mysql/control/platform_watcher.ts
@@ -1,4 +1,8 @@
-/** Follows the platform's list of machines. The list lags, so it is used as advice only. */
+/**
+ * Follows the platform's list of machines. The list lags, so it is used as advice only.
+ *
+ * Owns the newest list that was read. Relies on the platform, which may not answer: the former list stays.
+ */
 import { type Clock, type Timer } from '../../runtime/runtime.js';
 
 /** A machine on the platform's list. */
@@ -14,7 +18,8 @@
   list(): Promise<readonly PlatformMachine[]>;
 }
 
-const POLL_MS = 500;
+/** Time between two reads of the list, in milliseconds. A guess, not measured. */
+const POLL_INTERVAL_MS = 500;
 
 /** Watcher of the list. */
 export class PlatformWatcher {
@@ -49,9 +54,9 @@
     try {
       this.machines = await this.source.list();
     } catch {
-      // The former list stays.
+      // The former list stays: it is advice only, and the next poll reads it again.
     }
     if (this.stopped) return;
-    this.timer = this.clock.setTimer(POLL_MS, () => void this.poll());
+    this.timer = this.clock.setTimer(POLL_INTERVAL_MS, () => void this.poll());
   }
 }
--- a/src/mysql/control/proxy_registry.ts
+++ b/src/mysql/control/proxy_registry.ts
@@ -1,13 +1,16 @@
 /**
  * Proxies that send heartbeats to this control machine. Changes are numbered, so that a heartbeat's
  * answer carries only what its sender does not know yet.
+ *
+ * Owns the newest report of each live proxy and the numbered changes, in memory: another run of this process begins anew and
+ * says so by another epoch. Relies on the proxies' heartbeats, which may be missing.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 
-/** A proxy silent for longer counts as gone, in milliseconds. */
-export const PROXY_LIFETIME_MS = 3000;
-/** Changes kept; who knows less gets the whole list. */
+/** A proxy silent for longer counts as gone, in milliseconds: six of its heartbeats are missing. A guess, not measured. */
+const PROXY_LIFETIME_MS = 3000;
+/** Changes kept; a proxy that knows less gets the whole list. A guess, not measured. */
 const MAXIMUM_CHANGES = 10_000;
 
 interface KnownProxy {
@@ -45,7 +48,7 @@
     private readonly epoch: string,
   ) {}
 
-  /** Takes in a heartbeat and tells what its sender does not know. */
+  /** Takes a heartbeat and answers with what its sender does not know. */
   onHeartbeat(request: whinyoke.IHeartbeatRequest): whinyoke.IHeartbeatReply {
     if (request.proxy) this.note(request.proxy);
     this.removeSilent();
--- a/src/mysql/control/submission_service.ts
+++ b/src/mysql/control/submission_service.ts
@@ -1,4 +1,9 @@
-/** Handles operators' submissions: checks, proposes, and answers with a truthful verdict. */
+/**
+ * Handles operators' submissions: checks, proposes, and answers with a truthful verdict.
+ *
+ * Owns parsed documents, as a cache. Relies on a majority: without one a submission is `not_run`; when the leadership ends while
+ * one is under way, it is `may_have_run`, and sending it again settles it.
+ */
 import {
   type ConfigurationDocument,
   conflictBetween,
@@ -12,8 +17,10 @@
 
 const { SubmissionKind, SubmissionOutcome, Verdict } = whinyoke;
 
-const MAXIMUM_RECHECKS = 20;
-const RETRY_AFTER_MS = 500;
+/** Checks of one submission against documents that change meanwhile, before it is refused. A guess, not measured. */
+const MAXIMUM_CHECKS = 20;
+/** When an operator's client may send again without a majority, in milliseconds: about an election. A guess, not measured. */
+const NO_QUORUM_RETRY_AFTER_MS = 500;
 
 /** Submissions at one control machine. */
 export class SubmissionService {
@@ -29,7 +36,7 @@
     if (this.node.role !== 'leader') return this.notLeader();
     const first = this.store.outcomeOf(submission.submissionId ?? '');
     if (first && this.node.hasQuorum) return first;
-    for (let attempt = 0; attempt < MAXIMUM_RECHECKS; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_CHECKS; attempt++) {
       const problem = this.problemOf(submission);
       if (problem !== undefined) return this.invalid(problem);
       const reply = await this.propose(submission, this.store.revision);
@@ -96,7 +103,7 @@
 
   private refusal(detail: string, verdict: whinyoke.Verdict): whinyoke.ISubmitReply {
     const outcome = SubmissionOutcome.NO_QUORUM;
-    return { outcome, verdict, detail, retryAfterMs: RETRY_AFTER_MS };
+    return { outcome, verdict, detail, retryAfterMs: NO_QUORUM_RETRY_AFTER_MS };
   }
 
   private invalid(detail: string): whinyoke.ISubmitReply {
--- a/src/storage/record_file.ts
+++ b/src/storage/record_file.ts
@@ -4,6 +4,9 @@
  * Record: 32-bit length, CRC-32 of the payload, payload; both integers big-endian. After a crash the
  * file may end in a torn record, which recovery cuts off. A bad record that is followed by a good one
  * can't come from a crash: recovery refuses the file.
+ *
+ * Owns the file and its length. Relies on the disk, which may refuse a write: what a failed write left is cut off before the
+ * next one.
  */
 import { crc32 } from 'node:zlib';
 import { StorageCorruptionError } from '../errors/errors.js';
@@ -11,11 +14,13 @@
 
 /** Bytes in front of each record's payload. */
 export const RECORD_HEADER_BYTES = 8;
+/** A longer length in a header is damage, not a record. A guess, not measured. */
 const MAXIMUM_RECORD_BYTES = 64 * 1024 * 1024;
 
 /** A record and the offset of the byte after it. */
 export interface StoredRecord {
   readonly payload: Buffer;
+  /** Offset of the byte after the record. */
   readonly end: number;
 }
 
