--- a/src/appointed/catalog/route_table.ts
+++ b/src/appointed/catalog/route_table.ts
@@ -15,9 +15,13 @@
 
 /** Route of one database. */
 export interface Route {
+  /** Name in the document. */
   readonly name: string;
+  /** Database that callers name. */
   readonly database: string;
+  /** Group that serves it. */
   readonly group: string;
+  /** How fresh its reads must be. */
   readonly policy: ReadPolicy;
   /** Longest time for one statement, in milliseconds. */
   readonly timeoutMs: number;
@@ -31,6 +35,7 @@
 
 /** Limits of the instances of a group. */
 export interface GroupLimits {
+  /** Name of the group. */
   readonly group: string;
   /** Connections of all callers to one instance. */
   readonly connectionLimit: number;
@@ -38,8 +43,11 @@
 
 /** A whole routing document in force. Immutable. */
 export interface RouteTable {
+  /** Version of the document. */
   readonly version: number;
+  /** Routes by the database that callers name. */
   readonly routeByDatabase: ReadonlyMap<string, Route>;
+  /** Limits by the name of the group. */
   readonly limitsByGroup: ReadonlyMap<string, GroupLimits>;
   /** A transaction that rests longer is ended; in milliseconds. */
   readonly transactionIdleMs: number;
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -29,11 +29,17 @@
 
 /** What the service needs of its control machine. */
 export interface AllowanceSurroundings {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** This machine's consensus member. */
   readonly node: RaftNode;
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** Reads routing documents. */
   readonly documents: RoutingDocumentReader;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
+  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
 }
 
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -52,13 +52,16 @@
   readonly isFirstStart: boolean;
   /** Number of voting members to keep. */
   readonly voters: number;
+  /** Opens connections to instances. */
   readonly connector: InstanceConnector;
+  /** Calls the platform to appoint a primary. */
   readonly appointer: PrimaryAppointer;
+  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
+  /** Reads routing documents. */
   readonly documents: RoutingDocumentReader;
   /** How limits on operations of tenants are judged. */
   readonly quotaRules: QuotaRules;
-  readonly raft?: Partial<RaftOptions>;
 }
 
 /**
@@ -135,7 +138,6 @@
     const identity = await loadIdentity(runtime);
     const log = await RaftLog.open(runtime.folder);
     const catalog = new Catalog();
-    const raftOptions = { ...APPOINTED_RAFT_OPTIONS, ...options.raft };
     const observer: RaftObserver = {
       onRole: (role, term) => {
         options.log(Events.roleChanged, { role, term });
@@ -143,6 +145,7 @@
       },
       onLeadership: () => control.onLeadership(),
     };
+    const raftOptions = APPOINTED_RAFT_OPTIONS;
     const { address } = options;
     const node = new RaftNode(identity, address, runtime, log, catalog, raftOptions, observer);
     const control = new AppointedControl(node, catalog, runtime, options);
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -25,13 +25,21 @@
 
 /** What the service needs of its control machine. */
 export interface CatalogServiceSurroundings {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** The way to other processes. */
   readonly messenger: Messenger;
+  /** This machine's consensus member. */
   readonly node: Pick<RaftNode, 'role' | 'leadsWithState' | 'leaderAddress' | 'address'>;
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** Newest heartbeats of instances. */
   readonly monitor: InstanceMonitor;
+  /** Decides on addresses that are held already. */
   readonly claims: AddressClaims;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
+  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
 }
 
--- a/src/appointed/control/change_notifier.ts
+++ b/src/appointed/control/change_notifier.ts
@@ -15,8 +15,8 @@
 
 /**
  * How long changes that are not urgent are gathered, in milliseconds: a small part of the seconds within which a document
- * or a leaving instance must be known everywhere. At the start of 200 proxies and 42 instances each proxy took 57
- * catalogs in 4 s without it (docs/measurements/large.md).
+ * or a leaving instance must be known everywhere. The value is a guess. Without gathering the leader of the large site sent
+ * 12,900 replies in the first 5 s of a start (docs/measurements/large.md).
  */
 const GATHER_MS = 100;
 /** Epoch that a group gets when it is seen for the first time. */
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -27,12 +27,19 @@
 const REMOVE_AFTER_MS = 20_000;
 /** What the service needs of its process. */
 export interface SyncSurroundings {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** This machine's consensus member. */
   readonly node: RaftNode;
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** Leases of this leadership. */
   readonly ledger: LeaseLedger;
+  /** Opinions of proxies on primaries. */
   readonly health: PrimaryHealthOpinions;
+  /** Newest known positions of primaries. */
   readonly positions: PrimaryPositionCache;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
 }
 
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -5,8 +5,8 @@
  * Inputs: holder and fencing token in the replicated log, whether the holder answered the leader lately, whether what this
  *   process knows of the log is current.
  * Rule: one process holds the lease at a time. It stays with its holder while that is in touch, also when another machine
- *   leads; the leader then asks the holder to appoint. Otherwise the leader takes it, which raises the token, and the platform
- *   refuses lower ones. A holder calls only while its knowledge is current.
+ *   leads; the leader then asks the holder to appoint. Otherwise the leader takes it, which raises the token; where the platform
+ *   requires fencing, it refuses lower ones. A holder calls only while its knowledge is current.
  * Constants: below, and the two of `cluster_contact.ts` in `src/appointed/control`.
  *
  * Owns nothing: the lease is in the catalog, under its stored name `duty`. Relies on a majority (to take the lease), on the
@@ -35,10 +35,15 @@
 export interface AppointmentSurroundings {
   /** Name and address under which this process holds the lease. */
   readonly self: { readonly name: string; readonly address: string };
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** The way to other processes. */
   readonly messenger: Messenger;
+  /** Calls the platform to appoint a primary. */
   readonly appointer: PrimaryAppointer;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
+  /** What this machine knows of the others. */
   readonly contact: ControlContact;
 }
 
--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -15,7 +15,9 @@
 
 /** A replica that answered after all leases had ended. */
 export interface CandidateReport {
+  /** Its identifier. */
   readonly instance: string;
+  /** Its answer. */
   readonly status: InstanceStatus;
   /** Whether it may become primary: it is not about to leave. */
   readonly isEligible: boolean;
@@ -44,7 +46,9 @@
 
 /** The chosen instance. */
 export interface Choice {
+  /** Its identifier. */
   readonly instance: string;
+  /** What shows that it holds every acknowledged commit. */
   readonly evidence: ChoiceEvidence;
 }
 
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -12,7 +12,7 @@
  * Owns which groups this leader is changing. Relies on a majority for each step; a step that fails is logged and begun again
  * at a later tick, here or at the next leader.
  */
-import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
+import type { GroupEntry } from '../catalog/catalog.js';
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -38,6 +38,12 @@
   readonly beganAt: number;
 }
 
+/** An instance that says that it is primary of a term. */
+interface PrimaryClaim {
+  readonly primary: string;
+  readonly term: number;
+}
+
 /** Why a primary is to be replaced. */
 interface ChangeCause {
   readonly text: string;
@@ -89,24 +95,11 @@
     if (this.isAdopting) return;
     this.isAdopting = true;
     try {
-      const { catalog, administrator, propose } = this.context;
-      const claims = catalog.presentInstances.filter(
-        (instance) =>
-          instance.group === group &&
-          this.monitor.roleOf(instance.id ?? '') === InstanceRole.PRIMARY,
-      );
-      const statuses = await Promise.all(
-        claims.map((item) => administrator.status(targetOf(item))),
-      );
-      let best: { instance: InstanceEntry; term: number } | undefined;
-      for (const [index, status] of statuses.entries()) {
-        if (status?.role !== 'primary' || status.term <= (best?.term ?? -1)) continue;
-        best = { instance: claims[index]!, term: status.term };
-      }
-      if (!best) return;
+      const claim = await this.strongestClaim(group);
+      if (!claim) return;
       const { STEADY: phase } = GroupPhase;
-      const primary = best.instance.id;
-      await propose({ putGroup: { group, epoch: 1, phase, primary, term: best.term } });
+      const { primary, term } = claim;
+      await this.context.propose({ putGroup: { group, epoch: 1, phase, primary, term } });
     } catch (error) {
       // The group has no epoch yet; the next tick tries again, on the machine that leads then.
       this.logFailure(group, 'adopt', error);
@@ -115,6 +108,24 @@
     }
   }
 
+  /** The instance of the newest term, among those that call themselves primary of a group. */
+  private async strongestClaim(group: string): Promise<PrimaryClaim | undefined> {
+    const { catalog, administrator } = this.context;
+    const claimants = catalog.presentInstances.filter(
+      ({ id, group: own }) =>
+        own === group && this.monitor.roleOf(id ?? '') === InstanceRole.PRIMARY,
+    );
+    const statuses = await Promise.all(
+      claimants.map((instance) => administrator.status(targetOf(instance))),
+    );
+    let strongest: PrimaryClaim | undefined;
+    for (const [index, status] of statuses.entries()) {
+      if (status?.role !== 'primary' || status.term <= (strongest?.term ?? -1)) continue;
+      strongest = { primary: claimants[index]!.id ?? '', term: status.term };
+    }
+    return strongest;
+  }
+
   private resume(entry: GroupEntry): void {
     const group = entry.group ?? '';
     if (this.changing.has(group)) return;
@@ -146,7 +157,7 @@
       const next = { ...entry, epoch: (entry.epoch ?? 0) + 1, phase: GroupPhase.CHANGING };
       await this.context.propose({ putGroup: { ...next, planned: isPlanned, target: '' } });
     } catch (error) {
-      // The next leader sees the same and begins.
+      // Nothing has begun. The next look, here or at the next leader, finds the same cause.
       this.logFailure(group, 'begin', error);
     } finally {
       this.changing.delete(group);
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -43,12 +43,19 @@
 
 /** What a change needs of its process. */
 export interface ChangerContext {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** Leases of this leadership. */
   readonly ledger: LeaseLedger;
+  /** Sends commands to instances. */
   readonly administrator: InstanceAdministrator;
+  /** Decides who calls the platform. */
   readonly appointmentLease: AppointmentLease;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
+  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
   /** Whether this process still leads in the term in which the change was begun. */
   readonly isLeading: () => boolean;
--- a/src/consensus/member_state.ts
+++ b/src/consensus/member_state.ts
@@ -13,8 +13,11 @@
 
 /** What a member needs of its process. */
 export interface RaftRuntime {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** Random draws of this process. */
   readonly random: RandomSource;
+  /** The way to other processes. */
   readonly messenger: Messenger;
 }
 
--- a/src/consensus/raft_log.ts
+++ b/src/consensus/raft_log.ts
@@ -23,6 +23,7 @@
   readonly term: number;
   /** Place in the log, from 1. */
   readonly index: number;
+  /** What it changes: the state machine, the members, or nothing. */
   readonly kind: whinyoke.EntryKind;
   /** Input of the state machine; empty for other kinds. */
   readonly command: Uint8Array;
@@ -32,6 +33,7 @@
 
 /** Term and vote that must survive a restart. */
 export interface VoteState {
+  /** Newest term that this member knows. */
   readonly term: number;
   /** Identity of the member voted for; empty for none. */
   readonly votedFor: string;
--- a/src/mysql/control/control_core.ts
+++ b/src/mysql/control/control_core.ts
@@ -24,7 +24,9 @@
   readonly address: string;
   /** Addresses of all control machines, this one included. */
   readonly controls: readonly string[];
+  /** Timing that differs from the default; for the lab. */
   readonly raft?: Partial<RaftOptions>;
+  /** Protections in force; all of them by default. */
   readonly protections?: ProtectionSet;
   /** Where to read the platform's list of machines, if anywhere. */
   readonly platform?: PlatformSource;
--- a/src/mysql/control/platform_watcher.ts
+++ b/src/mysql/control/platform_watcher.ts
@@ -9,6 +9,7 @@
 export interface PlatformMachine {
   /** Address of the instance on it. */
   readonly address: string;
+  /** Whether the platform is about to take the machine away. */
   readonly state: 'live' | 'leaving';
 }
 
--- a/src/storage/record_file.ts
+++ b/src/storage/record_file.ts
@@ -19,6 +19,7 @@
 
 /** A record and the offset of the byte after it. */
 export interface StoredRecord {
+  /** Content without its header. */
   readonly payload: Buffer;
   /** Offset of the byte after the record. */
   readonly end: number;
