--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -1,11 +1,23 @@
-/** Choice of the instance that becomes primary. Pure. */
+/**
+ * DECISION: which instance becomes primary.
+ *
+ * Answers: the primary failed or leaves, all leases on it have ended, and no acknowledged commit may be lost.
+ * Inputs: positions (term and sequence) of the replicas that answered, how many did not, the old primary's position when it
+ *   answered, what the proxies had acknowledged, and whether proxies or instances left since its epoch began.
+ * Rule: the eligible instance with the newest position, if one of three proofs shows that it holds every acknowledged commit:
+ *   `allReplicas` (every replica answered and none is ahead of it), `oldPrimary` (it holds what the old primary held),
+ *   `confirmations` (every proxy confirmed, and it holds what they had acknowledged). Without a proof none is chosen.
+ * Constants: none. Tests: test/unit/failover.test.ts. Pure.
+ */
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import { comparePositions, covers } from '../../positions/position.js';
 import type { RevocationState } from './lease_ledger.js';
 
 /** A replica that answered after all leases had ended. */
 export interface CandidateReport {
+  /** Its identifier. */
   readonly instance: string;
+  /** Its answer. */
   readonly status: InstanceStatus;
   /** Whether it may become primary: it is not about to leave. */
   readonly isEligible: boolean;
@@ -13,11 +25,13 @@
 
 /** Everything that decides. */
 export interface ChoiceInput {
+  /** Answers of the replicas. */
   readonly reports: readonly CandidateReport[];
   /** Replicas that did not answer; any of them may hold what nobody else holds. */
   readonly missing: number;
-  /** Position that the old primary told after all leases had ended, when it did. */
+  /** Position that the old primary answered after all leases had ended; undefined when it did not. */
   readonly oldPrimary: InstanceStatus | undefined;
+  /** What the proxies said when their leases ended. */
   readonly revocation: Pick<RevocationState, 'isConfirmedByAll' | 'acknowledged'>;
   /** Whether the confirmations cover everything acknowledged in the epoch: no proxy was lost in it. */
   readonly isHistoryWhole: boolean;
@@ -28,18 +42,20 @@
 }
 
 /** What the choice rests on. */
-export type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
+type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
 
 /** The chosen instance. */
 export interface Choice {
+  /** Its identifier. */
   readonly instance: string;
+  /** What shows that it holds every acknowledged commit. */
   readonly evidence: ChoiceEvidence;
 }
 
 /**
  * Whether the newest of all replicas must hold what was acknowledged, whatever position the proxies name: a
  * commit of this term was acknowledged only after a replica had received it and all before it, and none has
- * left since. The named position may lie beyond, since the answer to one commit tells the end of a log in
+ * left since. The named position may lie beyond, since the answer to one commit names the end of a log in
  * which others are still waiting for their replica.
  */
 function holdsAcknowledgedOfTerm({ revocation, isMembershipWhole, term }: ChoiceInput): boolean {
