--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -28,7 +28,7 @@
 }
 
 /** What the choice rests on. */
-export type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
+type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
 
 /** The chosen instance. */
 export interface Choice {
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -62,7 +62,7 @@
 }
 
 /** Position that a replica must have applied for a read; undefined when only the primary may serve it. */
-export function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
+function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
   const { policy, group } = request.route;
   if (policy.kind === 'primary') return undefined;
   context.noteReplicaRead(group);
--- a/src/appointed/sessions/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -36,7 +36,7 @@
 }
 
 /** An error told to a caller. */
-export interface CallerError {
+interface CallerError {
   readonly kind: CallerErrorKind;
   readonly text: string;
 }
@@ -59,7 +59,7 @@
 }
 
 /** Signature of answers that no instance gave. */
-export const OWN_SIGNATURE = '-';
+const OWN_SIGNATURE = '-';
 
 /** A success that the proxy answers by itself. */
 export function completed(state: TransactionState): CallerReply {
--- a/src/consensus/cluster_joiner.ts
+++ b/src/consensus/cluster_joiner.ts
@@ -26,7 +26,7 @@
 }
 
 /** Rules of a cluster whose machines come and go at any address. */
-export interface ElasticOptions {
+interface ElasticOptions {
   /** Whether this machine may found a cluster with the others of its list. */
   readonly mayFound: boolean;
   /** Number of voters to keep; other machines stand by as learners. */
--- a/src/consensus/elastic_membership.ts
+++ b/src/consensus/elastic_membership.ts
@@ -6,9 +6,9 @@
 import type { Member, Membership } from './membership.js';
 
 /** A voter that is silent for longer is replaced when a learner is ready, in milliseconds. */
-export const VOTER_SILENCE_MS = 1500;
+const VOTER_SILENCE_MS = 1500;
 /** A learner that is silent for longer is removed, in milliseconds. */
-export const LEARNER_SILENCE_MS = 10_000;
+const LEARNER_SILENCE_MS = 10_000;
 
 /** What the leader knows of the members. */
 export interface MembershipFacts {
--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -11,8 +11,6 @@
 
 /** An immutable set of members. */
 export class Membership {
-  static readonly empty = new Membership([]);
-
   constructor(readonly members: readonly Member[]) {}
 
   /** Reads a message. */
--- a/src/consensus/raft_log.ts
+++ b/src/consensus/raft_log.ts
@@ -44,7 +44,7 @@
 const INDEX_DIGITS = 12;
 
 /** Bytes after which a new segment is begun. */
-export const SEGMENT_BYTES = 256 * 1024;
+const SEGMENT_BYTES = 256 * 1024;
 
 interface PendingSnapshot {
   readonly snapshot: Snapshot;
--- a/src/mysql/configuration/configuration.ts
+++ b/src/mysql/configuration/configuration.ts
@@ -123,15 +123,9 @@
 /** A database group as configured. */
 export type GroupConfiguration = z.infer<typeof groupSchema>;
 
-/** An instance as configured. */
-export type InstanceConfiguration = z.infer<typeof instanceSchema>;
-
 /** One configuration document. */
 export type ConfigurationDocument = z.infer<typeof documentSchema>;
 
-/** Schema of a configuration document, for documentation. */
-export const configurationSchema = documentSchema;
-
 function findDuplicate(values: readonly string[]): string | undefined {
   return values.find((value, index) => values.indexOf(value) !== index);
 }
--- a/src/mysql/control/proxy_registry.ts
+++ b/src/mysql/control/proxy_registry.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../../runtime/runtime.js';
 
 /** A proxy silent for longer counts as gone, in milliseconds. */
-export const PROXY_LIFETIME_MS = 3000;
+const PROXY_LIFETIME_MS = 3000;
 /** Changes kept; who knows less gets the whole list. */
 const MAXIMUM_CHANGES = 10_000;
 
--- a/src/mysql/gateway/once_key.ts
+++ b/src/mysql/gateway/once_key.ts
@@ -20,7 +20,7 @@
   ' created_at TIMESTAMP DEFAULT CURRENT_TIMESTAMP)';
 
 /** Text for the caller's OK packet when a resend got the first outcome. */
-export const REPLAYED_INFO = 'whinyoke_once=replayed';
+const REPLAYED_INFO = 'whinyoke_once=replayed';
 
 /** Inserts the key in the open transaction; false when it was used before. */
 export async function insertOnceKey(
--- a/src/mysql/gateway/write_path.ts
+++ b/src/mysql/gateway/write_path.ts
@@ -40,7 +40,7 @@
 }
 
 /** The error for a caller whose statement failed on an instance. */
-export function writeError(gateway: GroupGateway, error: unknown): unknown {
+function writeError(gateway: GroupGateway, error: unknown): unknown {
   if (error instanceof RequestError) return error;
   if (provesNotRun(error))
     return notRun(messageOf(error), ErrorCode.unavailable, RetryAfterMs.writeNotRun);
--- a/src/mysql/proxy/configuration_subscriber.ts
+++ b/src/mysql/proxy/configuration_subscriber.ts
@@ -14,7 +14,7 @@
 }
 
 /** Defaults: a cut-off control machine is left within `holdMs` and the allowance. */
-export const DEFAULT_SUBSCRIBER_OPTIONS: SubscriberOptions = { holdMs: 2000, retryMs: 200 };
+const DEFAULT_SUBSCRIBER_OPTIONS: SubscriberOptions = { holdMs: 2000, retryMs: 200 };
 
 const ANSWER_ALLOWANCE_MS = 1000;
 
--- a/src/mysql/proxy/gateway_client.ts
+++ b/src/mysql/proxy/gateway_client.ts
@@ -19,7 +19,7 @@
 }
 
 /** Defaults for networks with round trips of a few milliseconds. */
-export const DEFAULT_GATEWAY_CLIENT_OPTIONS: GatewayClientOptions = {
+const DEFAULT_GATEWAY_CLIENT_OPTIONS: GatewayClientOptions = {
   answerTimeoutMs: 15_000,
   checkIntervalMs: 200,
   checkTimeoutMs: 400,
--- a/src/mysql/proxy/membership_client.ts
+++ b/src/mysql/proxy/membership_client.ts
@@ -39,7 +39,7 @@
 }
 
 /** Defaults. */
-export const DEFAULT_MEMBERSHIP_OPTIONS: MembershipOptions = { heartbeatMs: 500, timeoutMs: 400 };
+const DEFAULT_MEMBERSHIP_OPTIONS: MembershipOptions = { heartbeatMs: 500, timeoutMs: 400 };
 
 /** The list of one control machine. */
 interface ControlList {
--- a/src/mysql/routing/marks.ts
+++ b/src/mysql/routing/marks.ts
@@ -16,7 +16,7 @@
 }
 
 /** No marks. */
-export const NO_MARKS: Marks = { token: undefined, onceKey: undefined, group: undefined };
+const NO_MARKS: Marks = { token: undefined, onceKey: undefined, group: undefined };
 
 const MARK_PREFIX = 'whinyoke_';
 const TRAILING_COMMENT = /\/\*([^*]*(?:\*(?!\/)[^*]*)*)\*\/\s*;?\s*$/;
--- a/src/mysql/routing/retry_budget.ts
+++ b/src/mysql/routing/retry_budget.ts
@@ -12,7 +12,7 @@
 }
 
 /** Defaults. */
-export const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = { ratio: 0.1, burst: 100 };
+const DEFAULT_RETRY_BUDGET: RetryBudgetOptions = { ratio: 0.1, burst: 100 };
 
 /** A budget that is earned by first attempts and spent by retries. */
 export class RetryBudget {
--- a/src/mysql/sql/tokenizer.ts
+++ b/src/mysql/sql/tokenizer.ts
@@ -4,7 +4,7 @@
  */
 
 /** Kind of a token. */
-export type TokenKind = 'word' | 'quoted_name' | 'number' | 'string' | 'symbol' | 'variable';
+type TokenKind = 'word' | 'quoted_name' | 'number' | 'string' | 'symbol' | 'variable';
 
 /** One token of a statement. */
 export interface Token {
--- a/src/mysql/topology/group_description.ts
+++ b/src/mysql/topology/group_description.ts
@@ -101,7 +101,7 @@
  * Age from which a report counts for nothing, in milliseconds. Probes are answered or given up much
  * sooner, so only a process that was frozen in between holds one that old.
  */
-export const REPORT_LIFETIME_MS = 1000;
+const REPORT_LIFETIME_MS = 1000;
 
 /** Whether the latest report of an instance still tells something. */
 export function hasFreshReport(instance: InstanceDescription, now: number): boolean {
--- a/src/mysql/topology/instance_report.ts
+++ b/src/mysql/topology/instance_report.ts
@@ -29,7 +29,7 @@
  * The probe. The received set comes before the view in the output: a member that held a position and is
  * afterwards still at a term has not dropped that position.
  */
-export const PROBE_STATEMENT =
+const PROBE_STATEMENT =
   'SELECT RECEIVED_TRANSACTION_SET, @@gtid_executed, MEMBER_ROLE, MEMBER_STATE, VIEW_ID,' +
   ' @@offline_mode FROM performance_schema.replication_connection_status' +
   ' JOIN performance_schema.replication_group_members USING (CHANNEL_NAME)' +
--- a/src/mysql/wire/result.ts
+++ b/src/mysql/wire/result.ts
@@ -37,12 +37,5 @@
   readonly inTransaction: boolean;
 }
 
-/** A whole decoded result. */
-export interface DecodedResult {
-  readonly columns: readonly string[];
-  readonly rows: readonly (readonly Value[])[];
-  readonly completion: Completion;
-}
-
 /** Sink that drops everything. */
 export const DISCARD: ResultSink = { columns: () => undefined, row: () => undefined };
--- a/src/observability/events.ts
+++ b/src/observability/events.ts
@@ -1,7 +1,7 @@
 /** Numbered events of the daemons. Numbers are never reused; docs/EVENTS.md is made from this table. */
 
 /** Severity of an event. */
-export type EventLevel = 'info' | 'warn' | 'error';
+type EventLevel = 'info' | 'warn' | 'error';
 
 /** One kind of event. */
 export interface EventKind {
--- a/src/runtime/compiled_module.ts
+++ b/src/runtime/compiled_module.ts
@@ -25,7 +25,7 @@
 }
 
 /** Ending of the file that holds the compiled code of a bundle. */
-export const CODE_SUFFIX = '.code';
+const CODE_SUFFIX = '.code';
 
 /** Loads the bundle at `url`, and its stored code from the file beside it when there is one. */
 export function loadCompiledModule(url: URL): CompiledModule {
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -4,7 +4,7 @@
 const LENGTH_BYTES = 4;
 
 /** Largest accepted frame, in bytes; anything longer ends the connection. */
-export const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
+const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
 
 /** A payload with its length in front. */
 export function frame(payload: Uint8Array): Buffer {
--- a/src/runtime/stall_detector.ts
+++ b/src/runtime/stall_detector.ts
@@ -6,7 +6,7 @@
 
 const TICK_MS = 100;
 /** Progress that is later than this counts as a stall, in milliseconds. */
-export const STALL_MS = 400;
+const STALL_MS = 400;
 
 /** Detector of one process. */
 export class StallDetector {
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -54,12 +54,6 @@
 /** Settings of a proxy. */
 export type ProxySettings = z.infer<typeof proxySettingsSchema>;
 
-/** Settings of a control machine. */
-export type ControlSettings = z.infer<typeof controlSettingsSchema>;
-
-/** Settings of the operators' client. */
-export type ClientSettings = z.infer<typeof clientSettingsSchema>;
-
 function readText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
