--- a/lab/bench/benchmarks.ts
+++ b/lab/bench/benchmarks.ts
@@ -1,12 +1,11 @@
 /** The experiments by name. */
 import type { Deployment } from '../fleet/deployment.js';
 import { benchChange } from './change_bench.js';
-import { runExperiment } from './experiment.js';
-import { FAILOVER } from './failover_bench.js';
+import { benchFailover } from './failover_bench.js';
 import { benchProxy } from './proxy_bench.js';
-import { REPLICA_READS } from './replica_reads_bench.js';
+import { benchReplicaReads } from './replica_reads_bench.js';
 import type { Report } from './report.js';
-import { SURGE } from './surge_bench.js';
+import { benchSurge } from './surge_bench.js';
 
 /** Names of the experiments. */
 export const BENCHMARKS = ['proxy', 'failover', 'replica-reads', 'surge', 'change'] as const;
@@ -22,9 +21,9 @@
 
 const RUNNERS: Readonly<Record<BenchmarkName, (options: BenchmarkOptions) => Promise<Report>>> = {
   proxy: ({ labProgram, proxyProgram }) => benchProxy(labProgram, proxyProgram),
-  failover: ({ deployment }) => runExperiment(FAILOVER, deployment),
-  'replica-reads': ({ deployment }) => runExperiment(REPLICA_READS, deployment),
-  surge: ({ deployment }) => runExperiment(SURGE, deployment),
+  failover: ({ deployment }) => benchFailover(deployment),
+  'replica-reads': ({ deployment }) => benchReplicaReads(deployment),
+  surge: ({ deployment }) => benchSurge(deployment),
   change: benchChange,
 };
 
--- a/lab/bench/experiment.ts
+++ b/lab/bench/experiment.ts
@@ -1,73 +1,34 @@
-/**
- * An experiment on virtual time: each variant of the product under each setting of the load, one row of the report
- * for both. Owns the order of the rows, the report and its plot; relies on the experiments for what is measured.
- */
-import type { Deployment } from '../fleet/deployment.js';
-import type { Report, ReportRow } from './report.js';
+/** What the experiments on virtual time share: variants of the product under settings of the load, and their plots. */
+import type { ReportRow, Series } from './report.js';
 
 /** The product, or a way of working that it is compared with. */
 export interface Variant {
   readonly name: string;
 }
 
-/** Which columns of which rows are drawn, one line a variant. */
-interface ExperimentPlot<V extends Variant> {
-  readonly title: string;
-  readonly xLabel: string;
-  readonly yLabel: string;
-  readonly xColumn: string;
-  readonly yColumn: string;
-  readonly variants: readonly V[];
-  label(variant: V): string;
-  /** Whether a row of such a variant is a point of the line. */
-  includes(row: ReportRow): boolean;
-}
-
-/** One experiment. */
-export interface Experiment<V extends Variant, Setting> {
-  /** Begin of the report's file name; the deployment's name follows. */
-  readonly name: string;
-  readonly title: string;
-  readonly variants: readonly V[];
-  readonly settings: readonly Setting[];
-  readonly plot?: ExperimentPlot<V>;
-  notes(deployment: Deployment): readonly string[];
-  /** Measures one variant under one setting; the columns of its row but the variant's name. */
-  measure(deployment: Deployment, variant: V, setting: Setting): Promise<ReportRow>;
-}
-
-function plotOf<V extends Variant>(
-  plot: ExperimentPlot<V>,
-  rows: readonly ReportRow[],
-): Report['plot'] {
-  const { title, xLabel, yLabel, xColumn, yColumn } = plot;
-  const series = plot.variants.map((variant) => ({
-    label: plot.label(variant),
-    points: rows
-      .filter((row) => row['variant'] === variant.name && plot.includes(row))
-      .map((row) => [Number(row[xColumn]), Number(row[yColumn])] as const),
-  }));
-  return { title, xLabel, yLabel, series };
-}
-
-/** Runs an experiment for one deployment. */
-export async function runExperiment<V extends Variant, Setting>(
-  experiment: Experiment<V, Setting>,
-  deployment: Deployment,
-): Promise<Report> {
-  const { name, title, variants, settings, plot } = experiment;
+/** Measures each variant under each setting; one row for both. */
+export async function measureAll<V extends Variant, Setting>(
+  variants: readonly V[],
+  settings: readonly Setting[],
+  measure: (variant: V, setting: Setting) => Promise<ReportRow>,
+): Promise<ReportRow[]> {
   const rows: ReportRow[] = [];
   for (const variant of variants) {
     for (const setting of settings) {
-      const row = await experiment.measure(deployment, variant, setting);
-      rows.push({ variant: variant.name, ...row });
+      rows.push({ variant: variant.name, ...(await measure(variant, setting)) });
     }
   }
-  return {
-    name: `${name}-${deployment.name}`,
-    title: `${title}, deployment ${deployment.name}`,
-    notes: experiment.notes(deployment),
-    rows,
-    plot: plot && plotOf(plot, rows),
-  };
+  return rows;
+}
+
+/** Line of one column over another, from the rows of a variant. */
+export function seriesOf(
+  rows: readonly ReportRow[],
+  { name }: Variant,
+  xColumn: string,
+  yColumn: string,
+): Series {
+  const own = rows.filter((row) => row['variant'] === name);
+  const points = own.map((row) => [Number(row[xColumn]), Number(row[yColumn])] as const);
+  return { label: name, points };
 }
--- a/lab/bench/failover_bench.ts
+++ b/lab/bench/failover_bench.ts
@@ -9,9 +9,9 @@
 import { checkHistory, operationsOf } from '../history/checker.js';
 import type { HistoryEvent } from '../history/history.js';
 import type { FaultKind } from '../simulation/faults.js';
-import type { Experiment, Variant } from './experiment.js';
+import { type Variant, measureAll } from './experiment.js';
 import { Latency } from './latency.js';
-import type { ReportRow } from './report.js';
+import type { Report, ReportRow } from './report.js';
 import { startScenario } from './scenario.js';
 
 const FAULTS: readonly FaultKind[] = ['kill-primary', 'freeze-primary', 'isolate-primary'];
@@ -146,16 +146,18 @@
   };
 }
 
-/** The experiment. */
-export const FAILOVER: Experiment<FailoverVariant, FaultKind> = {
-  name: 'failover',
-  title: 'Failover gap',
-  variants: VARIANTS,
-  settings: FAULTS,
-  measure,
-  notes: ({ networkMs, callerMs }) => [
-    `Virtual time, one group of three, ${SESSIONS} sessions that write without pause and roam over all proxies; ${RUNS_PER_FAULT} failovers for each fault; one-way delay ${networkMs} ms between machines, ${callerMs} ms to callers.`,
-    'The gap is that of each session: from its last acknowledged write before the fault to its first one after. The election is the time from the fault to the new primary.',
-    'Wrong answers are violations that the history checker finds.',
-  ],
-};
+/** Runs the experiment for one deployment. */
+export async function benchFailover(deployment: Deployment): Promise<Report> {
+  return {
+    name: `failover-${deployment.name}`,
+    title: `Failover gap, deployment ${deployment.name}`,
+    notes: [
+      `Virtual time, one group of three, ${SESSIONS} sessions that write without pause and roam over all proxies; ${RUNS_PER_FAULT} failovers for each fault; one-way delay ${deployment.networkMs} ms between machines, ${deployment.callerMs} ms to callers.`,
+      'The gap is that of each session: from its last acknowledged write before the fault to its first one after. The election is the time from the fault to the new primary.',
+      'Wrong answers are violations that the history checker finds.',
+    ],
+    rows: await measureAll(VARIANTS, FAULTS, (variant, fault) =>
+      measure(deployment, variant, fault),
+    ),
+  };
+}
--- a/lab/bench/replica_reads_bench.ts
+++ b/lab/bench/replica_reads_bench.ts
@@ -5,9 +5,9 @@
 import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import type { Deployment } from '../fleet/deployment.js';
 import { checkHistory, operationsOf } from '../history/checker.js';
-import type { Experiment, Variant } from './experiment.js';
+import { type Variant, measureAll, seriesOf } from './experiment.js';
 import { Latency } from './latency.js';
-import type { ReportRow } from './report.js';
+import type { Report, ReportRow } from './report.js';
 import { startScenario } from './scenario.js';
 
 const LAGS_MS = [5, 50, 500, 5000];
@@ -100,25 +100,29 @@
   };
 }
 
-/** The experiment. */
-export const REPLICA_READS: Experiment<ReadVariant, ReadSetting> = {
-  name: 'replica-reads',
-  title: 'Reads on replicas',
-  variants: VARIANTS,
-  settings: SETTINGS,
-  measure,
-  notes: () => [
-    `Virtual time, one group of three, ${SESSIONS} sessions that choose another proxy for each request, ${DURATION_MS / 1000} s for each line, ${REGISTERS} registers.`,
-    'Lag is the time between receiving and executing on each secondary. Stale reads are what the history checker finds.',
-  ],
-  plot: {
-    title: 'Share of reads on replicas',
-    xLabel: 'replication lag, ms',
-    yLabel: 'replica share, %',
-    xColumn: 'lag ms',
-    yColumn: 'replica share %',
-    variants: VARIANTS.slice(0, 2),
-    label: ({ name }) => `${name}, 10% writes`,
-    includes: (row) => row['write share'] === DRAWN_WRITE_SHARE,
-  },
-};
+/** Runs the experiment for one deployment. */
+export async function benchReplicaReads(deployment: Deployment): Promise<Report> {
+  const rows = await measureAll(VARIANTS, SETTINGS, (variant, setting) =>
+    measure(deployment, variant, setting),
+  );
+  const drawn = rows.filter((row) => row['write share'] === DRAWN_WRITE_SHARE);
+  const series = VARIANTS.slice(0, 2).map((variant) => ({
+    ...seriesOf(drawn, variant, 'lag ms', 'replica share %'),
+    label: `${variant.name}, 10% writes`,
+  }));
+  return {
+    name: `replica-reads-${deployment.name}`,
+    title: `Reads on replicas, deployment ${deployment.name}`,
+    notes: [
+      `Virtual time, one group of three, ${SESSIONS} sessions that choose another proxy for each request, ${DURATION_MS / 1000} s for each line, ${REGISTERS} registers.`,
+      'Lag is the time between receiving and executing on each secondary. Stale reads are what the history checker finds.',
+    ],
+    rows,
+    plot: {
+      title: 'Share of reads on replicas',
+      xLabel: 'replication lag, ms',
+      yLabel: 'replica share, %',
+      series,
+    },
+  };
+}
--- a/lab/bench/report.ts
+++ b/lab/bench/report.ts
@@ -6,7 +6,7 @@
 export type ReportRow = Readonly<Record<string, string | number>>;
 
 /** A line of a plot. */
-interface Series {
+export interface Series {
   readonly label: string;
   readonly points: readonly (readonly [x: number, y: number])[];
 }
--- a/lab/bench/surge_bench.ts
+++ b/lab/bench/surge_bench.ts
@@ -9,9 +9,9 @@
 import { checkLimits } from '../history/checker.js';
 import type { World } from '../simulation/world.js';
 import { CallerError } from '../workload/caller.js';
-import type { Experiment, Variant } from './experiment.js';
+import { type Variant, measureAll, seriesOf } from './experiment.js';
 import { Latency } from './latency.js';
-import type { ReportRow } from './report.js';
+import type { Report, ReportRow } from './report.js';
 import { startGroup } from './scenario.js';
 
 const SEED = 5;
@@ -163,26 +163,25 @@
   };
 }
 
-/** The experiment. */
-export const SURGE: Experiment<SurgeVariant, number> = {
-  name: 'surge',
-  title: 'Surge',
-  variants: VARIANTS,
-  settings: FACTORS,
-  measure,
-  notes: (deployment) => [
-    `Virtual time, open loop, one group of three with ${deployment.slots} slots and ${deployment.connections} connections an instance, ${STATEMENT_MS} ms a statement: the two replicas serve at most ${capacityOf(deployment)} lookups a second. Full load is reached within ${RAMP_MS / 1000} s; then ${DURATION_MS / 1000} s are measured.`,
-    `${EMERGENCIES_PER_SECOND} emergency bookings a second go on beside, each a marked write. Half way one proxy is killed, later started, and another is stopped.`,
-    `Served means answered within ${PATIENCE_MS / 1000} s.`,
-  ],
-  plot: {
-    title: 'Lookups served',
-    xLabel: 'load / capacity',
-    yLabel: 'served per second',
-    xColumn: 'load / capacity',
-    yColumn: 'served / s',
-    variants: VARIANTS,
-    label: ({ name }) => name,
-    includes: () => true,
-  },
-};
+/** Runs the experiment for one deployment. */
+export async function benchSurge(deployment: Deployment): Promise<Report> {
+  const rows = await measureAll(VARIANTS, FACTORS, (variant, factor) =>
+    measure(deployment, variant, factor),
+  );
+  return {
+    name: `surge-${deployment.name}`,
+    title: `Surge, deployment ${deployment.name}`,
+    notes: [
+      `Virtual time, open loop, one group of three with ${deployment.slots} slots and ${deployment.connections} connections an instance, ${STATEMENT_MS} ms a statement: the two replicas serve at most ${capacityOf(deployment)} lookups a second. Full load is reached within ${RAMP_MS / 1000} s; then ${DURATION_MS / 1000} s are measured.`,
+      `${EMERGENCIES_PER_SECOND} emergency bookings a second go on beside, each a marked write. Half way one proxy is killed, later started, and another is stopped.`,
+      `Served means answered within ${PATIENCE_MS / 1000} s.`,
+    ],
+    rows,
+    plot: {
+      title: 'Lookups served',
+      xLabel: 'load / capacity',
+      yLabel: 'served per second',
+      series: VARIANTS.map((variant) => seriesOf(rows, variant, 'load / capacity', 'served / s')),
+    },
+  };
+}
