--- a/src/consensus/membership.ts
+++ b/src/consensus/membership.ts
@@ -13,9 +13,6 @@
 
 /** An immutable set of members. */
 export class Membership {
-  /** No members: a machine that is in no cluster. */
-  static readonly empty = new Membership([]);
-
   constructor(readonly members: readonly Member[]) {}
 
   /** Reads a message. */
