--- a/lab/appointed/appointed_nodes.ts
+++ b/lab/appointed/appointed_nodes.ts
@@ -19,7 +19,7 @@
   WeakenedConnector,
   disableLease,
   disableQuota,
-  disableWitness,
+  disableReplicaLeases,
 } from './disabled_protections.js';
 import type { VirtualProcess } from '../simulation/virtual_process.js';
 
@@ -102,7 +102,7 @@
       quotaRules: surroundings.tenancy?.quotaRules ?? NO_QUOTA_RULES,
     });
     if (surroundings.disabled.has('lease')) disableLease(core);
-    if (surroundings.disabled.has('replica-witness')) disableWitness(core);
+    if (surroundings.disabled.has('replica-witness')) disableReplicaLeases(core);
     if (surroundings.disabled.has('fleet-quota')) disableQuota(core);
     this.core = core;
     core.start();
--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -75,10 +75,10 @@
 
 /** Makes a proxy trust the newest primary that it knows, whatever its lease says. */
 export function disableLease(core: AppointedProxy): void {
-  const { trust } = core;
-  trust.accepts = () => true;
-  trust.primaryOf = (group) => {
-    const entry = trust.entryOf(group);
+  const { leases } = core;
+  leases.accepts = () => true;
+  leases.primaryOf = (group) => {
+    const entry = leases.entryOf(group);
     if (!entry) return undefined;
     return { epoch: entry.epoch ?? 0, instance: entry.primary ?? '', term: entry.term ?? 0 };
   };
@@ -90,12 +90,12 @@
 }
 
 /** Makes a proxy extend its leases while control is out of reach without asking the replicas. */
-export function disableWitness(core: AppointedProxy): void {
-  const { trust, clock } = core;
-  core.witness.maintain = (silenceMs) => {
+export function disableReplicaLeases(core: AppointedProxy): void {
+  const { leases, clock } = core;
+  core.leaseConfirmer.maintain = (silenceMs) => {
     if (silenceMs > LONGEST_REPLICA_LEASE_SILENCE_MS) return;
-    for (const group of trust.leasedGroups()) {
-      trust.extend(group, trust.entryOf(group)?.epoch ?? 0, clock.now() + REPLICA_LEASE_MS);
+    for (const group of leases.leasedGroups()) {
+      leases.extend(group, leases.entryOf(group)?.epoch ?? 0, clock.now() + REPLICA_LEASE_MS);
     }
   };
 }
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -126,8 +126,8 @@
       collect: () => {
         trust.reset();
         for (const group of new Set(core.allPools.map(({ target }) => target.group))) {
-          const entry = core.trust.entryOf(group);
-          const leased = core.trust.primaryOf(group, core.clock.now()) !== undefined;
+          const entry = core.leases.entryOf(group);
+          const leased = core.leases.primaryOf(group, core.clock.now()) !== undefined;
           const labels = { group, primary: entry?.primary ?? '', leased: String(leased) };
           trust.set(labels, entry?.epoch ?? 0);
         }
--- a/src/appointed/proxy/appointed_proxy.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -1,7 +1,8 @@
-/** A proxy in front of groups whose primary is appointed by the control plane. */
-import { whinyoke } from '../../protocol/generated/messages.js';
-import { inflateSource } from '../catalog/document_source.js';
-import { Events } from '../../observability/events.js';
+/**
+ * A proxy in front of groups whose primary is appointed by control: composes the parts, starts and stops them, and opens
+ * sessions. Owns nothing but the parts. Control and instances may fail; the parts say what then happens.
+ */
+import type { whinyoke } from '../../protocol/generated/messages.js';
 import {
   type Clock,
   type MessageBody,
@@ -9,33 +10,26 @@
   type Timer,
   delay,
 } from '../../runtime/runtime.js';
-import type { ConnectionSource } from '../connections/connection_source.js';
-import { ControlClient, type SyncContent, type SyncParticipant } from './control_client.js';
-import type {
-  ConnectError,
-  InstanceConnector,
-  InstanceTarget,
-} from '../instance/instance_connection.js';
-import { InstanceDirectory } from '../connections/instance_directory.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { RouteTable, RoutingDocumentReader } from '../catalog/route_table.js';
 import type { InstancePool } from '../connections/instance_pool.js';
-import type { Position } from '../../positions/position.js';
-import { PositionFloor } from '../routing/position_floor.js';
-import type { PrimaryObserver } from '../trust/primary_observer.js';
-import { PrimaryObservers } from '../trust/primary_observers.js';
-import { PrimaryTrust } from '../trust/primary_trust.js';
-import type { ReadCandidate } from '../routing/replica_selector.js';
-import { SharedPositions, toldPositions } from './shared_positions.js';
+import type { InstanceConnector } from '../instance/instance_connection.js';
 import { RelayServer } from '../relay/relay_server.js';
-import { ReplicaLeaseConfirmer, type ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
-import type { RouteTable, RoutingDocumentReader } from '../catalog/route_table.js';
 import { RoutedSession } from '../sessions/routed_session.js';
 import { Admission } from '../tenancy/admission.js';
 import { AllowanceClient } from '../tenancy/allowance_client.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
-import type { DecisionLog } from '../../observability/decision_logger.js';
+import { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
+import { PrimaryLeases } from '../trust/primary_leases.js';
+import { ReplicaLeaseConfirmer } from '../trust/replica_lease_confirmer.js';
+import { ControlContact } from './control_contact.js';
+import { ControlSynchronisation } from './control_synchronisation.js';
+import { DocumentInForce } from './document_in_force.js';
+import { FleetDirectory } from './fleet_directory.js';
+import { PrimaryPositions } from './primary_positions.js';
 import type { RequestCounters, ProxyContext } from './proxy_context.js';
-
-const { PrimaryHealth } = whinyoke;
+import { ProxyInstances } from './proxy_instances.js';
+import { RequestForwarder } from './request_forwarder.js';
 
 /** Identity and surroundings of a proxy. */
 export interface AppointedProxyOptions {
@@ -54,58 +48,44 @@
   readonly quotaRules: QuotaRules;
 }
 
-const NO_BYTES = new Uint8Array(0);
 /**
- * How long after its first catalog a proxy waits for the positions of primaries, in milliseconds: a new leader asks for
- * them at once, which takes as long as opening a connection (12 to 30 ms) and two trips.
+ * Time between two rounds of upkeep, in milliseconds: the shortest time that upkeep must tell apart is that from a suspect
+ * primary (200 ms) to a silent one (350 ms).
  */
-const FIRST_POSITIONS_MS = 50;
 const MAINTENANCE_MS = 100;
-/** Age of the newest answer of control beyond which it counts as lost, in milliseconds. */
-const CONTROL_LOST_MS = 800;
-/** Age of the newest answer of control beyond which new callers are sent elsewhere, in milliseconds. */
-const READY_SYNC_AGE_MS = 1200;
-/** Age beyond which idle callers are sent elsewhere too; new ones have stopped to come by then. */
-const ISOLATED_SYNC_AGE_MS = 3300;
-/** Time for the leader to answer a request that is passed on, in milliseconds. */
-const RELAY_TIMEOUT_MS = 400;
 
 /** Core of one proxy. */
-export class AppointedProxy implements ProxyContext, SyncParticipant {
-  readonly trust = new PrimaryTrust();
+export class AppointedProxy implements ProxyContext {
+  /** Clock of this process. */
   readonly clock: Clock;
+  /** Zone of this process. */
   readonly zone: string;
+  /** Log of decisions. */
   readonly log: DecisionLog;
+  /** Counters of requests. */
   readonly counters: RequestCounters;
+  /** Identity of this run. */
   readonly self: whinyoke.IProxyEntry;
-  isLeaving = false;
-  table: RouteTable | undefined;
-  private readonly floors = new Map<string, PositionFloor>();
-  private readonly sharedPositions = new SharedPositions();
-  private readonly observers = new PrimaryObservers(this.trust);
-  private readonly instances: InstanceDirectory;
-  relays: readonly string[] = [];
-  private liveProxies = 1;
-  private directoryVersion = 0;
-  /** Until when the first positions of primaries are expected from control. */
-  private positionsExpectedUntil = -Infinity;
-  private notePositionsTold: () => void = () => undefined;
-  private readonly positionsTold = new Promise<void>((resolve) => {
-    this.notePositionsTold = resolve;
-  });
-  private readonly tableWaiters: (() => void)[] = [];
-  private version = 0;
-  private lastSyncAt = -Infinity;
-  /** When the newest request was sent that control answered: what is known of the catalog is that old. */
-  private answeredRequestAt = -Infinity;
-  private isControlLost = false;
-  private maintenance: Timer | undefined;
-  private readonly client: ControlClient;
-  /** Keeps leases while control is out of reach. */
-  readonly witness: ReplicaLeaseConfirmer;
+  /** Leases on primaries. */
+  readonly leases = new PrimaryLeases();
+  /** Health of primaries, as statements of this proxy show it. */
+  readonly primaryHealth = new PrimaryHealthTrackers(this.leases);
+  /** Positions of primaries. */
+  readonly positions: PrimaryPositions;
+  /** Instances of the catalog in force. */
+  readonly instances: ProxyInstances;
+  /** Extends leases while control is out of reach. */
+  readonly leaseConfirmer: ReplicaLeaseConfirmer;
+  /** Decides what a credential allows. */
   readonly admission: Admission;
+  /** Limits on the operations of tenants. */
   readonly allowances: AllowanceClient;
+  private readonly document: DocumentInForce;
+  private readonly contact: ControlContact;
+  private readonly synchronisation: ControlSynchronisation;
+  private readonly forwarder: RequestForwarder;
   private readonly relayServer: RelayServer;
+  private maintenance: Timer | undefined;
 
   constructor(
     private readonly runtime: Runtime,
@@ -115,102 +95,93 @@
     this.zone = options.zone;
     this.log = options.log;
     this.counters = options.counters;
-    this.self = {
-      id: options.id,
-      incarnation: runtime.random.identifier(),
-      address: options.address,
-      zone: options.zone,
-    };
-    this.client = new ControlClient(runtime, this, options.seeds);
-    this.instances = new InstanceDirectory({
-      runtime,
-      ownAddress: options.address,
-      connector: options.connector,
-      log: this.log,
-      connectionLimitOf: (group) => this.table?.limitsByGroup.get(group)?.connectionLimit ?? 0,
-      hasTenants: () => this.table === undefined || this.table.tenants.size > 0,
-      tenantRate: (tenant) => this.table?.tenants.named(tenant)?.limit?.ratePerSecond,
-      liveProxies: () => this.liveProxies,
-      onConnectFailed: (target, error) => this.onConnectFailed(target, error),
-      onOpened: (target, position, startedAt) => this.notePosition(target, position, startedAt),
-    });
-    this.relayServer = new RelayServer(
-      this,
-      (instance) => this.instances.access(instance)?.local,
-      this.self.incarnation ?? '',
-    );
-    this.admission = new Admission({
-      clock: this.clock,
-      log: this.log,
-      table: () => this.table,
-      provenAt: () => this.answeredRequestAt,
-      refresh: (timeoutMs) => Promise.race([this.client.syncNow(), delay(this.clock, timeoutMs)]),
-      freshnessMs: options.credentialFreshnessMs,
-    });
+    const incarnation = runtime.random.identifier();
+    this.self = { id: options.id, incarnation, address: options.address, zone: options.zone };
+    const fleet = new FleetDirectory();
+    this.document = new DocumentInForce(this.clock, this.log, options.reader);
+    this.contact = new ControlContact(this.clock, this.log);
+    this.positions = new PrimaryPositions(this.clock, this.leases);
+    this.instances = this.createInstances(fleet);
+    this.synchronisation = this.createSynchronisation(fleet);
+    const leaderAddress = (): string => this.synchronisation.leaderAddress;
+    this.forwarder = new RequestForwarder(runtime.messenger, leaderAddress);
+    const localPool = (instance: string): InstancePool | undefined =>
+      this.instances.localPool(instance);
+    this.relayServer = new RelayServer(this, localPool, incarnation);
+    this.admission = this.createAdmission();
     this.allowances = new AllowanceClient({
       runtime,
       log: this.log,
       rules: options.quotaRules,
       proxy: options.id,
-      incarnation: this.self.incarnation ?? '',
-      leaderAddress: () => this.client.leaderAddress,
+      incarnation,
+      leaderAddress,
     });
-    this.witness = new ReplicaLeaseConfirmer({
+    this.leaseConfirmer = new ReplicaLeaseConfirmer({
       clock: this.clock,
-      trust: this.trust,
+      leases: this.leases,
       log: this.log,
-      replicasOf: (group) => this.replicasOf(group),
+      replicasOf: (group) => this.instances.replicasOf(group),
     });
   }
 
   /** Starts to synchronise with the control machines. */
   start(): void {
     this.runtime.messenger.serve((body) => this.handle(body));
-    this.client.start();
+    this.synchronisation.start();
     this.maintain();
   }
 
   /** Ends all connections. */
   stop(): void {
     this.maintenance?.cancel();
-    this.client.stop();
+    this.synchronisation.stop();
     this.allowances.stop();
     this.instances.close();
   }
 
   /** Tells control that this proxy takes no new callers. */
   beginLeave(): void {
-    this.isLeaving = true;
-    void this.client.syncNow();
+    this.synchronisation.beginLeave();
   }
 
   /** Takes over control machines of changed settings. */
   updateSeeds(seeds: readonly string[]): void {
-    this.client.updateSeeds(seeds);
+    this.synchronisation.updateSeeds(seeds);
   }
 
   /** Whether callers can be served: control was in touch lately and a configuration is in force. */
   get isReady(): boolean {
-    return this.table !== undefined && !this.isLeaving && this.syncAge < READY_SYNC_AGE_MS;
+    return this.table !== undefined && !this.isLeaving && this.contact.isRecent;
   }
 
   /** Whether control has been out of reach for so long that callers are better served by another proxy. */
   get isIsolated(): boolean {
-    const isCutOff = this.table !== undefined && this.syncAge > ISOLATED_SYNC_AGE_MS;
-    return isCutOff && !this.trust.hasLease(this.clock.now());
+    const isCutOff = this.table !== undefined && this.contact.isCutOff;
+    return isCutOff && !this.leases.hasLease(this.clock.now());
+  }
+
+  /** Whether this proxy takes no new callers. */
+  get isLeaving(): boolean {
+    return this.synchronisation.isLeaving;
   }
 
   /** Milliseconds since the newest accepted reply of control. */
   get syncAge(): number {
-    return this.clock.now() - this.lastSyncAt;
+    return this.contact.replyAge;
   }
 
   /** Log index of the newest catalog in force. */
   get knownVersion(): number {
-    return this.version;
+    return this.synchronisation.knownVersion;
+  }
+
+  /** Routing document in force; undefined before the first. */
+  get table(): RouteTable | undefined {
+    return this.document.table;
   }
 
-  /** Requests of other proxies since the start, by outcome. */
+  /** Statements that other proxies sent to this connection owner since the start, by outcome. */
   get relayCounts(): ReadonlyMap<string, number> {
     return this.relayServer.counts;
   }
@@ -227,14 +198,7 @@
 
   /** Resolves with whether a configuration is in force, after `timeoutMs` at the latest. */
   awaitTable(timeoutMs: number): Promise<boolean> {
-    if (this.table) return Promise.resolve(true);
-    return new Promise((resolve) => {
-      const timer = this.clock.setTimer(timeoutMs, () => resolve(this.table !== undefined));
-      this.tableWaiters.push(() => {
-        timer.cancel();
-        resolve(true);
-      });
-    });
+    return this.document.awaitFirst(timeoutMs);
   }
 
   /** Whether a credential may be held by a tenant; each operation checks again. */
@@ -251,222 +215,66 @@
     return new RoutedSession(this, database, credential);
   }
 
-  floorOf(group: string): PositionFloor {
-    let floor = this.floors.get(group);
-    if (!floor) {
-      floor = new PositionFloor();
-      this.floors.set(group, floor);
-    }
-    return floor;
-  }
-
-  notePrimaryPosition(group: string, epoch: number, askedAt: number, position: Position): void {
-    this.floorOf(group).note(epoch, askedAt, position);
-    this.sharedPositions.noteOwn(group, epoch, askedAt, position);
-  }
-
-  async awaitFloor(group: string): Promise<void> {
-    const isMissing = (): boolean => this.floorOf(group).newestSentAt === undefined;
-    const remainingMs = this.positionsExpectedUntil - this.clock.now();
-    if (remainingMs <= 0 || !isMissing()) return;
-    await Promise.race([this.positionsTold, delay(this.clock, remainingMs)]);
-  }
-
-  notePrimaryWanted(group: string): void {
-    this.witness.noteWanted(group);
-  }
-
-  noteReplicaRead(group: string): void {
-    this.sharedPositions.noteRead(group, this.clock.now());
-  }
-
-  observerOf(group: string, epoch: number): PrimaryObserver {
-    return this.observers.of(group, epoch);
-  }
-
-  poolOf(instance: string): ConnectionSource | undefined {
-    return this.instances.access(instance);
-  }
-
-  readCandidates(group: string): readonly ReadCandidate[] {
-    return this.instances.readCandidates(group, this.trust.entryOf(group)?.primary ?? '');
-  }
-
-  private replicasOf(group: string): readonly ConfirmingReplica[] {
-    return this.instances.replicasOf(group, this.trust.entryOf(group)?.primary ?? '');
+  private createInstances(fleet: FleetDirectory): ProxyInstances {
+    const { runtime, document, leases, primaryHealth, positions, log } = this;
+    const { address: ownAddress, connector } = this.options;
+    return new ProxyInstances({
+      runtime,
+      ownAddress,
+      connector,
+      log,
+      document,
+      fleet,
+      leases,
+      primaryHealth,
+      positions,
+    });
   }
 
-  // ---- synchronisation ----
-
-  syncContent(): SyncContent {
-    const now = this.clock.now();
-    for (const group of this.trust.endRevokedEpochs(now)) this.abandonPrimary(group);
-    const revocations = this.trust.confirmations().map(({ group, epoch, position }) => ({
-      group,
-      epoch,
-      hasPosition: position !== undefined,
-      position,
-    }));
-    return {
-      knownDocument: this.table?.version ?? 0,
-      knownDirectory: this.directoryVersion,
-      revocations,
-      reports: this.observers.takeReports(now),
-      wantsPositions: this.expectsPositions(now) || this.sharedPositions.isWanting(now),
-      clockTerm: this.sharedPositions.clockTerm,
-      positions: this.sharedPositions.takeReports(now),
+  private createSynchronisation(fleet: FleetDirectory): ControlSynchronisation {
+    const { self, log, contact, document, leases, primaryHealth, positions, instances } = this;
+    const parts = {
+      self,
+      log,
+      contact,
+      document,
+      fleet,
+      leases,
+      primaryHealth,
+      positions,
+      instances,
     };
+    return new ControlSynchronisation(this.runtime, parts, this.options.seeds);
   }
 
-  /** Whether the first positions of primaries are still to come. */
-  private expectsPositions(now: number): boolean {
-    return this.version === 0 || now < this.positionsExpectedUntil;
-  }
-
-  /** Whoever still waits for an answer of the old primary of a changing group is told at once. */
-  private abandonPrimary(group: string): void {
-    this.instances.access(this.trust.entryOf(group)?.primary ?? '')?.abandonInUse();
-  }
-
-  onSync(reply: whinyoke.ISyncReply, content: SyncContent, sentAt: number): void {
-    const now = this.clock.now();
-    this.noteControl(now);
-    for (const { group, epoch } of content.revocations)
-      this.trust.confirmed(group ?? '', epoch ?? 0);
-    this.sharedPositions.noteClock(reply, now);
-    if (reply.directory) this.adoptDirectory(reply.directory);
-    const version = reply.version ?? 0;
-    const update = whinyoke.CatalogUpdate.decode(reply.update ?? NO_BYTES);
-    if (update.document) this.adoptDocument(update.document);
-    this.answeredRequestAt = Math.max(this.answeredRequestAt, sentAt);
-    this.trust.update(update.groups, now);
-    if (version > this.version) this.adoptCatalog(version, update);
-    // A reply that was overtaken grants leases on epochs that may be over.
-    if (version === this.version) {
-      this.trust.extendAll(sentAt + (reply.leaseMs ?? 0));
-      this.adoptPositions(reply, sentAt);
-    }
-    if (this.trust.hasDueRevocation(now)) void this.client.syncNow();
-  }
-
-  private adoptDirectory(directory: whinyoke.IProxyDirectory): void {
-    this.directoryVersion = directory.version ?? 0;
-    this.relays = directory.relays ?? [];
-    this.liveProxies = Math.max(1, directory.liveProxies ?? 1);
-    this.instances.homes.update(
-      (directory.zones ?? []).map(({ zone, addresses }) => ({
-        zone: zone ?? '',
-        addresses: addresses ?? [],
-      })),
-    );
-  }
-
-  private adoptPositions(reply: whinyoke.ISyncReply, sentAt: number): void {
-    const positions = toldPositions(reply, this.trust.groupNames, sentAt);
-    for (const { group, askedAt, position } of positions) {
-      const { epoch } = this.trust.entryOf(group) ?? {};
-      this.floorOf(group).note(epoch ?? 0, askedAt, position);
-    }
-    if (positions.length > 0) this.notePositionsTold();
-  }
-
-  private adoptDocument(document: whinyoke.IRoutingDocument): void {
-    if ((document.version ?? 0) <= (this.table?.version ?? 0)) return;
-    this.table = this.options.reader.read(inflateSource(document));
-    for (const waiter of this.tableWaiters.splice(0)) waiter();
-    this.log(Events.documentInForce, {
-      version: this.table.version,
-      routes: this.table.routeByDatabase.size,
-    });
-  }
-
-  private adoptCatalog(version: number, update: whinyoke.CatalogUpdate): void {
-    if (this.version === 0) {
-      this.positionsExpectedUntil = this.clock.now() + FIRST_POSITIONS_MS;
-    }
-    this.version = version;
-    this.instances.adopt(update);
-    this.log(Events.catalogInForce, {
-      version: this.version,
-      instances: this.instances.count,
-      proxies: this.liveProxies,
+  private createAdmission(): Admission {
+    const refresh = (timeoutMs: number): Promise<void> =>
+      Promise.race([this.synchronisation.syncNow(), delay(this.clock, timeoutMs)]);
+    return new Admission({
+      clock: this.clock,
+      log: this.log,
+      table: () => this.table,
+      provenAt: () => this.contact.provenAt,
+      refresh,
+      freshnessMs: this.options.credentialFreshnessMs,
     });
   }
 
-  /** The position that a trusted primary tells at the start of a connection is as good as that of an answer. */
-  private notePosition(
-    { id: instance, group }: InstanceTarget,
-    position: Position,
-    startedAt: number,
-  ): void {
-    const { epoch, primary } = this.trust.entryOf(group) ?? {};
-    if (primary !== instance || epoch === undefined || epoch === null) return;
-    if (!this.trust.accepts(group, epoch, this.clock.now())) return;
-    this.observerOf(group, epoch).opened(this.clock.now());
-    this.notePrimaryPosition(group, epoch, startedAt, position);
-  }
-
-  private onConnectFailed({ id: instance, group }: InstanceTarget, error: ConnectError): void {
-    const entry = this.trust.entryOf(group);
-    if (entry?.primary !== instance) return;
-    const observer = this.observerOf(group, entry.epoch ?? 0);
-    if (error.failure === 'connectionLimit' || error.failure === 'busy') {
-      observer.opened(this.clock.now());
-      return;
-    }
-    const health = error.failure === 'silent' ? PrimaryHealth.SILENT : PrimaryHealth.REFUSING;
-    observer.failed(health, this.clock.now());
-  }
-
+  /** One round of upkeep. */
   private maintain(): void {
     const now = this.clock.now();
-    for (const primary of this.observers.suspects(now)) {
-      this.instances.access(primary)?.local.probe();
-    }
+    for (const primary of this.primaryHealth.suspects(now)) this.instances.probe(primary);
     this.instances.maintain();
     this.relayServer.maintain();
-    this.noteLostControl();
-    this.witness.maintain(now - this.answeredRequestAt);
-    if (this.observers.hasNews(now)) void this.client.syncNow();
-    if (this.trust.hasDueRevocation(now)) void this.client.syncNow();
+    this.synchronisation.noteSilence();
+    this.leaseConfirmer.maintain(now - this.contact.provenAt);
+    this.synchronisation.sendNews(now);
     this.maintenance = this.clock.setTimer(MAINTENANCE_MS, () => this.maintain());
   }
 
-  onControlFailure(address: string, reason: string): void {
-    this.log(Events.controlRequestFailed, { address, reason });
-  }
-
-  private noteControl(now: number): void {
-    if (this.isControlLost) {
-      this.log(Events.controlRegained, { after_ms: Math.round(this.syncAge) });
-    }
-    this.isControlLost = false;
-    this.lastSyncAt = now;
-  }
-
-  private noteLostControl(): void {
-    const isLost = this.table !== undefined && this.syncAge > CONTROL_LOST_MS;
-    if (!isLost || this.isControlLost) return;
-    this.isControlLost = true;
-    this.log(Events.controlLost, {
-      leader: this.client.leaderAddress,
-      failed_requests: this.client.failedRequests,
-      sync_age_ms: Math.round(this.syncAge),
-    });
-  }
-
-  // ---- requests of other processes ----
-
-  /** Runs a statement of another proxy, or passes a request of one that is cut off from control on to the leader. */
-  private async handle(body: MessageBody): Promise<MessageBody> {
-    const { syncRequest, relayRequest } = body;
-    if (relayRequest) {
-      return { relayReply: await this.relayServer.handle(relayRequest, this.isLeaving) };
-    }
-    if (!syncRequest || syncRequest.relayed) return { refusal: { reason: 'not for a proxy' } };
-    const { leaderAddress } = this.client;
-    if (leaderAddress === '') return { refusal: { reason: 'no leader is known' } };
-    const relayed = { syncRequest: { ...syncRequest, relayed: true, waitMs: 0 } };
-    return this.runtime.messenger.request(leaderAddress, relayed, RELAY_TIMEOUT_MS);
+  /** Runs a statement of another proxy, or forwards a request of one that is cut off from control to the leader. */
+  private async handle({ syncRequest, relayRequest }: MessageBody): Promise<MessageBody> {
+    if (!relayRequest) return this.forwarder.forward(syncRequest);
+    return { relayReply: await this.relayServer.handle(relayRequest, this.isLeaving) };
   }
 }
--- /dev/null
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -0,0 +1,177 @@
+/**
+ * Synchronisation with control: what a request of this proxy carries, and what a reply changes. Owns the version of the
+ * catalog in force and the client that exchanges the messages; relies on control, which may be out of reach or slow.
+ */
+import { Events } from '../../observability/events.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Runtime } from '../../runtime/runtime.js';
+import type { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
+import type { PrimaryLeases } from '../trust/primary_leases.js';
+import { ControlClient } from './control_client.js';
+import type { ControlContact } from './control_contact.js';
+import type { DocumentInForce } from './document_in_force.js';
+import type { FleetDirectory } from './fleet_directory.js';
+import type { PrimaryPositions } from './primary_positions.js';
+import type { ProxyInstances } from './proxy_instances.js';
+import type { SyncContent, SyncParticipant } from './sync_participant.js';
+
+const NO_BYTES = new Uint8Array(0);
+
+/** Parts of the proxy that requests are made from and replies change. */
+interface SynchronisedParts {
+  readonly self: whinyoke.IProxyEntry;
+  readonly log: DecisionLog;
+  readonly contact: ControlContact;
+  readonly document: DocumentInForce;
+  readonly fleet: FleetDirectory;
+  readonly leases: PrimaryLeases;
+  readonly primaryHealth: PrimaryHealthTrackers;
+  readonly positions: PrimaryPositions;
+  readonly instances: ProxyInstances;
+}
+
+/** Synchronisation of one proxy. */
+export class ControlSynchronisation implements SyncParticipant {
+  private readonly client: ControlClient;
+  private catalogVersion = 0;
+  private isStopping = false;
+
+  constructor(
+    private readonly runtime: Runtime,
+    private readonly parts: SynchronisedParts,
+    /** Addresses of control machines to begin with. */
+    seeds: readonly string[],
+  ) {
+    this.client = new ControlClient(runtime, this, seeds);
+  }
+
+  /** Starts to synchronise. */
+  start(): void {
+    this.client.start();
+  }
+
+  /** Stops. */
+  stop(): void {
+    this.client.stop();
+  }
+
+  /** Sends what is new at once. */
+  syncNow(): Promise<void> {
+    return this.client.syncNow();
+  }
+
+  /** Takes over control machines of changed settings. */
+  updateSeeds(seeds: readonly string[]): void {
+    this.client.updateSeeds(seeds);
+  }
+
+  /** Tells control that this proxy takes no new callers. */
+  beginLeave(): void {
+    this.isStopping = true;
+    void this.client.syncNow();
+  }
+
+  /** Sends changed opinions on primaries and due revocations at once; called often. */
+  sendNews(now: number): void {
+    if (this.parts.primaryHealth.hasNews(now)) void this.client.syncNow();
+    if (this.parts.leases.hasDueRevocation(now)) void this.client.syncNow();
+  }
+
+  /** Logs when control is silent though a document is in force. */
+  noteSilence(): void {
+    if (this.parts.document.table === undefined) return;
+    this.parts.contact.noteSilence(this.client.leaderAddress, this.client.failedRequests);
+  }
+
+  /** Address of the leader as last heard of; empty when unknown. */
+  get leaderAddress(): string {
+    return this.client.leaderAddress;
+  }
+
+  /** Identity of this proxy. */
+  get self(): whinyoke.IProxyEntry {
+    return this.parts.self;
+  }
+
+  /** Whether this proxy takes no new callers. */
+  get isLeaving(): boolean {
+    return this.isStopping;
+  }
+
+  /** Log index of the newest catalog in force; 0 before the first. */
+  get knownVersion(): number {
+    return this.catalogVersion;
+  }
+
+  /** Addresses of proxies that forward a request to the leader. */
+  get forwarders(): readonly string[] {
+    return this.parts.fleet.forwarders;
+  }
+
+  /** Content of a request that is sent now. Leases whose revocation is due end here. */
+  syncContent(): SyncContent {
+    const { leases, primaryHealth, positions, document, fleet, instances } = this.parts;
+    const now = this.runtime.clock.now();
+    for (const group of leases.endRevokedEpochs(now)) instances.abandonPrimary(group);
+    const revocations = leases.confirmations().map(({ group, epoch, position }) => ({
+      group,
+      epoch,
+      hasPosition: position !== undefined,
+      position,
+    }));
+    return {
+      knownDocument: document.version,
+      knownDirectory: fleet.version,
+      revocations,
+      reports: primaryHealth.takeReports(now),
+      wantsPositions: positions.isWanting(now),
+      clockTerm: positions.clockTerm,
+      positions: positions.takeReports(now),
+    };
+  }
+
+  /** Takes over a reply to a request that was sent at `sentAt`. */
+  onSync(reply: whinyoke.ISyncReply, content: SyncContent, sentAt: number): void {
+    const { contact, document, leases, positions } = this.parts;
+    const now = this.runtime.clock.now();
+    contact.noteReply(now);
+    for (const { group, epoch } of content.revocations) leases.confirmed(group ?? '', epoch ?? 0);
+    positions.noteClock(reply, now);
+    if (reply.directory) this.adoptDirectory(reply.directory);
+    const version = reply.version ?? 0;
+    const update = whinyoke.CatalogUpdate.decode(reply.update ?? NO_BYTES);
+    if (update.document) document.adopt(update.document);
+    contact.noteProof(sentAt);
+    leases.update(update.groups, now);
+    if (version > this.catalogVersion) this.adoptCatalog(version, update);
+    // A reply that was overtaken grants leases on epochs that may be over.
+    if (version === this.catalogVersion) {
+      leases.extendAll(sentAt + (reply.leaseMs ?? 0));
+      positions.adopt(reply, sentAt);
+    }
+    if (leases.hasDueRevocation(now)) void this.client.syncNow();
+  }
+
+  /** Logs that a request to a control machine, or through another proxy, failed. */
+  onControlFailure(address: string, reason: string): void {
+    this.parts.log(Events.controlRequestFailed, { address, reason });
+  }
+
+  private adoptDirectory(directory: whinyoke.IProxyDirectory): void {
+    this.parts.fleet.adopt(directory);
+    this.parts.instances.adoptOwners(directory);
+  }
+
+  private adoptCatalog(version: number, update: whinyoke.CatalogUpdate): void {
+    const { positions, instances, fleet, log } = this.parts;
+    if (this.catalogVersion === 0) positions.expectFirst();
+    this.catalogVersion = version;
+    instances.adopt(update);
+    log(Events.catalogInForce, {
+      version,
+      instances: instances.count,
+      proxies: fleet.liveProxies,
+    });
+  }
+}
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -1,15 +1,17 @@
-/** What sessions need of the process that they run in. */
+/**
+ * What sessions and the relay server need of the proxy that they run in, grouped by the part that serves it. Owns nothing.
+ * Every part answers from memory; only instances, and control behind `admission` and `allowances`, may fail to answer.
+ */
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { Position } from '../../positions/position.js';
 import type { Admission } from '../tenancy/admission.js';
 import type { AllowanceClient } from '../tenancy/allowance_client.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
-import type { PositionFloor } from '../routing/position_floor.js';
-import type { PrimaryObserver } from '../trust/primary_observer.js';
-import type { PrimaryTrust } from '../trust/primary_trust.js';
+import type { PrimaryHealthTracker } from '../trust/primary_health_tracker.js';
+import type { PrimaryLeases } from '../trust/primary_leases.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { RouteTable } from '../catalog/route_table.js';
+import type { PrimaryPositions } from './primary_positions.js';
 
 /** Counts how requests ended. */
 export interface RequestCounters {
@@ -21,33 +23,56 @@
   retried(route: string, cause: string): void;
 }
 
+/** Health of primaries as the proxy's own statements show it. */
+export interface SessionPrimaryHealth {
+  /** Tracker of an epoch of a group. */
+  of(group: string, epoch: number): PrimaryHealthTracker;
+}
+
+/** Positions of primaries, without their synchronisation with control. */
+export type SessionPositions = Pick<
+  PrimaryPositions,
+  'floorOf' | 'noteFromPrimary' | 'awaitFloor' | 'noteReplicaRead'
+>;
+
+/** Confirmation of leases by replicas, while control is out of reach. */
+export interface SessionLeaseConfirmer {
+  /** Notes that a statement wants the primary of a group. */
+  noteWanted(group: string): void;
+}
+
+/** Instances that statements may be sent to. */
+export interface SessionInstances {
+  /** Source of connections to an instance; undefined when the catalog does not list it. */
+  connectionsTo(instance: string): ConnectionSource | undefined;
+  /** Instances of a group that take new work. */
+  readCandidates(group: string): readonly ReadCandidate[];
+}
+
 /** Surroundings of a session. */
 export interface ProxyContext {
+  /** Clock of this process. */
   readonly clock: Clock;
+  /** Zone of this process. */
   readonly zone: string;
-  readonly trust: PrimaryTrust;
+  /** Log of decisions. */
   readonly log: DecisionLog;
+  /** Counters of requests. */
   readonly counters: RequestCounters;
-  /** Whose credential allows what. */
+  /** Routing document in force; undefined before the first. */
+  readonly table: RouteTable | undefined;
+  /** Decides what a credential allows. */
   readonly admission: Admission;
   /** Limits on the operations of tenants. */
   readonly allowances: AllowanceClient;
-  /** Routing document in force; undefined before the first. */
-  readonly table: RouteTable | undefined;
-  floorOf(group: string): PositionFloor;
-  /** Notes a position that the trusted primary of `epoch` told to a request that was sent at `askedAt`. */
-  notePrimaryPosition(group: string, epoch: number, askedAt: number, position: Position): void;
-  /**
-   * Resolves when a position of the group's primary is known, or when none is to be expected soon. Replicas can serve
-   * reads from then on, so that not all first reads after a start go to the primaries.
-   */
-  awaitFloor(group: string): Promise<void>;
-  /** Notes that a statement wants the primary of a group. */
-  notePrimaryWanted(group: string): void;
-  /** Notes a read that replicas may serve. */
-  noteReplicaRead(group: string): void;
-  observerOf(group: string, epoch: number): PrimaryObserver;
-  poolOf(instance: string): ConnectionSource | undefined;
-  /** Instances of a group that take new work. */
-  readCandidates(group: string): readonly ReadCandidate[];
+  /** Leases on primaries. */
+  readonly leases: PrimaryLeases;
+  /** Confirmation of leases by replicas. */
+  readonly leaseConfirmer: SessionLeaseConfirmer;
+  /** Health of primaries. */
+  readonly primaryHealth: SessionPrimaryHealth;
+  /** Positions of primaries. */
+  readonly positions: SessionPositions;
+  /** Instances that statements may be sent to. */
+  readonly instances: SessionInstances;
 }
--- /dev/null
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -0,0 +1,157 @@
+/**
+ * The instances of the catalog in force as this proxy uses them. Owns the ways to them; tells the health trackers and the
+ * position floors what opening a connection showed. Instances may refuse connections or not answer.
+ */
+import { whinyoke } from '../../protocol/generated/messages.js';
+import type { Position } from '../../positions/position.js';
+import type { Runtime } from '../../runtime/runtime.js';
+import type { DecisionLog } from '../../observability/decision_logger.js';
+import type { ConnectionSource } from '../connections/connection_source.js';
+import { InstanceDirectory } from '../connections/instance_directory.js';
+import type { InstancePool } from '../connections/instance_pool.js';
+import type {
+  ConnectError,
+  InstanceConnector,
+  InstanceTarget,
+} from '../instance/instance_connection.js';
+import type { ReadCandidate } from '../routing/replica_selector.js';
+import type { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
+import type { PrimaryLeases } from '../trust/primary_leases.js';
+import type { ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
+import type { DocumentInForce } from './document_in_force.js';
+import type { FleetDirectory } from './fleet_directory.js';
+import type { PrimaryPositions } from './primary_positions.js';
+import type { SessionInstances } from './proxy_context.js';
+
+const { PrimaryHealth } = whinyoke;
+
+/** Parts of the proxy that its instances depend on. */
+interface InstancesSurroundings {
+  readonly runtime: Runtime;
+  /** Address for messages of other processes. */
+  readonly ownAddress: string;
+  readonly connector: InstanceConnector;
+  readonly log: DecisionLog;
+  readonly document: DocumentInForce;
+  readonly fleet: FleetDirectory;
+  readonly leases: PrimaryLeases;
+  readonly primaryHealth: PrimaryHealthTrackers;
+  readonly positions: PrimaryPositions;
+}
+
+/** Instances of one proxy. */
+export class ProxyInstances implements SessionInstances {
+  private readonly directory: InstanceDirectory;
+
+  constructor(private readonly surroundings: InstancesSurroundings) {
+    const { runtime, ownAddress, connector, log, document, fleet } = surroundings;
+    this.directory = new InstanceDirectory({
+      runtime,
+      ownAddress,
+      connector,
+      log,
+      connectionLimitOf: (group) => document.table?.limitsByGroup.get(group)?.connectionLimit ?? 0,
+      hasTenants: () => document.table === undefined || document.table.tenants.size > 0,
+      tenantRate: (tenant) => document.table?.tenants.named(tenant)?.limit?.ratePerSecond,
+      liveProxies: () => fleet.liveProxies,
+      onConnectFailed: (target, error) => this.onConnectFailed(target, error),
+      onOpened: (target, position, startedAt) => this.onOpened(target, position, startedAt),
+    });
+  }
+
+  /** Number of instances in the catalog. */
+  get count(): number {
+    return this.directory.count;
+  }
+
+  /** Pools of connections of this process, for metrics. */
+  get pools(): readonly InstancePool[] {
+    return this.directory.pools;
+  }
+
+  /** Source of connections to an instance, here or through the owner of its connections. */
+  connectionsTo(instance: string): ConnectionSource | undefined {
+    return this.directory.access(instance);
+  }
+
+  /** Pool of this process's own connections to an instance. */
+  localPool(instance: string): InstancePool | undefined {
+    return this.directory.access(instance)?.local;
+  }
+
+  /** Instances of a group that take new work. */
+  readCandidates(group: string): readonly ReadCandidate[] {
+    return this.directory.readCandidates(group, this.primaryOf(group));
+  }
+
+  /** All instances of a group but its primary, whatever their state. */
+  replicasOf(group: string): readonly ConfirmingReplica[] {
+    return this.directory.replicasOf(group, this.primaryOf(group));
+  }
+
+  /** Takes over what changed in the catalog. */
+  adopt(update: whinyoke.ICatalogUpdate): void {
+    this.directory.adopt(update);
+  }
+
+  /** Takes over which proxies may own connections, by zone. */
+  adoptOwners(directory: whinyoke.IProxyDirectory): void {
+    const zones = (directory.zones ?? []).map(({ zone, addresses }) => ({
+      zone: zone ?? '',
+      addresses: addresses ?? [],
+    }));
+    this.directory.homes.update(zones);
+  }
+
+  /** Ends the wait of all statements for an answer of the old primary of a group that changes its primary. */
+  abandonPrimary(group: string): void {
+    this.directory.access(this.primaryOf(group))?.abandonInUse();
+  }
+
+  /** Opens another connection to an instance that leaves statements unanswered. */
+  probe(instance: string): void {
+    this.localPool(instance)?.probe();
+  }
+
+  /** Looks after all pools; called often. */
+  maintain(): void {
+    this.directory.maintain();
+  }
+
+  /** Ends all connections. */
+  close(): void {
+    this.directory.close();
+  }
+
+  private primaryOf(group: string): string {
+    return this.surroundings.leases.entryOf(group)?.primary ?? '';
+  }
+
+  /** The position that a leased primary sends when a connection opens is as good as that of an answer. */
+  private onOpened(
+    { id: instance, group }: InstanceTarget,
+    position: Position,
+    startedAt: number,
+  ): void {
+    const { leases, primaryHealth, positions, runtime } = this.surroundings;
+    const { epoch, primary } = leases.entryOf(group) ?? {};
+    if (primary !== instance || epoch === undefined || epoch === null) return;
+    if (!leases.accepts(group, epoch, runtime.clock.now())) return;
+    primaryHealth.of(group, epoch).opened(runtime.clock.now());
+    positions.noteFromPrimary(group, epoch, startedAt, position);
+  }
+
+  private onConnectFailed({ id: instance, group }: InstanceTarget, error: ConnectError): void {
+    const { leases, primaryHealth, runtime } = this.surroundings;
+    const entry = leases.entryOf(group);
+    if (entry?.primary !== instance) return;
+    const tracker = primaryHealth.of(group, entry.epoch ?? 0);
+    // A primary that turns connections away because it is full is alive.
+    if (error.failure === 'connectionLimit' || error.failure === 'busy') {
+      tracker.opened(runtime.clock.now());
+      return;
+    }
+    const health = error.failure === 'silent' ? PrimaryHealth.SILENT : PrimaryHealth.REFUSING;
+    tracker.failed(health, runtime.clock.now());
+  }
+}
--- a/src/appointed/proxy/shared_positions.ts
+++ b/src/appointed/proxy/shared_positions.ts
@@ -18,7 +18,7 @@
 const OWN_FRESH_MS = 400;
 
 /** A position that control told, with its time on this process's clock. */
-export interface ToldPosition {
+interface SharedPosition {
   readonly group: string;
   readonly position: Position;
   readonly askedAt: number;
@@ -85,19 +85,19 @@
 }
 
 /** Positions of a reply to a request that was sent at `sentAt`; `groups` are those of the reply's catalog, by name. */
-export function toldPositions(
+export function sharedPositionsOf(
   reply: whinyoke.ISyncReply,
   groups: readonly string[],
   sentAt: number,
-): readonly ToldPosition[] {
+): readonly SharedPosition[] {
   const { terms, sequences, agesMs } = reply.positions ?? {};
   if (!terms || !sequences || !agesMs || terms.length !== groups.length) return [];
-  const told: ToldPosition[] = [];
+  const shared: SharedPosition[] = [];
   for (const [index, group] of groups.entries()) {
     const ageMs = agesMs[index]!;
     if (ageMs === 0) continue;
     const position = { term: terms[index]!, sequence: sequences[index]! };
-    told.push({ group, position, askedAt: sentAt - ageMs });
+    shared.push({ group, position, askedAt: sentAt - ageMs });
   }
-  return told;
+  return shared;
 }
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -112,7 +112,7 @@
     const pool = this.poolOf(instance);
     if (!pool) return undefined;
     const { group } = pool.target;
-    const primary = this.context.trust.primaryOf(group, this.context.clock.now());
+    const primary = this.context.leases.primaryOf(group, this.context.clock.now());
     const primaryEpoch = primary?.instance === instance ? primary.epoch : undefined;
     return { instance, pool, group, primaryEpoch };
   }
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -27,11 +27,11 @@
 /** When a caller should come back, in milliseconds. */
 export function retryAfter(context: ProxyContext, group: string): number {
   const now = context.clock.now();
-  const entry = context.trust.entryOf(group);
+  const entry = context.leases.entryOf(group);
   if (entry?.phase === whinyoke.GroupPhase.CHANGING) {
-    return Math.max(SHORT_RETRY_MS, USUAL_CHANGE_MS - context.trust.phaseAge(group, now));
+    return Math.max(SHORT_RETRY_MS, USUAL_CHANGE_MS - context.leases.phaseAge(group, now));
   }
-  return context.trust.primaryOf(group, now) ? SHORT_RETRY_MS : NO_LEASE_RETRY_MS;
+  return context.leases.primaryOf(group, now) ? SHORT_RETRY_MS : NO_LEASE_RETRY_MS;
 }
 
 function logRefusal(
@@ -42,8 +42,8 @@
 ): void {
   const { group, name } = request.deadline.route;
   const now = context.clock.now();
-  const entry = context.trust.entryOf(group);
-  const floorAt = context.floorOf(group).newestSentAt;
+  const entry = context.leases.entryOf(group);
+  const floorAt = context.positions.floorOf(group).newestSentAt;
   context.log(kind === 'inDoubt' ? Events.requestInDoubt : Events.requestRefused, {
     request: request.id,
     route: name,
@@ -53,8 +53,8 @@
     elapsed_ms: Math.round(request.deadline.elapsed),
     epoch: entry?.epoch ?? 0,
     phase: entry?.phase === whinyoke.GroupPhase.CHANGING ? 'changing' : 'steady',
-    phase_age_ms: Math.round(context.trust.phaseAge(group, now)),
-    leased: context.trust.primaryOf(group, now) !== undefined,
+    phase_age_ms: Math.round(context.leases.phaseAge(group, now)),
+    leased: context.leases.primaryOf(group, now) !== undefined,
     floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
     document: context.table?.version ?? 0,
     document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_TOLD_AGE_MS)),
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -30,8 +30,8 @@
 
 /** The trusted primary of a group. */
 export function primaryTarget(context: ProxyContext, group: string): Target | undefined {
-  const primary = context.trust.primaryOf(group, context.clock.now());
-  const pool = primary && context.poolOf(primary.instance);
+  const primary = context.leases.primaryOf(group, context.clock.now());
+  const pool = primary && context.instances.connectionsTo(primary.instance);
   if (!primary || !pool) return undefined;
   return { instance: primary.instance, pool, group, primaryEpoch: primary.epoch };
 }
@@ -40,16 +40,16 @@
 export function isTargetTrusted(context: ProxyContext, target: Target): boolean {
   const { primaryEpoch, group } = target;
   if (primaryEpoch === undefined) return true;
-  return context.trust.accepts(group, primaryEpoch, context.clock.now());
+  return context.leases.accepts(group, primaryEpoch, context.clock.now());
 }
 
 /** Position that a replica must have applied for a read; undefined when only the primary may serve it. */
 export function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
   const { policy, group } = request.route;
   if (policy.kind === 'primary') return undefined;
-  context.noteReplicaRead(group);
+  context.positions.noteReplicaRead(group);
   const oldest = request.firstByteAt - policy.maximumStalenessMs + FLOOR_MARGIN_MS;
-  const floor = context.floorOf(group).oldestSince(oldest);
+  const floor = context.positions.floorOf(group).oldestSince(oldest);
   if (!floor || policy.kind === 'boundedStaleness' || !request.ownPosition) return floor;
   return latest(floor, request.ownPosition);
 }
@@ -64,11 +64,11 @@
   const primary = primaryTarget(context, group);
   const after = readFloor(context, request);
   if (!after) {
-    context.notePrimaryWanted(group);
+    context.leaseConfirmer.noteWanted(group);
     return primary && !tried.has(primary.instance) ? [primary] : [];
   }
-  const primaryInstance = context.trust.entryOf(group)?.primary;
-  const candidates = context
+  const primaryInstance = context.leases.entryOf(group)?.primary;
+  const candidates = context.instances
     .readCandidates(group)
     .filter((candidate) => !tried.has(candidate.id))
     .filter((candidate) => candidate.id !== primaryInstance || primary !== undefined);
@@ -83,7 +83,7 @@
       targets.push(primary);
       continue;
     }
-    const pool = context.poolOf(candidate.id);
+    const pool = context.instances.connectionsTo(candidate.id);
     if (pool) targets.push({ instance: candidate.id, pool, group, after });
   }
   const isPrimaryListed = targets.some((target) => target.primaryEpoch !== undefined);
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -20,7 +20,7 @@
   isNotRun,
 } from './statement_runner.js';
 import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
-import { awaitPrimary } from '../trust/trust_waiter.js';
+import { awaitPrimary } from '../trust/primary_waiter.js';
 
 /** Identifier of statements that no caller asked for. */
 const OWN_REQUEST = '-';
@@ -96,12 +96,12 @@
       this.drop();
       return { reply: refuse(this.context, refusal, 'aborted', 'the lease on the primary ended') };
     }
-    this.context.trust.commitStarted(this.route.group);
+    this.context.leases.commitStarted(this.route.group);
     try {
       const attempt = await this.attempt({ kind: 'commit', id }, content, deadline);
       return this.judgeCommit(attempt, refusal);
     } finally {
-      this.context.trust.commitEnded(this.route.group);
+      this.context.leases.commitEnded(this.route.group);
     }
   }
 
@@ -141,7 +141,7 @@
     const { rows, signature, position } = answer;
     const reply: CallerReply = { rows, signature, state: 'idle', position };
     if (!this.hasWritten || !position) return { reply };
-    this.context.trust.noteAcknowledged(this.route.group, position);
+    this.context.leases.noteAcknowledged(this.route.group, position);
     return { reply, committedAt: position };
   }
 
@@ -202,7 +202,7 @@
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
     let cause = 'no trusted primary';
-    if (this.mayUseReplicas) await this.context.awaitFloor(this.route.group);
+    if (this.mayUseReplicas) await this.context.positions.awaitFloor(this.route.group);
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       const target = await this.nextTarget(deadline, tried, pause);
       if (!target) break;
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -17,7 +17,7 @@
   isNotRun,
 } from './statement_runner.js';
 import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
-import { awaitPrimary } from '../trust/trust_waiter.js';
+import { awaitPrimary } from '../trust/primary_waiter.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
 const MINIMUM_ATTEMPT_MS = 5;
@@ -59,7 +59,7 @@
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
     let cause = 'no instance may serve the read';
-    if (route.policy.kind !== 'primary') await this.context.awaitFloor(route.group);
+    if (route.policy.kind !== 'primary') await this.context.positions.awaitFloor(route.group);
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
       const targets = planRead(this.context, plan, tried);
@@ -96,9 +96,9 @@
     while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
       const target = await awaitPrimary(this.context, deadline);
       if (!target) break;
-      this.context.trust.commitStarted(group);
+      this.context.leases.commitStarted(group);
       const result = await this.attemptWrite(request, target).finally(() =>
-        this.context.trust.commitEnded(group),
+        this.context.leases.commitEnded(group),
       );
       if ('reply' in result) return result;
       cause = result.cause;
@@ -184,7 +184,7 @@
     if (!isTargetTrusted(this.context, target) || !answer.position) {
       return { reply: inDoubt(this.context, refusal, 'the lease on the primary ended') };
     }
-    this.context.trust.noteAcknowledged(target.group, answer.position);
+    this.context.leases.noteAcknowledged(target.group, answer.position);
     return { reply: this.succeed(request, target, answer), committedAt: answer.position };
   }
 
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -152,7 +152,7 @@
     const { group, primaryEpoch: epoch } = target;
     const sentAt = clock.now();
     const isObserved = epoch !== undefined && !pooled.isRelayed;
-    const observer = isObserved ? this.context.observerOf(group, epoch) : undefined;
+    const observer = isObserved ? this.context.primaryHealth.of(group, epoch) : undefined;
     const mayCommit = command.kind === 'commit' || isWrite(command);
     const ended = observer?.started(mayCommit, sentAt);
     load.outstanding++;
@@ -177,7 +177,7 @@
     sentAt: number,
     isTimed: boolean,
   ): void {
-    const { clock, trust } = this.context;
+    const { clock, leases } = this.context;
     const { group, primaryEpoch: epoch, pool } = held.target;
     const now = clock.now();
     if (answer.position) pool.load.notePosition(answer.position);
@@ -190,9 +190,9 @@
     if (answer.error && REFUSAL_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
     if (epoch === undefined) return;
     if (answer.error?.kind === 'readOnly' && !held.pooled.isRelayed) {
-      this.context.observerOf(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
-    } else if (answer.position && trust.accepts(group, epoch, now)) {
-      this.context.notePrimaryPosition(group, epoch, sentAt, answer.position);
+      this.context.primaryHealth.of(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
+    } else if (answer.position && leases.accepts(group, epoch, now)) {
+      this.context.positions.noteFromPrimary(group, epoch, sentAt, answer.position);
     }
   }
 }
--- a/src/appointed/trust/primary_observer.ts
+++ b/src/appointed/trust/primary_health_tracker.ts
@@ -54,7 +54,7 @@
 }
 
 /** Observer of one group in one epoch. */
-export class PrimaryObserver {
+export class PrimaryHealthTracker {
   private readonly all = new UnansweredStatements();
   private readonly commits = new UnansweredStatements();
   private failure: { health: whinyoke.PrimaryHealth; since: number } | undefined;
--- a/src/appointed/trust/primary_observers.ts
+++ b/src/appointed/trust/primary_health_trackers.ts
@@ -1,40 +1,40 @@
 /** What a proxy sees of the primaries of all groups, and what of it control is to hear. */
 import { whinyoke } from '../../protocol/generated/messages.js';
-import { PrimaryObserver } from './primary_observer.js';
-import type { PrimaryTrust } from './primary_trust.js';
+import { PrimaryHealthTracker } from './primary_health_tracker.js';
+import type { PrimaryLeases } from './primary_leases.js';
 
 const { PrimaryHealth, GroupPhase } = whinyoke;
 
-interface ObservedEpoch {
+interface TrackedEpoch {
   readonly epoch: number;
-  readonly observer: PrimaryObserver;
+  readonly tracker: PrimaryHealthTracker;
   reportedHealth: whinyoke.PrimaryHealth | undefined;
 }
 
 /** Observers of one proxy. */
-export class PrimaryObservers {
-  private readonly observed = new Map<string, ObservedEpoch>();
+export class PrimaryHealthTrackers {
+  private readonly tracked = new Map<string, TrackedEpoch>();
 
-  constructor(private readonly trust: PrimaryTrust) {}
+  constructor(private readonly leases: PrimaryLeases) {}
 
   /** Observer of an epoch; of a later one, if there is one. */
-  of(group: string, epoch: number): PrimaryObserver {
-    const known = this.observed.get(group);
-    if (known && known.epoch >= epoch) return known.observer;
-    const observer = new PrimaryObserver();
-    this.observed.set(group, { epoch, observer, reportedHealth: undefined });
-    return observer;
+  of(group: string, epoch: number): PrimaryHealthTracker {
+    const known = this.tracked.get(group);
+    if (known && known.epoch >= epoch) return known.tracker;
+    const tracker = new PrimaryHealthTracker();
+    this.tracked.set(group, { epoch, tracker, reportedHealth: undefined });
+    return tracker;
   }
 
   /** Opinions on the present primaries, which are told to control now. */
   takeReports(now: number): whinyoke.IPrimaryReport[] {
     const reports: whinyoke.IPrimaryReport[] = [];
-    for (const [group, observed] of this.observed) {
-      const { epoch, observer } = observed;
-      const entry = this.trust.entryOf(group);
-      const opinion = entry?.epoch === epoch ? observer.opinion(now) : undefined;
+    for (const [group, tracked] of this.tracked) {
+      const { epoch, tracker } = tracked;
+      const entry = this.leases.entryOf(group);
+      const opinion = entry?.epoch === epoch ? tracker.opinion(now) : undefined;
       if (!opinion) continue;
-      observed.reportedHealth = opinion.health;
+      tracked.reportedHealth = opinion.health;
       reports.push({ group, epoch, health: opinion.health, sinceMs: Math.round(opinion.sinceMs) });
     }
     return reports;
@@ -42,10 +42,10 @@
 
   /** Whether an opinion has changed that control should hear of at once. */
   hasNews(now: number): boolean {
-    for (const [group, { epoch, observer, reportedHealth }] of this.observed) {
-      const entry = this.trust.entryOf(group);
+    for (const [group, { epoch, tracker, reportedHealth }] of this.tracked) {
+      const entry = this.leases.entryOf(group);
       if (entry?.epoch !== epoch || entry.phase === GroupPhase.CHANGING) continue;
-      const health = observer.opinion(now)?.health;
+      const health = tracker.opinion(now)?.health;
       if (health === undefined || health === reportedHealth) continue;
       if (health !== PrimaryHealth.HEALTHY || reportedHealth !== undefined) return true;
     }
@@ -55,10 +55,10 @@
   /** Primaries that answer nothing, maybe only since connections to them fell silent. */
   suspects(now: number): readonly string[] {
     const suspects: string[] = [];
-    for (const [group, { epoch, observer }] of this.observed) {
-      const entry = this.trust.entryOf(group);
+    for (const [group, { epoch, tracker }] of this.tracked) {
+      const entry = this.leases.entryOf(group);
       const isPresent = entry?.epoch === epoch && entry.phase !== GroupPhase.CHANGING;
-      if (isPresent && observer.isSuspect(now)) suspects.push(entry.primary ?? '');
+      if (isPresent && tracker.isSuspect(now)) suspects.push(entry.primary ?? '');
     }
     return suspects;
   }
--- a/src/appointed/trust/primary_trust.ts
+++ b/src/appointed/trust/primary_leases.ts
@@ -7,7 +7,7 @@
 import { type Position, latest } from '../../positions/position.js';
 
 /** A primary that may be used now. */
-export interface TrustedPrimary {
+export interface LeasedPrimary {
   readonly epoch: number;
   readonly instance: string;
   readonly term: number;
@@ -19,7 +19,7 @@
   readonly until: number;
 }
 
-interface GroupTrust {
+interface GroupLease {
   entry: GroupEntry;
   ending: EndingLease | undefined;
   leaseUntil: number;
@@ -29,7 +29,7 @@
   acknowledged: Position | undefined;
   /** Statements under way whose outcome a revocation should wait for. */
   commitsUnderWay: number;
-  /** CHANGING epoch for which all trust in earlier ones has ended. */
+  /** CHANGING epoch for which all lease in earlier ones has ended. */
   endedEpoch: number;
   confirmedEpoch: number;
 }
@@ -52,7 +52,7 @@
  */
 const COMMIT_PATIENCE_MS = 80;
 
-function endingLease(known: GroupTrust | undefined): EndingLease | undefined {
+function endingLease(known: GroupLease | undefined): EndingLease | undefined {
   if (!known) return undefined;
   const epoch = known.entry.epoch ?? 0;
   // An epoch that never had a lease here leaves the lease before it as it was.
@@ -61,15 +61,15 @@
 }
 
 /** Whether the commits under way are over, or have had their time, and control has not heard of it yet. */
-function isRevocationDue(trust: GroupTrust, now: number): boolean {
-  const isChanging = trust.entry.phase === whinyoke.GroupPhase.CHANGING;
-  if (!isChanging || trust.confirmedEpoch >= (trust.entry.epoch ?? 0)) return false;
-  const patienceMs = trust.entry.planned ? PLANNED_COMMIT_PATIENCE_MS : COMMIT_PATIENCE_MS;
-  return trust.commitsUnderWay === 0 || now - trust.knownSince > patienceMs;
+function isRevocationDue(lease: GroupLease, now: number): boolean {
+  const isChanging = lease.entry.phase === whinyoke.GroupPhase.CHANGING;
+  if (!isChanging || lease.confirmedEpoch >= (lease.entry.epoch ?? 0)) return false;
+  const patienceMs = lease.entry.planned ? PLANNED_COMMIT_PATIENCE_MS : COMMIT_PATIENCE_MS;
+  return lease.commitsUnderWay === 0 || now - lease.knownSince > patienceMs;
 }
 
 /** Trust after an entry of the same or a later epoch was heard of. */
-function successorOf(known: GroupTrust | undefined, entry: GroupEntry, now: number): GroupTrust {
+function successorOf(known: GroupLease | undefined, entry: GroupEntry, now: number): GroupLease {
   if (known?.entry.epoch === entry.epoch && known) return { ...known, entry };
   return {
     entry,
@@ -84,13 +84,13 @@
 }
 
 /** Whether the present epoch has or had a lease, and is not being revoked. */
-function isLeased({ entry, leaseUntil }: GroupTrust): boolean {
+function isLeased({ entry, leaseUntil }: GroupLease): boolean {
   return leaseUntil !== -Infinity && entry.phase !== whinyoke.GroupPhase.CHANGING;
 }
 
 /** Trust of one proxy. */
-export class PrimaryTrust {
-  private readonly groups = new Map<string, GroupTrust>();
+export class PrimaryLeases {
+  private readonly groups = new Map<string, GroupLease>();
   private sortedNames: readonly string[] | undefined;
   private waiters: (() => void)[] = [];
 
@@ -107,18 +107,18 @@
 
   /** Extends the leases of all present epochs, but of those that are being revoked. */
   extendAll(until: number): void {
-    for (const trust of this.groups.values()) {
-      if (trust.entry.phase === whinyoke.GroupPhase.CHANGING) continue;
-      trust.leaseUntil = Math.max(trust.leaseUntil, until);
+    for (const lease of this.groups.values()) {
+      if (lease.entry.phase === whinyoke.GroupPhase.CHANGING) continue;
+      lease.leaseUntil = Math.max(lease.leaseUntil, until);
     }
     this.wakeWaiters();
   }
 
   /** Extends the lease of one epoch, if it is the present one and ever had a lease. */
   extend(group: string, epoch: number, until: number): void {
-    const trust = this.groups.get(group);
-    if (!trust || trust.entry.epoch !== epoch || !isLeased(trust)) return;
-    trust.leaseUntil = Math.max(trust.leaseUntil, until);
+    const lease = this.groups.get(group);
+    if (!lease || lease.entry.epoch !== epoch || !isLeased(lease)) return;
+    lease.leaseUntil = Math.max(lease.leaseUntil, until);
     this.wakeWaiters();
   }
 
@@ -130,28 +130,28 @@
 
   /** Groups whose present epoch has or had a lease here. */
   leasedGroups(): readonly string[] {
-    return [...this.groups].filter(([, trust]) => isLeased(trust)).map(([group]) => group);
+    return [...this.groups].filter(([, lease]) => isLeased(lease)).map(([group]) => group);
   }
 
   /** Primary to which a statement may be sent at `now`: the lease will outlast a short answer. */
-  primaryOf(group: string, now: number): TrustedPrimary | undefined {
-    const trust = this.groups.get(group);
-    if (!trust || now >= trust.leaseUntil - SEND_MARGIN_MS) return undefined;
-    const { entry } = trust;
+  primaryOf(group: string, now: number): LeasedPrimary | undefined {
+    const lease = this.groups.get(group);
+    if (!lease || now >= lease.leaseUntil - SEND_MARGIN_MS) return undefined;
+    const { entry } = lease;
     return { epoch: entry.epoch ?? 0, instance: entry.primary ?? '', term: entry.term ?? 0 };
   }
 
   /** Whether the primary of any group may be used at `now`. */
   hasLease(now: number): boolean {
-    return [...this.groups.values()].some((trust) => now < trust.leaseUntil - SEND_MARGIN_MS);
+    return [...this.groups.values()].some((lease) => now < lease.leaseUntil - SEND_MARGIN_MS);
   }
 
   /** Whether answers of the primary of `epoch` still count at `now`. */
   accepts(group: string, epoch: number, now: number): boolean {
-    const trust = this.groups.get(group);
-    if (!trust) return false;
-    if (trust.entry.epoch === epoch) return now < trust.leaseUntil;
-    return trust.ending?.epoch === epoch && now < trust.ending.until;
+    const lease = this.groups.get(group);
+    if (!lease) return false;
+    if (lease.entry.epoch === epoch) return now < lease.leaseUntil;
+    return lease.ending?.epoch === epoch && now < lease.ending.until;
   }
 
   /** Newest known epoch of a group. */
@@ -161,40 +161,40 @@
 
   /** How long the present phase of a group has been known, in milliseconds. */
   phaseAge(group: string, now: number): number {
-    const trust = this.groups.get(group);
-    return trust ? now - trust.knownSince : 0;
+    const lease = this.groups.get(group);
+    return lease ? now - lease.knownSince : 0;
   }
 
   /** Notes a commit that is acknowledged to a caller. */
   noteAcknowledged(group: string, position: Position): void {
-    const trust = this.groups.get(group);
-    if (!trust) return;
-    trust.acknowledged = trust.acknowledged ? latest(trust.acknowledged, position) : position;
+    const lease = this.groups.get(group);
+    if (!lease) return;
+    lease.acknowledged = lease.acknowledged ? latest(lease.acknowledged, position) : position;
   }
 
   /** Notes the start and the end of a statement that may commit. */
   commitStarted(group: string): void {
-    const trust = this.groups.get(group);
-    if (trust) trust.commitsUnderWay++;
+    const lease = this.groups.get(group);
+    if (lease) lease.commitsUnderWay++;
   }
 
   commitEnded(group: string): void {
-    const trust = this.groups.get(group);
-    if (trust) trust.commitsUnderWay--;
+    const lease = this.groups.get(group);
+    if (lease) lease.commitsUnderWay--;
   }
 
   /** Whether a revocation is due and not yet confirmed. */
   hasDueRevocation(now: number): boolean {
-    return [...this.groups.values()].some((trust) => isRevocationDue(trust, now));
+    return [...this.groups.values()].some((lease) => isRevocationDue(lease, now));
   }
 
-  /** Ends all trust in the old epochs whose revocation is due, and returns their groups. */
+  /** Ends all lease in the old epochs whose revocation is due, and returns their groups. */
   endRevokedEpochs(now: number): readonly string[] {
     const ended: string[] = [];
-    for (const [group, trust] of this.groups) {
-      if (!isRevocationDue(trust, now)) continue;
-      trust.ending = undefined;
-      trust.endedEpoch = trust.entry.epoch ?? 0;
+    for (const [group, lease] of this.groups) {
+      if (!isRevocationDue(lease, now)) continue;
+      lease.ending = undefined;
+      lease.endedEpoch = lease.entry.epoch ?? 0;
       ended.push(group);
     }
     return ended;
@@ -218,8 +218,8 @@
 
   /** Notes that control has taken a revocation. */
   confirmed(group: string, epoch: number): void {
-    const trust = this.groups.get(group);
-    if (trust) trust.confirmedEpoch = Math.max(trust.confirmedEpoch, epoch);
+    const lease = this.groups.get(group);
+    if (lease) lease.confirmedEpoch = Math.max(lease.confirmedEpoch, epoch);
   }
 
   private wakeWaiters(): void {
--- a/src/appointed/trust/trust_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -9,9 +9,9 @@
 /** How long a request may wait for a primary, in milliseconds from now. */
 function patience(context: ProxyContext, deadline: RequestDeadline): number {
   const { group } = deadline.route;
-  const entry = context.trust.entryOf(group);
+  const entry = context.leases.entryOf(group);
   if (entry?.phase !== whinyoke.GroupPhase.CHANGING) return deadline.trustRemaining;
-  const age = context.trust.phaseAge(group, context.clock.now());
+  const age = context.leases.phaseAge(group, context.clock.now());
   const isSoonOver = USUAL_CHANGE_MS - age < deadline.retryRemaining;
   return isSoonOver ? deadline.retryRemaining : deadline.offerRemaining;
 }
@@ -23,10 +23,10 @@
 ): Promise<Target | undefined> {
   for (;;) {
     const target = primaryTarget(context, deadline.route.group);
-    context.notePrimaryWanted(deadline.route.group);
+    context.leaseConfirmer.noteWanted(deadline.route.group);
     if (target) return target;
     const waitMs = patience(context, deadline);
     if (waitMs <= 0) return undefined;
-    await Promise.race([context.trust.nextExtension(), delay(context.clock, waitMs)]);
+    await Promise.race([context.leases.nextExtension(), delay(context.clock, waitMs)]);
   }
 }
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -14,7 +14,7 @@
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
-import type { PrimaryTrust } from './primary_trust.js';
+import type { PrimaryLeases } from './primary_leases.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
 /**
@@ -54,7 +54,7 @@
 /** What the witness needs of its proxy. */
 export interface ConfirmerSurroundings {
   readonly clock: Clock;
-  readonly trust: PrimaryTrust;
+  readonly leases: PrimaryLeases;
   readonly log: DecisionLog;
   /** All instances of a group but its primary, whatever their state. */
   replicasOf(group: string): readonly ConfirmingReplica[];
@@ -97,9 +97,9 @@
   noteWanted(group: string): void {
     const now = this.surroundings.clock.now();
     this.wantedAt.set(group, now);
-    const { trust } = this.surroundings;
-    const isLeaseMissing = this.isAsking && trust.primaryOf(group, now) === undefined;
-    if (isLeaseMissing && trust.leasedGroups().includes(group)) this.askIfDue(group, now);
+    const { leases } = this.surroundings;
+    const isLeaseMissing = this.isAsking && leases.primaryOf(group, now) === undefined;
+    if (isLeaseMissing && leases.leasedGroups().includes(group)) this.askIfDue(group, now);
   }
 
   /**
@@ -114,7 +114,7 @@
       return;
     }
     const now = this.surroundings.clock.now();
-    const groups = this.surroundings.trust.leasedGroups();
+    const groups = this.surroundings.leases.leasedGroups();
     for (const group of groups) {
       const isWanted = now - (this.wantedAt.get(group) ?? -Infinity) < WANTED_MS;
       if (isWanted) this.askIfDue(group, now);
@@ -153,8 +153,8 @@
   }
 
   private async ask(group: string, rounds: GroupRounds): Promise<void> {
-    const { trust } = this.surroundings;
-    const { epoch = 0, term = 0 } = trust.entryOf(group) ?? {};
+    const { leases } = this.surroundings;
+    const { epoch = 0, term = 0 } = leases.entryOf(group) ?? {};
     const replicas = this.surroundings.replicasOf(group);
     const answers = await Promise.all(replicas.map((replica) => this.statusOf(replica)));
     rounds.isUnderWay = false;
@@ -162,7 +162,7 @@
     const objection =
       replicas.length === 0 ? 'no replica is known' : objections.find((text) => text !== undefined);
     const until = rounds.startedAt + REPLICA_LEASE_MS;
-    if (objection === undefined) trust.extend(group, epoch ?? 0, until);
+    if (objection === undefined) leases.extend(group, epoch ?? 0, until);
     this.note(group, rounds, objection ?? CONFIRMED);
   }
 
@@ -184,7 +184,7 @@
   private note(group: string, rounds: GroupRounds, outcome: string): void {
     if (rounds.outcome === outcome) return;
     rounds.outcome = outcome;
-    const epoch = this.surroundings.trust.entryOf(group)?.epoch ?? 0;
+    const epoch = this.surroundings.leases.entryOf(group)?.epoch ?? 0;
     this.surroundings.log(Events.leaseWitnessed, { group, epoch, outcome });
   }
 }
--- a/test/simulation/control_silence.test.ts
+++ b/test/simulation/control_silence.test.ts
@@ -43,7 +43,7 @@
   return world.routers.every((router) => {
     const core = router.running!.core;
     return world.groups.every(
-      (group) => core.trust.primaryOf(group.name, core.clock.now()) !== undefined,
+      (group) => core.leases.primaryOf(group.name, core.clock.now()) !== undefined,
     );
   });
 }
--- a/test/simulation/large_fleet.test.ts
+++ b/test/simulation/large_fleet.test.ts
@@ -161,8 +161,10 @@
   for (const control of world.coordinators) control.start();
   const cores = world.routers.map((router) => router.running!.core);
   const knows = (core: AppointedProxy): boolean =>
-    core.trust.groupNames.length > 0 &&
-    core.trust.groupNames.every((group) => core.floorOf(group).newestSentAt !== undefined);
+    core.leases.groupNames.length > 0 &&
+    core.leases.groupNames.every(
+      (group) => core.positions.floorOf(group).newestSentAt !== undefined,
+    );
   while (!cores.some(knows)) await world.run(1);
   await world.run(LONGEST_AFTER_FIRST_MS);
   t.equal(cores.filter(knows).length, LARGE.proxies, 'all proxies know positions of all primaries');
--- a/test/simulation/restart.test.ts
+++ b/test/simulation/restart.test.ts
@@ -40,7 +40,7 @@
   const groups = world.groups.map((group) => group.name);
   return world.routers.every((router) => {
     const core = router.running?.core;
-    return groups.every((group) => core?.trust.primaryOf(group, core.clock.now()) !== undefined);
+    return groups.every((group) => core?.leases.primaryOf(group, core.clock.now()) !== undefined);
   });
 }
 
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -21,7 +21,7 @@
   REPLICA_LEASE_MS,
   objectionOf,
 } from '../../src/appointed/trust/replica_lease_confirmer.js';
-import { PrimaryTrust } from '../../src/appointed/trust/primary_trust.js';
+import { PrimaryLeases } from '../../src/appointed/trust/primary_leases.js';
 
 const { GroupPhase, InstanceRole, InstanceState, PrimaryHealth } = whinyoke;
 
@@ -175,21 +175,21 @@
 });
 
 void t.test('only the present epoch that had a lease is extended', (t) => {
-  const trust = new PrimaryTrust();
-  trust.update([groupEntry(1)], 0);
-  trust.extend('g', 1, 5000);
-  t.notOk(trust.hasLease(100), 'it never had a lease of control');
-  t.same(trust.leasedGroups(), []);
-  trust.extendAll(1000);
-  t.same(trust.leasedGroups(), ['g']);
-  trust.extend('g', 1, 5000);
-  t.ok(trust.accepts('g', 1, 4999));
-  trust.update([groupEntry(2, GroupPhase.CHANGING)], 2000);
-  trust.extend('g', 2, 9000);
-  trust.extend('g', 1, 9000);
-  t.same(trust.leasedGroups(), []);
-  t.notOk(trust.accepts('g', 2, 2001));
-  t.notOk(trust.accepts('g', 1, 5001), 'an answer under way counts as long as it would have');
+  const leases = new PrimaryLeases();
+  leases.update([groupEntry(1)], 0);
+  leases.extend('g', 1, 5000);
+  t.notOk(leases.hasLease(100), 'it never had a lease of control');
+  t.same(leases.leasedGroups(), []);
+  leases.extendAll(1000);
+  t.same(leases.leasedGroups(), ['g']);
+  leases.extend('g', 1, 5000);
+  t.ok(leases.accepts('g', 1, 4999));
+  leases.update([groupEntry(2, GroupPhase.CHANGING)], 2000);
+  leases.extend('g', 2, 9000);
+  leases.extend('g', 1, 9000);
+  t.same(leases.leasedGroups(), []);
+  t.notOk(leases.accepts('g', 2, 2001));
+  t.notOk(leases.accepts('g', 1, 5001), 'an answer under way counts as long as it would have');
   t.end();
 });
 
@@ -198,46 +198,46 @@
 }
 
 void t.test('a proxy trusts a primary only under a lease of the newest epoch', (t) => {
-  const trust = new PrimaryTrust();
-  trust.update([groupEntry(1)], 0);
-  t.equal(trust.primaryOf('g', 0), undefined, 'no lease yet');
-  trust.extendAll(3000);
-  t.match(trust.primaryOf('g', 2900), { instance: 'i-1', epoch: 1 });
-  t.equal(trust.primaryOf('g', 2950), undefined, 'an answer would come too late');
-  t.ok(trust.accepts('g', 1, 2999));
-  t.notOk(trust.accepts('g', 1, 3000));
-  trust.commitStarted('g');
-  trust.noteAcknowledged('g', { term: 1, sequence: 4 });
-  trust.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned: true }], 1000);
-  t.equal(trust.primaryOf('g', 1000), undefined, 'nothing new is sent');
-  t.ok(trust.accepts('g', 1, 1100), 'an answer under way still counts');
-  t.same(trust.endRevokedEpochs(1100), [], 'the confirmation waits for it');
-  t.notOk(trust.hasDueRevocation(1100));
-  trust.update([groupEntry(1)], 1100);
-  trust.extendAll(9000);
-  t.equal(trust.entryOf('g')?.epoch, 2, 'an older reply changes nothing');
-  trust.commitEnded('g');
-  t.ok(trust.hasDueRevocation(1200));
-  t.same(trust.endRevokedEpochs(1200), ['g']);
+  const leases = new PrimaryLeases();
+  leases.update([groupEntry(1)], 0);
+  t.equal(leases.primaryOf('g', 0), undefined, 'no lease yet');
+  leases.extendAll(3000);
+  t.match(leases.primaryOf('g', 2900), { instance: 'i-1', epoch: 1 });
+  t.equal(leases.primaryOf('g', 2950), undefined, 'an answer would come too late');
+  t.ok(leases.accepts('g', 1, 2999));
+  t.notOk(leases.accepts('g', 1, 3000));
+  leases.commitStarted('g');
+  leases.noteAcknowledged('g', { term: 1, sequence: 4 });
+  leases.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned: true }], 1000);
+  t.equal(leases.primaryOf('g', 1000), undefined, 'nothing new is sent');
+  t.ok(leases.accepts('g', 1, 1100), 'an answer under way still counts');
+  t.same(leases.endRevokedEpochs(1100), [], 'the confirmation waits for it');
+  t.notOk(leases.hasDueRevocation(1100));
+  leases.update([groupEntry(1)], 1100);
+  leases.extendAll(9000);
+  t.equal(leases.entryOf('g')?.epoch, 2, 'an older reply changes nothing');
+  leases.commitEnded('g');
+  t.ok(leases.hasDueRevocation(1200));
+  t.same(leases.endRevokedEpochs(1200), ['g']);
   const confirmation = { group: 'g', epoch: 2, position: { term: 1, sequence: 4 } };
-  t.match(trust.confirmations(), [confirmation]);
-  t.notOk(trust.accepts('g', 1, 1200), 'after the confirmation nothing counts');
-  trust.confirmed('g', 2);
-  t.same(trust.endRevokedEpochs(1300), []);
-  t.match(trust.confirmations(), [confirmation], 'a new leader has not heard of it');
-  trust.extendAll(9000);
-  t.equal(trust.primaryOf('g', 1300), undefined, 'there is no lease on a changing epoch');
+  t.match(leases.confirmations(), [confirmation]);
+  t.notOk(leases.accepts('g', 1, 1200), 'after the confirmation nothing counts');
+  leases.confirmed('g', 2);
+  t.same(leases.endRevokedEpochs(1300), []);
+  t.match(leases.confirmations(), [confirmation], 'a new leader has not heard of it');
+  leases.extendAll(9000);
+  t.equal(leases.primaryOf('g', 1300), undefined, 'there is no lease on a changing epoch');
   t.end();
 });
 
 void t.test('a commit that hangs holds up a revocation only for a moment', (t) => {
-  const revoking = (planned: boolean): PrimaryTrust => {
-    const trust = new PrimaryTrust();
-    trust.update([groupEntry(1)], 0);
-    trust.extendAll(3000);
-    trust.commitStarted('g');
-    trust.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned }], 1000);
-    return trust;
+  const revoking = (planned: boolean): PrimaryLeases => {
+    const leases = new PrimaryLeases();
+    leases.update([groupEntry(1)], 0);
+    leases.extendAll(3000);
+    leases.commitStarted('g');
+    leases.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned }], 1000);
+    return leases;
   };
   const planned = revoking(true);
   t.equal(planned.endRevokedEpochs(1200).length, 0);
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -15,7 +15,7 @@
 import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
 import { InstancePool, type PoolObserver } from '../../src/appointed/connections/instance_pool.js';
 import { PositionFloor } from '../../src/appointed/routing/position_floor.js';
-import { PrimaryObserver } from '../../src/appointed/trust/primary_observer.js';
+import { PrimaryHealthTracker } from '../../src/appointed/trust/primary_health_tracker.js';
 import { orderCandidates } from '../../src/appointed/routing/replica_selector.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
@@ -100,18 +100,18 @@
 );
 
 void t.test('a primary is silent when statements stay without any answer', (t) => {
-  const observer = new PrimaryObserver();
-  t.equal(observer.opinion(0), undefined);
-  const first = observer.started(false, 0);
-  const commit = observer.started(true, 100);
-  t.equal(observer.opinion(340), undefined);
-  t.equal(observer.opinion(600)?.health, PrimaryHealth.SILENT);
+  const tracker = new PrimaryHealthTracker();
+  t.equal(tracker.opinion(0), undefined);
+  const first = tracker.started(false, 0);
+  const commit = tracker.started(true, 100);
+  t.equal(tracker.opinion(340), undefined);
+  t.equal(tracker.opinion(600)?.health, PrimaryHealth.SILENT);
   first(true, 610);
-  t.equal(observer.opinion(620)?.health, PrimaryHealth.SILENT, 'reads answer, commits hang');
+  t.equal(tracker.opinion(620)?.health, PrimaryHealth.SILENT, 'reads answer, commits hang');
   commit(true, 700);
-  t.equal(observer.opinion(710)?.health, PrimaryHealth.HEALTHY);
-  observer.failed(PrimaryHealth.REFUSING, 800);
-  t.match(observer.opinion(900), { health: PrimaryHealth.REFUSING, sinceMs: 100 });
+  t.equal(tracker.opinion(710)?.health, PrimaryHealth.HEALTHY);
+  tracker.failed(PrimaryHealth.REFUSING, 800);
+  t.match(tracker.opinion(900), { health: PrimaryHealth.REFUSING, sinceMs: 100 });
   t.end();
 });
 
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -11,7 +11,7 @@
   ConnectError,
   type InstanceConnector,
 } from '../../src/appointed/instance/instance_connection.js';
-import { SharedPositions, toldPositions } from '../../src/appointed/proxy/shared_positions.js';
+import { SharedPositions, sharedPositionsOf } from '../../src/appointed/proxy/shared_positions.js';
 import type { Clock } from '../../src/runtime/runtime.js';
 
 const { GroupPhase } = whinyoke;
@@ -202,7 +202,7 @@
           sequences: [40],
           agesMs: [Math.max(1, Math.ceil(answeredAt - told))],
         };
-        const [seen] = toldPositions({ positions }, ['g'], readerSentAt + drawn.readerOffset);
+        const [seen] = sharedPositionsOf({ positions }, ['g'], readerSentAt + drawn.readerOffset);
         return seen!.askedAt - drawn.readerOffset <= askedAt;
       },
     ),
@@ -225,8 +225,8 @@
 
 void t.test('positions of another set of groups are not taken', (t) => {
   const positions = { terms: [3, 0], sequences: [40, 0], agesMs: [10, 0] };
-  t.same(toldPositions({ positions }, ['a'], 100), []);
-  t.same(toldPositions({ positions }, ['a', 'b'], 100), [
+  t.same(sharedPositionsOf({ positions }, ['a'], 100), []);
+  t.same(sharedPositionsOf({ positions }, ['a', 'b'], 100), [
     { group: 'a', position: POSITION, askedAt: 90 },
   ]);
   t.end();
