--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -12,7 +12,7 @@
 import type { QuotaRules } from '../tenancy/operation_budget.js';
 import {
   type AllowanceDemand,
-  type FloorChange,
+  type SuccessorReserveChange,
   OperationLedger,
 } from '../tenancy/operation_ledger.js';
 import { type OperationLimit, TenantDirectory } from '../tenancy/tenant.js';
@@ -148,7 +148,7 @@
     for (let change = 0; change < MOST_FLOOR_CHANGES; change++) {
       const now = this.surroundings.clock.now();
       const blocked = demands.filter(({ tenant, limit, waiting }) =>
-        this.ledger.needsLowerFloor(tenant, limit, waiting, now),
+        this.ledger.needsLowerSuccessorReserve(tenant, limit, waiting, now),
       );
       if (blocked.length === 0) return;
       await this.commitFloors();
@@ -158,13 +158,13 @@
   /** Writes the floors that have to change, all in one entry; one entry at a time. */
   private async commitFloors(): Promise<void> {
     while (this.committing) await this.committing;
-    const floors = this.ledger.takeFloorChanges();
+    const floors = this.ledger.takeSuccessorReserveChanges();
     if (floors.length === 0) return;
     this.committing = this.write(floors);
     await this.committing;
   }
 
-  private async write(floors: readonly FloorChange[]): Promise<void> {
+  private async write(floors: readonly SuccessorReserveChange[]): Promise<void> {
     const { propose, log } = this.surroundings;
     try {
       await propose({ putFloors: { floors: [...floors] } });
--- a/src/appointed/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -1,7 +1,14 @@
 /**
- * Decides whether a caller's credential allows an operation now. The credential is looked up in the newest document that
- * this process knows; that document counts only as long as control confirmed lately that it is the newest, so that a
- * credential that was taken away is soon refused everywhere, also by a proxy that nobody reaches.
+ * Decides whether a caller's credential allows an operation now. Owns nothing; relies on the document in force and on control,
+ * which may be out of reach: then credentials count until the document is too old, and no longer.
+ *
+ * Load that it answers: credentials are added and taken away while proxies may be cut off from control.
+ * Inputs: the document in force; the age of control's newest confirmation that it is the newest (ms); the longest age at
+ * which it counts (ms).
+ * Rule: a credential is admitted when a confirmed document names its tenant. One that the document does not know is looked up
+ * once more in the newest document of control. So a credential that was taken away is soon refused everywhere, also by a
+ * proxy that nobody reaches.
+ * Shown by: docs/design/tenancy.md for the bound; test/unit/tenancy.test.ts, test/simulation/tenancy.test.ts.
  */
 import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
 import { Events } from '../../observability/events.js';
@@ -11,15 +18,15 @@
 import { NO_TENANT, type Tenant } from './tenant.js';
 
 /** What a credential allows. */
-export type AdmissionVerdict =
+type AdmissionVerdict =
   | { readonly outcome: 'admitted'; readonly tenant: Tenant }
   /** No tenant holds the credential. */
   | { readonly outcome: 'unknown' }
-  /** Whether a tenant holds it can't be told now. */
+  /** Whether a tenant holds it is not known now. */
   | { readonly outcome: 'unproven' };
 
 /** What the decision needs of its process. */
-export interface AdmissionSurroundings {
+interface AdmissionSurroundings {
   readonly clock: Clock;
   readonly log: DecisionLog;
   /** Document in force. */
@@ -38,19 +45,21 @@
 };
 const UNPROVEN: AdmissionVerdict = { outcome: 'unproven' };
 const UNKNOWN: AdmissionVerdict = { outcome: 'unknown' };
-/** Time for control to tell whether a newer document knows a credential, in milliseconds. */
+/** Time for control to answer whether a newer document knows a credential, in milliseconds. Guess, not measured. */
 const LOOKUP_TIMEOUT_MS = 300;
 /**
  * A document that was confirmed within this time is not asked for again, in milliseconds, so that unknown credentials cost
- * at most ten requests a second.
+ * at most ten requests a second. Guess, not measured.
  */
 const RECENT_MS = 100;
 
+/** Difference of clocks that run at different speeds within the bound, in milliseconds. Guess, not measured. */
+const CLOCK_MARGIN_MS = 300;
 /**
- * Part of the bound on revoked credentials that is lost, in milliseconds: a leader that has a successor may answer for as
- * long as its proof counts, and 300 ms are for clocks that run at different speeds.
+ * Time of the bound on revoked credentials that is lost, in milliseconds: a leader that has a successor may answer for as
+ * long as its proof counts.
  */
-const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MS + 300;
+const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
 
 /** How long a confirmed document may count so that no credential is used later than `boundMs` after it was taken away. */
 export function freshnessWithin(boundMs: number): number {
@@ -69,16 +78,16 @@
     return tenant ? { outcome: 'admitted', tenant } : UNKNOWN;
   }
 
-  /** The same, after asking for a newer document where this one doesn't know the credential. */
+  /** Checks a credential, and asks control for a newer document where the one in force does not know it. */
   async checkNewest(credential: string, route: Route): Promise<AdmissionVerdict> {
     const verdict = this.check(credential, route);
     if (verdict.outcome !== 'unknown') return verdict;
-    if (this.documentAge < RECENT_MS) return this.tellUnknown(route);
+    if (this.documentAge < RECENT_MS) return this.reportUnknown(route);
     const askedAt = this.surroundings.clock.now();
     await this.surroundings.refresh(LOOKUP_TIMEOUT_MS);
     const newest = this.check(credential, route);
     if (newest.outcome !== 'unknown') return newest;
-    return this.surroundings.provenAt() >= askedAt ? this.tellUnknown(route) : UNPROVEN;
+    return this.surroundings.provenAt() >= askedAt ? this.reportUnknown(route) : UNPROVEN;
   }
 
   /** Milliseconds since control confirmed, at the latest, that the document in force is the newest. */
@@ -86,7 +95,7 @@
     return this.surroundings.clock.now() - this.surroundings.provenAt();
   }
 
-  private tellUnknown(route: Route): AdmissionVerdict {
+  private reportUnknown(route: Route): AdmissionVerdict {
     this.surroundings.log(Events.credentialUnknown, {
       route: route.name,
       document: this.surroundings.table()?.version ?? 0,
--- a/src/appointed/tenancy/admitted_operation.ts
+++ b/src/appointed/tenancy/admitted_operation.ts
@@ -1,4 +1,7 @@
-/** One operation that may run: whose it is, and whether an instance may have run it. */
+/**
+ * One operation that may run: whose it is, and whether an instance may have run it. Owns that mark, by which an operation
+ * that surely did not run is given back; relies on nothing that may fail.
+ */
 import type { Tenant } from './tenant.js';
 
 /** An operation within the limit of its tenant. */
@@ -6,6 +9,7 @@
   private mayHaveRun = false;
 
   constructor(
+    /** Tenant that it counts for. */
     readonly tenant: Tenant,
     /** When it was counted, on the clock of this process. */
     readonly countedAt: number,
@@ -16,7 +20,7 @@
     return this.mayHaveRun;
   }
 
-  /** An instance ran it, or may have. */
+  /** Notes that an instance ran it, or may have. */
   noteRun(): void {
     this.mayHaveRun = true;
   }
--- /dev/null
+++ b/src/appointed/tenancy/limit_refusals.ts
@@ -0,0 +1,51 @@
+/**
+ * Refusals of operations over the limit of their tenant. Owns the spacing of log lines; relies on nothing that may fail.
+ *
+ * Load that it answers: callers of a tenant that sends more than its limit.
+ * Inputs: time until the leader may grant the tenant's next operation (ms), as the leader calculated it.
+ * Rule: a caller should come back after that time, lengthened by a random part of {@link RETRY_SPREAD} times itself.
+ */
+import { Events } from '../../observability/events.js';
+import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
+import type { OperationVerdict, TenantAllowance } from './tenant_allowance.js';
+
+/** Refused callers come back spread over this many times the wait, so that they don't return together. Guess, not measured. */
+const RETRY_SPREAD = 1.5;
+/** Time between two log lines for one tenant, in milliseconds: one line a second can be read. Guess, not measured. */
+const LOG_SPACING_MS = 1000;
+
+/** Refusals of one proxy. */
+export class LimitRefusals {
+  constructor(
+    private readonly surroundings: Pick<AllowanceSurroundings, 'runtime' | 'log' | 'leaderAddress'>,
+    private readonly counts: OperationCounts,
+  ) {}
+
+  /** Refuses one operation; `waitMs` is the time until the leader may grant the next one, in milliseconds. */
+  refuse(allowance: TenantAllowance, waitMs: number): OperationVerdict {
+    const { random } = this.surroundings.runtime;
+    this.counts.refused++;
+    const retryAfterMs = Math.ceil(waitMs * (1 + RETRY_SPREAD * random.next()));
+    this.logRefusal(allowance, retryAfterMs);
+    return { isGranted: false, cause: 'the tenant is over its limit', retryAfterMs };
+  }
+
+  /** Refuses all operations that wait for an allowance of a tenant. */
+  refuseWaiting(allowance: TenantAllowance, waitMs: number): void {
+    for (const operation of allowance.waiting) {
+      allowance.waiting.delete(operation);
+      operation.settle(this.refuse(allowance, waitMs));
+    }
+  }
+
+  private logRefusal(allowance: TenantAllowance, retryAfterMs: number): void {
+    const now = this.surroundings.runtime.clock.now();
+    if (now - allowance.refusalLoggedAt < LOG_SPACING_MS) return;
+    allowance.refusalLoggedAt = now;
+    this.surroundings.log(Events.tenantOverLimit, {
+      tenant: allowance.tenant,
+      leader: this.surroundings.leaderAddress(),
+      retry_after_ms: retryAfterMs,
+    });
+  }
+}
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -1,38 +1,58 @@
 /**
- * Arithmetic of the limit on operations. In any window of `windowMs` all proxies together may run
- * (rate x window + burst) x (1 + overage) + tolerance operations of a tenant. Pure.
+ * How the limit of a tenant becomes a token bucket. Pure: owns nothing, relies on nothing that may fail.
  *
- * All allowances of a tenant come out of one token bucket. A part of its size lies at the leader, the rest may lie with
+ * Load that it answers: tenants that send more than their limit through many proxies, while leaders change. In any window
+ * of `windowMs` all proxies together may run (rate x window + burst) x (1 + overage) + tolerance operations of a tenant.
+ * Inputs: rate (operations/s), burst (operations), window (ms), overage (fraction of the limit), tolerance (operations).
+ * Rule: all allowances of a tenant come out of one bucket. A part of its size lies at the leader, the rest may lie with
  * proxies as reserves. So in a window there run at most rate x window and what lay in both parts at its begin. An
  * allowance for a request that waits is used within {@link WAITING_ALLOWANCE_MS}, or given back within
- * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof.
+ * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof, test/unit/tenancy.test.ts for drawn schedules.
  */
 import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
+import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import type { OperationLimit } from './tenant.js';
 
 /** How strictly the limit is judged, as the operator's settings tell. */
 export interface QuotaRules {
   /** Length of the sliding window, in milliseconds. */
   readonly windowMs: number;
-  /** Part of the limit by which a window may exceed it. */
+  /** Fraction of the limit by which a window may exceed it. */
   readonly overage: number;
   /** Operations by which a window may exceed the limit besides. */
   readonly tolerance: number;
 }
 
-/** A proxy drops an allowance for a waiting request that arrives later than this after it asked, in milliseconds. */
+/**
+ * A proxy drops an allowance for a waiting request that arrives later than this after it asked, in milliseconds. It is part
+ * of the proof in docs/design/quota.md. Guess, not measured.
+ */
 export const WAITING_ALLOWANCE_MS = 200;
-/** An operation that did not run is given back within this time or not at all, in milliseconds. */
+/**
+ * An operation that did not run is given back within this time or not at all, in milliseconds. It is part of the proof in
+ * docs/design/quota.md. Guess, not measured.
+ */
 export const GIVE_BACK_MS = 350;
 /**
- * A former leader may go on granting for this long beside its successor, in milliseconds: the age of its proof that it
- * leads, and 50 ms for clocks that run at different speeds.
+ * How long a proxy gathers requests for reserves, and operations that it gives back, in milliseconds: no caller waits for
+ * them. Guess, not measured.
+ */
+export const GATHER_MS = 150;
+/** Difference of clocks that run at different speeds while a former leader goes on, in milliseconds. Guess, not measured. */
+const CLOCK_MARGIN_MS = 50;
+/** A former leader may go on granting for this long beside its successor, in milliseconds: the age of its proof that it leads. */
+export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
+/**
+ * A reserve that was not renewed ends after this time, in milliseconds: as long as leases on primaries. Guess, not measured.
  */
-export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MS + 50;
-/** A reserve that was not renewed ends after this time, in milliseconds: as long as leases on primaries. */
 export const RESERVE_LIFE_MS = 3000;
-
-const MILLISECONDS = 1000;
+/**
+ * Fraction of the bucket that may lie with proxies. The other half lets a new leader grant for the 550 ms in which the rate
+ * adds nothing for it (test/unit/tenancy.test.ts: 350 operations a second allowed, 220 used, none refused).
+ */
+const RESERVE_FRACTION = 0.5;
+/** Operations that the bound keeps for rounding: the proof ends at the tolerance less one. */
+const ROUNDING_OPERATIONS = 1;
 
 /** How the bucket of a tenant is divided. */
 export interface QuotaBudget {
@@ -44,20 +64,20 @@
   readonly reserveMs: number;
 }
 
-/**
- * Part of the bucket that may lie with proxies. The other half lets a new leader grant for the 550 ms in which the rate adds
- * nothing for it (test/unit/tenancy.test.ts: 350 operations a second allowed, 220 used, none refused).
- */
-const RESERVE_PART = 0.5;
-
 /** Budget of one tenant. */
 export function quotaBudget(limit: OperationLimit, rules: QuotaRules): QuotaBudget {
   const { ratePerSecond, burst } = limit;
-  const perWindow = (ratePerSecond * rules.windowMs) / MILLISECONDS + burst;
-  const onTheWay = (ratePerSecond * GIVE_BACK_MS) / MILLISECONDS;
-  const headroom = Math.max(0, perWindow * rules.overage + rules.tolerance - onTheWay - 1);
+  const perWindow = (ratePerSecond * rules.windowMs) / MILLISECONDS_PER_SECOND + burst;
+  const onTheWay = (ratePerSecond * GIVE_BACK_MS) / MILLISECONDS_PER_SECOND;
+  const allowedExcess = perWindow * rules.overage + rules.tolerance;
+  const headroom = Math.max(0, allowedExcess - onTheWay - ROUNDING_OPERATIONS);
   const size = Math.floor(burst + headroom);
-  const reserves = Math.floor(size * RESERVE_PART);
-  const reserveMs = Math.min(RESERVE_LIFE_MS, (reserves / ratePerSecond) * MILLISECONDS);
-  return { bucket: size - reserves, reserves, reserveMs };
+  const reserves = Math.floor(size * RESERVE_FRACTION);
+  const lastsMs = (reserves / ratePerSecond) * MILLISECONDS_PER_SECOND;
+  return { bucket: size - reserves, reserves, reserveMs: Math.min(RESERVE_LIFE_MS, lastsMs) };
+}
+
+/** Whether an operation that was counted `ageMs` milliseconds ago and did not run reaches the leader in time. */
+export function isReturnable(ageMs: number): boolean {
+  return ageMs <= GIVE_BACK_MS - GATHER_MS - WAITING_ALLOWANCE_MS / 2;
 }
--- a/src/appointed/tenancy/operation_ledger.ts
+++ b/src/appointed/tenancy/operation_ledger.ts
@@ -1,9 +1,14 @@
 /**
  * The leader's account of what each tenant may run: one token bucket a tenant, a part of which lies with proxies as
- * reserves. See docs/design/quota.md for the bound and its proof.
+ * reserves. Owns the accounts of one leadership; relies on the replicated log for the successor's reserve of each tenant,
+ * which may fail to be committed: then nothing below the present one is granted.
  *
- * For each tenant the replicated log holds a floor: the leader leaves so many operations in the bucket. A successor begins
- * with them, so it grants at once and needs to know nothing of what was granted before.
+ * Load that it answers: the operations of all tenants through all proxies, with one answer a trip and proxy.
+ * Inputs: a proxy's demands (operations), the limit and the budget of the tenant, the leader's clock (ms).
+ * Rule: requests that wait are granted first, down to the successor's reserve. Proxies' reserves are filled from the upper
+ * part of the bucket only, so that they take nothing from requests that wait, and not at all while former leaders may have
+ * granted reserves that this one does not know.
+ * Shown by: docs/design/quota.md, and 1,000 drawn schedules in test/unit/tenancy.test.ts.
  */
 import {
   LEADER_OVERLAP_MS,
@@ -12,6 +17,7 @@
   RESERVE_LIFE_MS,
   quotaBudget,
 } from './operation_budget.js';
+import { loweredReserve, reviewedReserve } from './successor_reserve.js';
 import { TenantAccount } from './tenant_account.js';
 import type { OperationLimit } from './tenant.js';
 
@@ -37,26 +43,17 @@
   readonly retryAfterMs: number;
 }
 
-/** A floor that the log should hold. */
-export interface FloorChange {
+/** A successor's reserve that the log should hold. */
+export interface SuccessorReserveChange {
   readonly tenant: string;
   readonly operations: number;
 }
 
-/** Part of the leader's bucket that is not used for reserves. */
-const KEPT_PART = 0.5;
-/**
- * Part of the leader's bucket that a successor finds, as long as the tenant is below its limit: enough for the time in which
- * its rate adds nothing, since the former leader may go on ({@link LEADER_OVERLAP_MS}).
- */
-const FLOOR_PART = 0.6;
-/** A bucket that is filled above this part gets its floor back. */
-const FULL_PART = 0.9;
-/** A floor ends before requests have to wait for that: when so little above it is free, as a part of the bucket. */
-const EARLY_PART = 0.1;
+/** Reads the successor's reserve of a tenant in the log; undefined while nothing was ever granted to the tenant. */
+export type SuccessorReserveReader = (tenant: string) => number | undefined;
 
-/** Reads the floor of a tenant in the log; undefined while nothing was ever granted to it. */
-export type FloorReader = (tenant: string) => number | undefined;
+/** Fraction of the leader's bucket that proxies' reserves leave for requests that wait. Guess, not measured. */
+const KEPT_FRACTION = 0.5;
 
 /** Ledger of one leader. */
 export class OperationLedger {
@@ -64,45 +61,55 @@
   private begunAt = 0;
   /** Whether former leaders may have granted reserves that this one does not know. */
   private hasUnknownReserves = false;
-  private readonly wantedFloors = new Map<string, number>();
+  private readonly wantedChanges = new Map<string, number>();
 
   constructor(
     private readonly rules: QuotaRules,
-    private readonly committedFloor: FloorReader,
+    private readonly committedReserve: SuccessorReserveReader,
   ) {}
 
-  /** Begins a leadership. Floors are read with the first answer for a tenant; all that was committed before must be applied then. */
+  /**
+   * Begins a leadership. The successor's reserve of a tenant is read with the first answer for it; all that was committed
+   * before must be applied then.
+   */
   begin(now: number): void {
     this.accounts.clear();
-    this.wantedFloors.clear();
+    this.wantedChanges.clear();
     this.begunAt = now;
     this.hasUnknownReserves = true;
   }
 
-  /** All reserves of former leaders are known: each run that may hold some has told it, or has ended. */
+  /** All reserves of former leaders are known: each run that may hold some has reported it, or has ended. */
   noteAllKnown(): void {
     this.hasUnknownReserves = false;
   }
 
-  /** Whether a demand has to wait until the floor of its tenant is lower. */
-  needsLowerFloor(tenant: string, limit: OperationLimit, waiting: number, now: number): boolean {
+  /** Whether a demand has to wait until the successor's reserve of its tenant is lower. */
+  needsLowerSuccessorReserve(
+    tenant: string,
+    limit: OperationLimit,
+    waiting: number,
+    now: number,
+  ): boolean {
     const budget = quotaBudget(limit, this.rules);
     const account = this.refilled(tenant, limit, budget, now);
-    if (account.floor === 0 || account.free >= waiting) return false;
-    this.wantedFloors.set(tenant, this.lowerFloor(account, budget));
+    if (account.successorReserve === 0 || account.free >= waiting) return false;
+    this.wantedChanges.set(tenant, loweredReserve(account, budget.bucket));
     return true;
   }
 
-  /** Floors that the log should hold, since the last call. Those that rise are in force from now on. */
-  takeFloorChanges(): readonly FloorChange[] {
-    const changes = [...this.wantedFloors].map(([tenant, operations]) => ({ tenant, operations }));
-    this.wantedFloors.clear();
+  /** Successors' reserves that the log should hold, since the last call. Those that rise are in force from now on. */
+  takeSuccessorReserveChanges(): readonly SuccessorReserveChange[] {
+    const changes = [...this.wantedChanges].map(([tenant, operations]) => ({ tenant, operations }));
+    this.wantedChanges.clear();
     return changes;
   }
 
-  /** The log holds these floors. */
-  noteCommitted(changes: readonly FloorChange[]): void {
-    for (const { tenant, operations } of changes) this.accounts.get(tenant)?.setFloor(operations);
+  /** The log holds these reserves. */
+  noteCommitted(changes: readonly SuccessorReserveChange[]): void {
+    for (const { tenant, operations } of changes) {
+      this.accounts.get(tenant)?.setSuccessorReserve(operations);
+    }
   }
 
   /** Answers one run of a proxy for one tenant. */
@@ -119,11 +126,14 @@
     const grant = this.grant(account, limit, demand.waiting);
     const added = this.addReserve(account, run, demand, budget, now);
     account.hold(run, demand.held + added, now);
-    this.reviewFloor(tenant, account, budget);
+    this.reviewSuccessorReserve(tenant, account, budget);
     return { ...grant, added };
   }
 
-  /** Answers requests that wait, and nothing else. */
+  /**
+   * Answers requests that wait, and nothing else. Not an `answer` to a demand without reserves: that would record that the
+   * run holds none, and would review the successor's reserve.
+   */
   answerWaiting(tenant: string, limit: OperationLimit, waiting: number, now: number): Allowance {
     const budget = quotaBudget(limit, this.rules);
     const account = this.refilled(tenant, limit, budget, now);
@@ -149,19 +159,23 @@
   ): TenantAccount {
     let account = this.accounts.get(tenant);
     if (!account) {
-      // Nobody ever granted anything to a tenant without a floor, so its bucket is full; but the log must tell first
-      // that this has changed.
-      const floor = Math.min(this.committedFloor(tenant) ?? Infinity, budget.bucket);
-      // A former leader may go on for a moment, with what it has above the floor and what the rate brings meanwhile.
-      account = new TenantAccount(floor, this.begunAt + LEADER_OVERLAP_MS, floor);
+      account = this.openAccount(tenant, budget);
       this.accounts.set(tenant, account);
     }
     account.refill(limit.ratePerSecond, budget, now);
     return account;
   }
 
+  private openAccount(tenant: string, { bucket }: QuotaBudget): TenantAccount {
+    // Nothing was ever granted to a tenant without a successor's reserve, so its bucket is full; but the log must hold one
+    // before the first grant.
+    const reserve = Math.min(this.committedReserve(tenant) ?? Infinity, bucket);
+    // A former leader may go on for a moment, with what it has above the reserve and what the rate brings meanwhile.
+    return new TenantAccount(reserve, this.begunAt + LEADER_OVERLAP_MS, reserve);
+  }
+
   /**
-   * Reserves are filled from the upper half of the bucket only, so that they take nothing from requests that wait. While
+   * Reserves are filled from the upper part of the bucket only, so that they take nothing from requests that wait. While
    * reserves of former leaders are unknown, those that proxies hold may be kept and none are added.
    */
   private addReserve(
@@ -174,25 +188,18 @@
     const unknownUntil = this.begunAt + LEADER_OVERLAP_MS + RESERVE_LIFE_MS;
     if (this.hasUnknownReserves && now < unknownUntil) return 0;
     const most = reserves - account.heldByOthers(run, now) - held;
-    return account.take(Math.min(wantedReserve - held, most), bucket * KEPT_PART);
+    return account.take(Math.min(wantedReserve - held, most), bucket * KEPT_FRACTION);
   }
 
-  /** Lowers the floor before somebody has to wait for that, and raises it when the bucket is full again. */
-  private reviewFloor(tenant: string, account: TenantAccount, budget: QuotaBudget): void {
-    const { bucket } = budget;
-    const usual = Math.floor(bucket * FLOOR_PART);
-    if (account.floor > 0 && account.free < bucket * EARLY_PART) {
-      this.wantedFloors.set(tenant, this.lowerFloor(account, budget));
-    } else if (account.floor < usual && account.operations >= bucket * FULL_PART) {
-      account.setFloor(usual);
-      this.wantedFloors.set(tenant, usual);
-    }
-  }
-
-  /** The usual floor where the bucket holds enough above it, none otherwise. */
-  private lowerFloor(account: TenantAccount, { bucket }: QuotaBudget): number {
-    const usual = Math.floor(bucket * FLOOR_PART);
-    const isAmple = account.operations - usual >= bucket * EARLY_PART && account.floor > usual;
-    return isAmple ? usual : 0;
+  /** A higher successor's reserve is in force at once, a lower one when it is committed. */
+  private reviewSuccessorReserve(
+    tenant: string,
+    account: TenantAccount,
+    { bucket }: QuotaBudget,
+  ): void {
+    const wanted = reviewedReserve(account, bucket);
+    if (wanted === undefined) return;
+    if (wanted > account.successorReserve) account.setSuccessorReserve(wanted);
+    this.wantedChanges.set(tenant, wanted);
   }
 }
--- a/src/appointed/tenancy/tenant.ts
+++ b/src/appointed/tenancy/tenant.ts
@@ -1,4 +1,7 @@
-/** Tenants: who holds which credential, and how many operations each may run over all proxies. */
+/**
+ * Tenants: who holds which credential, and how many operations each may run over all proxies. Owns the credentials of one
+ * document, which can't be read out; relies on nothing that may fail.
+ */
 import { InvalidDocumentError } from '../../errors/errors.js';
 
 /** Limit on the operations of a tenant, over all proxies. */
@@ -11,6 +14,7 @@
 
 /** One tenant. Holds no credential, so that it may be logged. */
 export interface Tenant {
+  /** Name in the document; it may be logged. */
   readonly name: string;
   /** Undefined where the tenant may run any number. */
   readonly limit: OperationLimit | undefined;
--- a/src/appointed/tenancy/tenant_account.ts
+++ b/src/appointed/tenancy/tenant_account.ts
@@ -1,14 +1,20 @@
-/** The leader's part of one tenant's bucket, and the reserves that lie with proxies. */
-import type { QuotaBudget } from './operation_budget.js';
-import { RESERVE_LIFE_MS } from './operation_budget.js';
+/**
+ * The leader's part of one tenant's bucket, and the reserves that lie with proxies. Owns both, in memory only; relies on
+ * nothing that may fail.
+ *
+ * Inputs: rate (operations/s), demands (operations), the leader's clock (ms).
+ * Rule: the rate adds operations up to the size of the bucket; whole operations are taken out, and none of the successor's
+ * reserve. A proxy's reserve counts until {@link RESERVE_LIFE_MS} after the leader last renewed it.
+ */
+import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
+import { type QuotaBudget, RESERVE_LIFE_MS } from './operation_budget.js';
 
+/** Reserve that one run of a proxy holds. */
 interface HeldReserve {
   readonly count: number;
   readonly until: number;
 }
 
-const MILLISECONDS = 1000;
-
 /** Account of one tenant. Times are those of the leader's clock, in milliseconds. */
 export class TenantAccount {
   private readonly reserves = new Map<string, HeldReserve>();
@@ -16,17 +22,17 @@
   /**
    * @param level - operations in the bucket
    * @param filledAt - from when on the rate adds to them
-   * @param floorOperations - operations that may not be granted, since a successor will grant them
+   * @param reserve - operations that may not be granted, since a successor will grant them
    */
   constructor(
     private level: number,
     private filledAt: number,
-    private floorOperations: number,
+    private reserve: number,
   ) {}
 
-  /** Operations that must stay in the bucket. */
-  get floor(): number {
-    return this.floorOperations;
+  /** Operations that must stay in the bucket for a successor. */
+  get successorReserve(): number {
+    return this.reserve;
   }
 
   /** Operations in the bucket. */
@@ -36,17 +42,17 @@
 
   /** Operations that may be granted. */
   get free(): number {
-    return this.level - this.floorOperations;
+    return this.level - this.reserve;
   }
 
-  /** Changes the floor; a lower one only once it is committed. */
-  setFloor(operations: number): void {
-    this.floorOperations = operations;
+  /** Changes the successor's reserve; a lower one only once it is committed. */
+  setSuccessorReserve(operations: number): void {
+    this.reserve = operations;
   }
 
   /** Adds what the rate brought since the last call. */
   refill(ratePerSecond: number, { bucket }: QuotaBudget, now: number): void {
-    const earned = (ratePerSecond * Math.max(0, now - this.filledAt)) / MILLISECONDS;
+    const earned = (ratePerSecond * Math.max(0, now - this.filledAt)) / MILLISECONDS_PER_SECOND;
     this.level = Math.min(bucket, this.level + earned);
     this.filledAt = Math.max(this.filledAt, now);
   }
@@ -58,7 +64,7 @@
 
   /** Takes up to `wanted` whole operations, and leaves `kept` in the bucket. */
   take(wanted: number, kept = 0): number {
-    const most = Math.floor(this.level - Math.max(kept, this.floorOperations));
+    const most = Math.floor(this.level - Math.max(kept, this.reserve));
     const taken = Math.max(0, Math.min(wanted, most));
     this.level -= taken;
     return taken;
@@ -66,7 +72,7 @@
 
   /** Time until the rate brings a whole operation that may be granted, in milliseconds. */
   nextAfter(ratePerSecond: number): number {
-    return ((1 - this.free) / ratePerSecond) * MILLISECONDS;
+    return ((1 - this.free) / ratePerSecond) * MILLISECONDS_PER_SECOND;
   }
 
   /** Reserves of all runs of proxies but one. */
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -1,4 +1,13 @@
-/** What one proxy may run for one tenant: its reserve, the requests that wait, and how many are to be expected. */
+/**
+ * What one proxy may run for one tenant: its reserve, the requests that wait, and how many are to be expected. Owns these;
+ * relies on nothing that may fail.
+ *
+ * Load that it answers: operations of one tenant at one proxy, none of which should wait for a trip to the leader.
+ * Inputs: times of operations (ms), the tenant's budget (operations, ms), grants of the leader (operations).
+ * Rule: the reserve should last for the budget's `reserveMs` at the smoothed rate of operations; it is renewed when half of
+ * it is used or half of its life is over. What nobody expects to use goes back to the leader.
+ */
+import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import { type QuotaRules, RESERVE_LIFE_MS, quotaBudget } from './operation_budget.js';
 import type { AllowanceDemand } from './operation_ledger.js';
 import type { OperationLimit } from './tenant.js';
@@ -10,32 +19,35 @@
   | { readonly isGranted: false; readonly cause: string; readonly retryAfterMs: number };
 
 /** A request that waits for an allowance. */
-export interface WaitingOperation {
+interface WaitingOperation {
+  /** Ends the wait. */
   settle(verdict: OperationVerdict): void;
 }
 
 /** The operation may run. */
 export const GRANTED: OperationVerdict = { isGranted: true };
 
-/** Time over which the rate of operations is smoothed, in milliseconds. */
+/** Time over which the rate of operations is smoothed, in milliseconds. Guess, not measured. */
 const RATE_WINDOW_MS = 2000;
-/** A reserve is renewed when less than this part of its life is left. */
-const RENEWAL_PART = 0.5;
-/** Below so many expected operations nothing is kept in reserve. */
+/** A reserve is renewed when less than this fraction of its life is left. Guess, not measured. */
+const RENEWAL_FRACTION = 0.5;
+/** A reserve is filled up when at most this fraction of the wanted operations is left. Guess, not measured. */
+const LOW_FRACTION = 0.5;
+/** Below so many expected operations nothing is kept in reserve. Guess, not measured. */
 const LEAST_EXPECTED = 0.3;
-const MILLISECONDS = 1000;
 
 /** Allowance of one tenant at one proxy. */
 export class TenantAllowance {
+  /** Requests that wait for the leader. */
   readonly waiting = new Set<WaitingOperation>();
   private reserve = 0;
   private reserveUntil = -Infinity;
   private operationsPerSecond = 0;
   private notedAt = 0;
-  /** When a log line told last that the tenant is over its limit. */
-  toldDryAt = -Infinity;
+  /** When a log line last reported that the tenant is over its limit. */
+  refusalLoggedAt = -Infinity;
   /** Until when the leader has nothing for this tenant. */
-  private dryUntil = -Infinity;
+  private exhaustedUntil = -Infinity;
   /** Most that all proxies together may hold. */
   private mostHeld = 0;
   /** For how long a reserve should last, in milliseconds. */
@@ -44,6 +56,7 @@
   private unused = 0;
 
   constructor(
+    /** Name of the tenant. */
     readonly tenant: string,
     /** When an operation was asked for last. */
     public usedAt: number,
@@ -53,7 +66,7 @@
   note(limit: OperationLimit, rules: QuotaRules, now: number): void {
     this.usedAt = now;
     this.decay(now);
-    this.operationsPerSecond += MILLISECONDS / RATE_WINDOW_MS;
+    this.operationsPerSecond += MILLISECONDS_PER_SECOND / RATE_WINDOW_MS;
     const { reserves, reserveMs } = quotaBudget(limit, rules);
     this.mostHeld = reserves;
     this.horizonMs = reserveMs;
@@ -71,14 +84,14 @@
     return this.heldReserve(now) > 0;
   }
 
-  /** An operation did not run. It can't be used here, since the leader counts it as used. */
+  /** Notes an operation that did not run. It can't be used here, since the leader counts it as used. */
   giveBack(): void {
     this.unused++;
   }
 
   /** Milliseconds until the leader may have something again. */
-  dryFor(now: number): number {
-    return Math.max(0, this.dryUntil - now);
+  exhaustedFor(now: number): number {
+    return Math.max(0, this.exhaustedUntil - now);
   }
 
   /** Whether the leader should be asked, also when nothing waits. */
@@ -86,9 +99,9 @@
     const wanted = this.wantedReserve(now);
     // What nobody expects to use here would be missing elsewhere, and would be lost when it ends.
     if (this.unused > 0 || this.heldReserve(now) > wanted) return true;
-    if (wanted === 0 || this.dryFor(now) > 0) return false;
-    const isLow = this.heldReserve(now) <= wanted / 2;
-    return isLow || this.reserveUntil - now < RESERVE_LIFE_MS * RENEWAL_PART;
+    if (wanted === 0 || this.exhaustedFor(now) > 0) return false;
+    const isLow = this.heldReserve(now) <= wanted * LOW_FRACTION;
+    return isLow || this.reserveUntil - now < RESERVE_LIFE_MS * RENEWAL_FRACTION;
   }
 
   /** Content of a request that is sent now. What it gives up may not be used any more, whether the request arrives or not. */
@@ -118,9 +131,9 @@
     this.reserveUntil = askedAt + RESERVE_LIFE_MS;
   }
 
-  /** The leader has nothing for this tenant until then. */
-  noteDry(until: number): void {
-    this.dryUntil = until;
+  /** Notes that the leader has nothing for this tenant until then. */
+  noteExhausted(until: number): void {
+    this.exhaustedUntil = until;
   }
 
   private heldReserve(now: number): number {
@@ -129,7 +142,7 @@
 
   private wantedReserve(now: number): number {
     this.decay(now);
-    const expected = (this.operationsPerSecond * this.horizonMs) / MILLISECONDS;
+    const expected = (this.operationsPerSecond * this.horizonMs) / MILLISECONDS_PER_SECOND;
     return expected < LEAST_EXPECTED ? 0 : Math.min(this.mostHeld, Math.ceil(expected));
   }
 
--- a/src/runtime/duration.ts
+++ b/src/runtime/duration.ts
@@ -1,4 +1,7 @@
-/** Durations that another process told. */
+/** Durations: units, and those that another process sent. Owns nothing; relies on nothing that may fail. */
+
+/** Milliseconds of a second. */
+export const MILLISECONDS_PER_SECOND = 1000;
 
 /** Longest time that a timer of the runtime can wait, in milliseconds; it turns a longer one into 1 ms. */
 const LONGEST_TIMER_MS = 2 ** 31 - 1;
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -108,7 +108,8 @@
     now: number,
     commits: boolean,
   ): Allowance {
-    if (this.ledger.needsLowerFloor('ana', limit, demand.waiting, now)) this.write(commits);
+    if (this.ledger.needsLowerSuccessorReserve('ana', limit, demand.waiting, now))
+      this.write(commits);
     const allowance = this.ledger.answer(`p${proxy}`, 'ana', limit, demand, now);
     this.write(commits);
     return allowance;
@@ -120,7 +121,7 @@
   }
 
   private write(commits: boolean): void {
-    const changes = this.ledger.takeFloorChanges();
+    const changes = this.ledger.takeSuccessorReserveChanges();
     if (!commits) return;
     for (const { tenant, operations } of changes) this.log.set(tenant, operations);
     this.ledger.noteCommitted(changes);
