--- a/src/appointed/trust/primary_health_tracker.ts
+++ b/src/appointed/trust/primary_health_tracker.ts
@@ -1,24 +1,39 @@
-/** What a proxy sees of the primary of a group through its own statements, for failure detection. */
+/**
+ * Tracks the health of the primary of one group in one epoch, as this proxy's own statements show it. Owns which statements
+ * are unanswered; relies on nothing that may fail.
+ *
+ * Load that it answers: a primary that stops, hangs, refuses connections or says that it is none.
+ * Inputs: when statements were sent and answered, when connections opened or failed (ms of this process's clock).
+ * Rule: a failed connection, or an answer that it is no primary, is an opinion at once; statements without any answer for
+ * {@link SILENCE_MS} make it silent, also where only commits have none; otherwise an answer within
+ * {@link OPINION_LIFETIME_MS} makes it healthy.
+ * Shown by: test/unit/router.test.ts.
+ */
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
-/** Statements without an answer for longer than this make a primary silent, in milliseconds. */
+/**
+ * Statements without an answer for longer than this make a primary silent, in milliseconds. docs/measurements/pieraksts.md:
+ * with 80 ms for commits on a primary in trouble, trouble-1 0.618 to 0.632 and 0.631.
+ */
 const SILENCE_MS = 350;
 /**
  * Statements without an answer for longer than this have another connection opened, in milliseconds: connections may fall
- * silent for good while new ones work. Before {@link SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
+ * silent for good while new ones work. Before {@link SILENCE_MS} by a round of upkeep (100 ms) and the time to open one. Guess, not measured.
  */
 const SUSPICION_MS = 200;
-/** Answers older than this say nothing, in milliseconds. */
+/** Answers older than this show nothing of the present, in milliseconds. Guess, not measured. */
 const OPINION_LIFETIME_MS = 1500;
 
-/** Present opinion. */
-export interface PrimaryOpinion {
+/** Opinion on a primary, which control counts with those of other proxies. */
+interface PrimaryOpinion {
   readonly health: whinyoke.PrimaryHealth;
+  /** How long the primary has been like this, in milliseconds; for a healthy one the age of the newest answer. */
   readonly sinceMs: number;
 }
 
+/** Statements of one kind that were sent and not answered yet. */
 class UnansweredStatements {
   private readonly sentTimes = new Map<number, number>();
   private lastAnswerAt = -Infinity;
@@ -38,12 +53,12 @@
     this.lastAnswerAt = now;
   }
 
-  /** Since when statements stay without any answer. */
-  silentSince(now: number, patienceMs = SILENCE_MS): number | undefined {
+  /** Since when statements stay without any answer; undefined while that is not longer than `silenceMs`. */
+  silentSince(now: number, silenceMs: number): number | undefined {
     // Statements are kept in the order in which they were sent.
     for (const sentAt of this.sentTimes.values()) {
       if (sentAt < this.lastAnswerAt) continue;
-      return now - sentAt > patienceMs ? sentAt : undefined;
+      return now - sentAt > silenceMs ? sentAt : undefined;
     }
     return undefined;
   }
@@ -53,7 +68,7 @@
   }
 }
 
-/** Observer of one group in one epoch. */
+/** Tracker of one group in one epoch. */
 export class PrimaryHealthTracker {
   private readonly all = new UnansweredStatements();
   private readonly commits = new UnansweredStatements();
@@ -78,7 +93,7 @@
     this.failure = { health, since: this.failure?.since ?? now };
   }
 
-  /** The primary opened a connection: whatever stays without an answer, it is alive. */
+  /** Notes that the primary opened a connection: whatever stays without an answer, it is alive. */
   opened(now: number): void {
     this.all.answered(now);
   }
@@ -89,11 +104,12 @@
     return since !== undefined && this.failure === undefined;
   }
 
-  /** What the proxy would say now; undefined without recent evidence. */
+  /** Present opinion; undefined without recent evidence. */
   opinion(now: number): PrimaryOpinion | undefined {
     const { failure } = this;
     if (failure) return { health: failure.health, sinceMs: now - failure.since };
-    const silentSince = this.all.silentSince(now) ?? this.commits.silentSince(now);
+    const silentSince =
+      this.all.silentSince(now, SILENCE_MS) ?? this.commits.silentSince(now, SILENCE_MS);
     if (silentSince !== undefined) {
       return { health: PrimaryHealth.SILENT, sinceMs: now - silentSince };
     }
--- a/src/appointed/trust/primary_health_trackers.ts
+++ b/src/appointed/trust/primary_health_trackers.ts
@@ -1,23 +1,34 @@
-/** What a proxy sees of the primaries of all groups, and what of it control is to hear. */
+/**
+ * Trackers of the primaries of all groups, and which of their opinions control receives. Owns the trackers and what was
+ * reported last; relies on nothing that may fail.
+ *
+ * Load that it answers: a primary fails, and control should hear of it before the next usual request.
+ * Inputs: opinions of the trackers, the newest known epoch and phase of each group.
+ * Rule: every request carries the opinions on present primaries. A changed opinion is sent at once, but for the first one if
+ * it is a good one. While a group changes its primary nothing is sent at once.
+ * No constants.
+ */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { PrimaryHealthTracker } from './primary_health_tracker.js';
 import type { PrimaryLeases } from './primary_leases.js';
 
 const { PrimaryHealth, GroupPhase } = whinyoke;
 
+/** Tracker of the newest epoch of a group that was used. */
 interface TrackedEpoch {
   readonly epoch: number;
   readonly tracker: PrimaryHealthTracker;
+  /** Health that control received last; undefined before the first report. */
   reportedHealth: whinyoke.PrimaryHealth | undefined;
 }
 
-/** Observers of one proxy. */
+/** Trackers of one proxy. */
 export class PrimaryHealthTrackers {
   private readonly tracked = new Map<string, TrackedEpoch>();
 
   constructor(private readonly leases: PrimaryLeases) {}
 
-  /** Observer of an epoch; of a later one, if there is one. */
+  /** Tracker of an epoch; of a later one, if there is one. */
   of(group: string, epoch: number): PrimaryHealthTracker {
     const known = this.tracked.get(group);
     if (known && known.epoch >= epoch) return known.tracker;
@@ -26,7 +37,7 @@
     return tracker;
   }
 
-  /** Opinions on the present primaries, which are told to control now. */
+  /** Opinions on the present primaries, for a request to control that is sent now. */
   takeReports(now: number): whinyoke.IPrimaryReport[] {
     const reports: whinyoke.IPrimaryReport[] = [];
     for (const [group, tracked] of this.tracked) {
@@ -52,7 +63,7 @@
     return false;
   }
 
-  /** Primaries that answer nothing, maybe only since connections to them fell silent. */
+  /** Primaries that answer nothing, maybe only because connections to them fell silent. */
   suspects(now: number): readonly string[] {
     const suspects: string[] = [];
     for (const [group, { epoch, tracker }] of this.tracked) {
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -1,13 +1,24 @@
 /**
- * Leases while control is out of reach. A change of primary holds the replica that it appoints: the replica receives
- * nothing from the old primary any more, and tells so. As long as no replica of a group is held, no change has come
- * that far, so the primary may be trusted for a moment longer. Control appoints a replica beside proxies that it can't
+ * Extends leases while control is out of reach, as replicas confirm them. Owns the rounds of questions; relies on replicas,
+ * which may not answer: the lease then ends by itself.
+ *
+ * Load that it answers: control, or the network to it, is gone while primaries work on.
+ * Inputs: age of control's newest answer (ms), groups whose primary statements want, answers of replicas (role, term, term
+ * for which they are held).
+ * Rule: a lease is extended for {@link REPLICA_LEASE_MS} from when the replicas were asked, if every replica of the group
+ * answers and none of them is primary, follows a newer term or is held for one.
+ *
+ * Why that is safe: a change of primary holds the replica that it appoints: the replica receives
+ * nothing from the old primary any more, and answers so. As long as no replica of a group is held, no change has
+ * come that far, so the primary may be used for a moment longer. Control appoints a replica beside proxies that it can't
  * reach only after it was held for longer than that moment (`src/appointed/failover/appointment_fence.ts`).
  *
  * Only primaries that statements wait for are confirmed: each round takes a slot of every replica of the group, and with
- * many proxies in front of many groups all rounds together would take the slots of callers.
+ * many proxies in front of many groups all rounds together would take the slots of callers (docs/measurements/large.md: 115
+ * proxies x 28 replicas x 5 questions a second, 1,282 answers `busy`).
  *
- * See docs/design/appointed-primaries.md.
+ * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts; test/simulation/control_silence.test.ts;
+ * docs/measurements/pieraksts.md for the mechanism as a whole: trouble-1 0.449 to 0.609.
  */
 import { Events } from '../../observability/events.js';
 import type { Clock } from '../../runtime/runtime.js';
@@ -19,23 +30,29 @@
 
 /**
  * Life of a lease that replicas confirm, from the moment when they were asked, in milliseconds: three rounds, so that
- * one or two may fail. A change of primary waits that long for proxies that are out of reach.
+ * one or two may fail. A change of primary waits that long for proxies that are out of reach. Guess, not measured.
  */
 export const REPLICA_LEASE_MS = 700;
 /**
  * Longest silence of control in which replicas are asked, in milliseconds: a proxy that is cut off for longer knows too
- * little of the group's members. Less than the time after which control forgets a silent proxy (20 s).
+ * little of the group's members. Less than the time after which control forgets a silent proxy (20 s). Guess, not measured.
  */
 export const LONGEST_REPLICA_LEASE_SILENCE_MS = 12_000;
-/** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. */
+/** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. Guess, not measured. */
 const FIRST_SILENCE_MS = 1200;
-/** Time between two rounds of a group, in milliseconds. */
+/** Time between two rounds of a group, in milliseconds: three rounds in a lease. Guess, not measured. */
 const ROUND_MS = 200;
-/** A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted. */
+/**
+ * A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted.
+ * Guess, not measured.
+ */
 const WANTED_MS = 400;
-/** Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds. */
+/**
+ * Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds: shorter than
+ * the lease. Guess, not measured.
+ */
 const KEPT_ROUND_MS = 600;
-/** Time for a connection, and for an answer on it, in milliseconds. */
+/** Time for a connection, and for an answer on it, in milliseconds. Guess, not measured. */
 const ANSWER_TIMEOUT_MS = 250;
 /** Before all requests of callers, which depend on the answer. */
 const PRIORITY = 0;
@@ -51,8 +68,8 @@
   readonly pool: ConnectionSource | undefined;
 }
 
-/** What the witness needs of its proxy. */
-export interface ConfirmerSurroundings {
+/** What the confirmer needs of its proxy. */
+interface ConfirmerSurroundings {
   readonly clock: Clock;
   readonly leases: PrimaryLeases;
   readonly log: DecisionLog;
@@ -65,10 +82,13 @@
   | { readonly instance: string; readonly status: InstanceStatus }
   | { readonly instance: string; readonly problem: string };
 
+/** Rounds of questions for one group. */
 interface GroupRounds {
+  /** When the newest round was started. */
   startedAt: number;
+  /** Whether answers of it are awaited. */
   isUnderWay: boolean;
-  /** Outcome of the newest round, as told to the log. */
+  /** Outcome of the newest round, as logged. */
   outcome: string | undefined;
 }
 
@@ -93,7 +113,7 @@
 
   constructor(private readonly surroundings: ConfirmerSurroundings) {}
 
-  /** A statement wants the primary of a group. */
+  /** Notes that a statement wants the primary of a group. */
   noteWanted(group: string): void {
     const now = this.surroundings.clock.now();
     this.wantedAt.set(group, now);
@@ -103,8 +123,8 @@
   }
 
   /**
-   * Asks the replicas of the groups whose turn it is; called often, with the age of the newest request that control
-   * answered.
+   * Asks the replicas of the groups that are due; called often, with the age of the newest request that control answered, in
+   * milliseconds.
    */
   maintain(controlSilenceMs: number): void {
     this.isAsking =
@@ -122,7 +142,7 @@
     this.keepOne(groups, now);
   }
 
-  /** Another group is kept when the present one is not confirmed. */
+  /** Keeps the lease of one group that nobody wants; of another one when the present one is not confirmed. */
   private keepOne(groups: readonly string[], now: number): void {
     const known = this.rounds.get(this.keptGroup);
     const isOver = known !== undefined && !known.isUnderWay;
@@ -163,7 +183,7 @@
       replicas.length === 0 ? 'no replica is known' : objections.find((text) => text !== undefined);
     const until = rounds.startedAt + REPLICA_LEASE_MS;
     if (objection === undefined) leases.extend(group, epoch ?? 0, until);
-    this.note(group, rounds, objection ?? CONFIRMED);
+    this.logOutcome(group, rounds, objection ?? CONFIRMED);
   }
 
   private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ConfirmerAnswer> {
@@ -180,8 +200,8 @@
     }
   }
 
-  /** Tells the log when the outcome differs from that of the round before. */
-  private note(group: string, rounds: GroupRounds, outcome: string): void {
+  /** Logs an outcome that differs from that of the round before. */
+  private logOutcome(group: string, rounds: GroupRounds, outcome: string): void {
     if (rounds.outcome === outcome) return;
     rounds.outcome = outcome;
     const epoch = this.surroundings.leases.entryOf(group)?.epoch ?? 0;
