--- a/src/appointed/daemon/control_daemon.ts
+++ b/src/appointed/daemon/control_daemon.ts
@@ -47,8 +47,8 @@
 interface RunningAppointedControl {
   readonly core: AppointedControl;
   readonly log: DecisionLog;
-  /** Takes over changed settings. */
-  updateSeeds(seeds: readonly string[]): void;
+  /** Takes over the control machines that changed settings name; `readSeeds` throws where they are wrong. */
+  reloadSeeds(readSeeds: () => readonly string[]): void;
   /** Resolves after a planned stop. */
   readonly stopped: Promise<void>;
 }
@@ -83,7 +83,7 @@
   return {
     core,
     log: decisions.log,
-    updateSeeds: (seeds) => reloadSeeds(seeds, logger, (changed) => core.updateSeeds(changed)),
+    reloadSeeds: (readSeeds) => reloadSeeds(readSeeds, logger, (seeds) => core.updateSeeds(seeds)),
     stopped: stop(),
   };
 }
--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -48,8 +48,8 @@
 /** A proxy that runs. */
 interface RunningAppointedProxy {
   readonly core: AppointedProxy;
-  /** Takes over changed settings. */
-  updateSeeds(seeds: readonly string[]): void;
+  /** Takes over the control machines that changed settings name; `readSeeds` throws where they are wrong. */
+  reloadSeeds(readSeeds: () => readonly string[]): void;
   /** Resolves after a planned stop. */
   readonly stopped: Promise<void>;
 }
@@ -96,7 +96,7 @@
   };
   return {
     core,
-    updateSeeds: (seeds) => reloadSeeds(seeds, logger, (changed) => core.updateSeeds(changed)),
+    reloadSeeds: (readSeeds) => reloadSeeds(readSeeds, logger, (seeds) => core.updateSeeds(seeds)),
     stopped: stop(),
   };
 }
--- a/src/appointed/proxy/planned_stop.ts
+++ b/src/appointed/proxy/planned_stop.ts
@@ -1,13 +1,24 @@
 /**
- * Planned stop of a proxy. First it says that it is not ready and goes on serving, until new callers go
- * elsewhere; then connections close as soon as nothing is under way on them; at last the rest ends.
+ * Planned stop of a proxy. Owns nothing; relies on callers, some of which may still be busy at the end.
+ *
+ * Load that it answers: a proxy is stopped while callers use it.
+ * Inputs: time between the order to stop and the end (ms), open connections, work for other proxies.
+ * Rule: first it reports that it is not ready and goes on serving, until new callers go elsewhere; then connections close as
+ * soon as nothing is under way on them; at last the rest ends.
  */
 import { type Clock, delay } from '../../runtime/runtime.js';
 import type { SessionListener } from '../sessions/session_listener.js';
 
-/** Parts of the grace period. */
-const SERVE_SHARE = 0.4;
-const DRAIN_SHARE = 0.85;
+/** Fraction of the grace period after which connections begin to close. Guess, not measured. */
+const SERVE_FRACTION = 0.4;
+/** Fraction of the grace period after which the rest is closed, busy or not. Guess, not measured. */
+const DRAIN_FRACTION = 0.85;
+/**
+ * Fraction of the grace period before which a proxy without any work does not end: callers may still come. Guess, not
+ * measured.
+ */
+const LEAST_FRACTION = SERVE_FRACTION + 0.1;
+/** Time between two looks for connections that can close, in milliseconds. Guess, not measured. */
 const POLL_MS = 50;
 
 /** Stops; resolves with the number of callers that were cut off. */
@@ -15,17 +26,17 @@
   clock: Clock,
   listener: SessionListener,
   graceMs: number,
-  /** Work for other proxies that is under way. */
+  /** Number of statements and transactions of other proxies that are under way. */
   relayedCount: () => number,
 ): Promise<number> {
   const begunAt = clock.now();
-  await delay(clock, graceMs * SERVE_SHARE);
-  while (clock.now() - begunAt < graceMs * DRAIN_SHARE) {
+  await delay(clock, graceMs * SERVE_FRACTION);
+  while (clock.now() - begunAt < graceMs * DRAIN_FRACTION) {
     // New connections may still arrive, so draining is repeated.
     listener.drain();
     await delay(clock, POLL_MS);
     const isDone = listener.connectionCount === 0 && relayedCount() === 0;
-    if (isDone && clock.now() - begunAt > graceMs * (SERVE_SHARE + 0.1)) break;
+    if (isDone && clock.now() - begunAt > graceMs * LEAST_FRACTION) break;
   }
   const cutOff = listener.busyCount;
   listener.close();
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -24,19 +24,19 @@
 }
 
 /** Health of primaries as the proxy's own statements show it. */
-export interface SessionPrimaryHealth {
+interface SessionPrimaryHealth {
   /** Tracker of an epoch of a group. */
   of(group: string, epoch: number): PrimaryHealthTracker;
 }
 
 /** Positions of primaries, without their synchronisation with control. */
-export type SessionPositions = Pick<
+type SessionPositions = Pick<
   PrimaryPositions,
   'floorOf' | 'noteFromPrimary' | 'awaitFloor' | 'noteReplicaRead'
 >;
 
 /** Confirmation of leases by replicas, while control is out of reach. */
-export interface SessionLeaseConfirmer {
+interface SessionLeaseConfirmer {
   /** Notes that a statement wants the primary of a group. */
   noteWanted(group: string): void;
 }
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -32,7 +32,7 @@
  * An operation that did not run is given back within this time or not at all, in milliseconds. It is part of the proof in
  * docs/design/quota.md. Guess, not measured.
  */
-export const GIVE_BACK_MS = 350;
+const GIVE_BACK_MS = 350;
 /**
  * How long a proxy gathers requests for reserves, and operations that it gives back, in milliseconds: no caller waits for
  * them. Guess, not measured.
--- a/src/daemon/managed_process.ts
+++ b/src/daemon/managed_process.ts
@@ -77,14 +77,19 @@
   }
 }
 
-/** Logs changed settings and hands the control machines that they name on. */
+/** Takes over the control machines of changed settings; logs them, or why the settings can't be taken over. */
 export function reloadSeeds(
-  seeds: readonly string[],
+  readSeeds: () => readonly string[],
   logger: EventLogger,
   updateSeeds: (seeds: readonly string[]) => void,
 ): void {
-  logger.event(Events.settingsReloaded, { controls: seeds.join(' ') });
-  updateSeeds(seeds);
+  try {
+    const seeds = readSeeds();
+    logger.event(Events.settingsReloaded, { controls: seeds.join(' ') });
+    updateSeeds(seeds);
+  } catch (error) {
+    logger.event(Events.settingsRefused, { reason: messageOf(error) });
+  }
 }
 
 function noFolder(): DataFolder {
--- a/src/daemon/metrics_server.ts
+++ b/src/daemon/metrics_server.ts
@@ -1,10 +1,14 @@
-/** Metrics, health and readiness over HTTP. */
+/**
+ * Metrics, health and readiness over HTTP. Owns the listener; relies on the address being free, without which the promise is
+ * rejected.
+ */
 import { splitAddress } from '../runtime/address.js';
 import { type Server, createServer } from 'node:http';
 import type { Registry } from 'prom-client';
 
 /** What the endpoint shows. */
 export interface MetricsSource {
+  /** Metrics of the process. */
   readonly registry: Registry;
   /** Whether the process can do its work now. */
   readonly isReady: () => boolean;
--- a/src/observability/bounded_output.ts
+++ b/src/observability/bounded_output.ts
@@ -1,16 +1,19 @@
 /**
  * Standard output that never holds up the process: lines are written in the background, one write at a
- * time, and dropped while too many wait. A reader that stops reading loses lines, not requests.
+ * time, and dropped while too many wait. A reader that stops reading loses lines, not requests. Owns the lines that wait;
+ * relies on the reader of standard output, which may stop reading or be gone.
  */
 import { write } from 'node:fs';
 
+/** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1;
-/** Bytes that may wait. */
+/** Bytes that may wait: the lines of a few seconds. Guess, not measured. */
 const MAXIMUM_WAITING_BYTES = 256 * 1024;
+/** Pause before a full pipe is written to again, in milliseconds. Guess, not measured. */
 const RETRY_MS = 50;
 
 /** Writes bytes to a file descriptor; calls back with the number of bytes written. */
-export type RawWrite = (
+type RawWrite = (
   bytes: Buffer,
   callback: (error: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
@@ -55,6 +58,7 @@
       const isFull = error?.code === 'EAGAIN';
       const rest = isFull ? bytes : bytes.subarray(written);
       this.waitingBytes -= bytes.length - (error && !isFull ? 0 : rest.length);
+      // Nobody can read a line about an output that is gone; later lines are tried again.
       if (error && !isFull) return;
       if (rest.length > 0) this.waiting.unshift(rest);
       if (isFull) setTimeout(() => this.writeNext(), RETRY_MS).unref();
--- a/src/observability/decision_logger.ts
+++ b/src/observability/decision_logger.ts
@@ -1,18 +1,20 @@
 /**
  * Log of decisions with a bounded volume: each kind of event has a budget of lines a second; what is left
- * out is counted and told once the budget is there again.
+ * out is counted, and logged once the budget is there again. Owns the budgets; relies on nothing that may fail.
  */
 import type { Clock } from '../runtime/runtime.js';
 import { type EventKind, Events } from './events.js';
 import type { EventFields, EventLogger } from './logger.js';
 
+/** Length of an interval, in milliseconds. */
 const INTERVAL_MS = 1000;
-/** Lines of one kind of event in an interval. */
+/** Lines of one kind of event in an interval: more can't be read. Guess, not measured. */
 const LINES_PER_INTERVAL = 20;
 
 /** Writes one line for a decision; the line is left out while the budget of its kind is spent. */
 export type DecisionLog = (kind: EventKind, fields: EventFields) => void;
 
+/** Lines of one kind of event in the present interval. */
 interface Budget {
   intervalStart: number;
   used: number;
--- a/src/observability/events.ts
+++ b/src/observability/events.ts
@@ -1,13 +1,20 @@
-/** Numbered events of the daemons. Numbers are never reused; docs/EVENTS.md is made from this table. */
+/**
+ * Numbered events of the daemons. Owns the numbers, which are never reused; docs/EVENTS.md is made from this table. Relies on
+ * nothing that may fail.
+ */
 
 /** Severity of an event. */
-export type EventLevel = 'info' | 'warn' | 'error';
+type EventLevel = 'info' | 'warn' | 'error';
 
 /** One kind of event. */
 export interface EventKind {
+  /** Number, which operators look up. */
   readonly number: number;
+  /** Name in log lines. */
   readonly name: string;
+  /** Severity. */
   readonly level: EventLevel;
+  /** Text of the log line. */
   readonly message: string;
   /** What it means and what to do, for operators. */
   readonly meaning: string;
@@ -207,6 +214,13 @@
     'settings were read again',
     'Only the list of control machines is taken over.',
   ),
+  settingsRefused: define(
+    237,
+    'settings_refused',
+    'warn',
+    'changed settings could not be taken over',
+    'The process goes on with those that it has; `reason` names the field. Correct the settings file.',
+  ),
   allowancesBegun: define(
     325,
     'allowances_begun',
--- a/src/observability/gauges.ts
+++ b/src/observability/gauges.ts
@@ -1,4 +1,4 @@
-/** Gauges whose value is read when the metrics are fetched. */
+/** Gauges whose value is read when the metrics are fetched. Owns nothing; relies on nothing that may fail. */
 import { Gauge, type Registry } from 'prom-client';
 
 /** Adds a gauge without labels. */
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,4 +1,7 @@
-/** Structured logs through `bunyan`; every line carries the number of its event. */
+/**
+ * Structured logs through `bunyan`; every line carries the number of its event. Owns the output; relies on its reader, which
+ * may stop reading.
+ */
 import bunyan from 'bunyan';
 import type { EventKind } from './events.js';
 
@@ -6,7 +9,8 @@
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /** Where lines go. */
-export interface LineOutput {
+interface LineOutput {
+  /** Takes a line. */
   write(line: string): void;
 }
 
--- a/src/observability/write_catalogue.ts
+++ b/src/observability/write_catalogue.ts
@@ -1,4 +1,7 @@
-/** Writes docs/EVENTS.md from the table of events; with `--check`, fails when the file is out of date. */
+/**
+ * Writes docs/EVENTS.md from the table of events; with `--check`, fails when the file is out of date. Owns that file; relies
+ * on being run in the root folder.
+ */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { format } from 'prettier';
 import { allEvents } from './events.js';
--- a/src/runtime/address.ts
+++ b/src/runtime/address.ts
@@ -1,4 +1,4 @@
-/** Addresses of the form `a.b.c.d:port`. */
+/** Addresses of the form `a.b.c.d:port`. Owns nothing; does not check what it is given. */
 
 /** Host and port of an address. */
 export function splitAddress(address: string): { host: string; port: number } {
--- a/src/runtime/compiled_module.ts
+++ b/src/runtime/compiled_module.ts
@@ -1,7 +1,7 @@
 /**
  * Loads a bundle together with its compiled code, stored when the bundle was built: compiling takes a third of the
  * start of a process. The engine takes stored code only from the same version of itself under the same flags, and
- * compiles the source otherwise.
+ * compiles the source otherwise. Owns nothing; relies on the bundle's file, without which a program does not start.
  */
 import { existsSync, readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -16,7 +16,8 @@
 ) => void;
 
 /** A loaded bundle. */
-export interface CompiledModule {
+interface CompiledModule {
+  /** What the bundle exports. */
   readonly exports: unknown;
   /** Whether the stored code was used. */
   readonly isCodeReused: boolean;
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -1,10 +1,14 @@
-/** Length-prefixed frames on a byte stream. */
+/**
+ * Length-prefixed frames on a byte stream. Owns the bytes of a frame that is not complete yet; relies on the peer, which may
+ * send anything.
+ */
 import type { Socket } from 'node:net';
 
+/** Length of the prefix, in bytes. */
 const LENGTH_BYTES = 4;
 
-/** Largest accepted frame, in bytes; anything longer ends the connection. */
-export const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
+/** Largest accepted frame, in bytes; anything longer ends the connection. Guess, not measured. */
+const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
 
 /** A payload with its length in front. */
 export function frame(payload: Uint8Array): Buffer {
@@ -38,6 +42,8 @@
       try {
         for (const payload of this.push(chunk)) receive(payload);
       } catch {
+        // The peer sees the closed connection: its requests fail, and it logs them. A line here for whatever a stranger
+        // sends would let him fill the log.
         socket.destroy();
       }
     };
--- a/src/runtime/real_folder.ts
+++ b/src/runtime/real_folder.ts
@@ -1,4 +1,7 @@
-/** A data folder on the local file system; every promise of durability is an fsync. */
+/**
+ * A data folder on the local file system; every promise of durability is an fsync. Owns the files of one folder; relies on
+ * the disk, which may be full or fail: the call is rejected then.
+ */
 import { constants } from 'node:fs';
 import {
   type FileHandle,
@@ -13,6 +16,7 @@
 import { join } from 'node:path';
 import type { DataFolder } from './runtime.js';
 
+/** Ending of the name of a file that is not complete yet. */
 const TEMPORARY_SUFFIX = '.temporary';
 
 /** Files of one process under one folder. */
@@ -28,6 +32,7 @@
     return new RealFolder(path);
   }
 
+  /** Whole content of a file, or undefined when there is no such file. */
   async read(name: string): Promise<Buffer | undefined> {
     try {
       return await readFile(join(this.path, name));
@@ -37,16 +42,19 @@
     }
   }
 
+  /** Appends to a file, creating it when needed; not durable yet. */
   async append(name: string, bytes: Uint8Array): Promise<void> {
     const handle = await this.appendHandle(name);
     await handle.appendFile(bytes);
   }
 
+  /** Makes everything appended to a file durable. */
   async sync(name: string): Promise<void> {
     const handle = await this.appendHandle(name);
     await handle.datasync();
   }
 
+  /** Replaces the content of a file at once, durably. */
   async replace(name: string, bytes: Uint8Array): Promise<void> {
     await this.closeHandle(name);
     const temporary = join(this.path, name + TEMPORARY_SUFFIX);
@@ -61,6 +69,7 @@
     await this.syncFolder();
   }
 
+  /** Shortens a file durably. */
   async truncate(name: string, length: number): Promise<void> {
     await this.closeHandle(name);
     const handle = await open(join(this.path, name), 'r+');
@@ -72,12 +81,14 @@
     }
   }
 
+  /** Removes a file durably. */
   async remove(name: string): Promise<void> {
     await this.closeHandle(name);
     await rm(join(this.path, name), { force: true });
     await this.syncFolder();
   }
 
+  /** Names of all files, sorted. */
   async list(): Promise<string[]> {
     const names = await readdir(this.path);
     return names.filter((name) => !name.endsWith(TEMPORARY_SUFFIX)).sort();
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -3,7 +3,8 @@
  *
  * Everything that decides (routing, consensus, membership, storage) is written against these
  * interfaces only. The daemons use the real implementations beside this file; the simulator under
- * `lab/simulation` uses virtual ones, so both run the same code.
+ * `lab/simulation` uses virtual ones, so both run the same code. Owns nothing. Of the parts the folder and the messenger may
+ * fail: their promises are rejected then.
  */
 import type { whinyoke } from '../protocol/generated/messages.js';
 
--- a/src/runtime/shared_key_handshake.ts
+++ b/src/runtime/shared_key_handshake.ts
@@ -1,6 +1,7 @@
 /**
  * Mutual proof of a shared key at the start of an internal connection (challenge and response with
- * HMAC-SHA-256, RFC 2104). The bytes that follow are not encrypted.
+ * HMAC-SHA-256, RFC 2104). The bytes that follow are not encrypted. Owns nothing; relies on the peer, which may answer
+ * wrongly or not at all: the promise is rejected then.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { Socket } from 'node:net';
@@ -10,7 +11,9 @@
 /** Key that all processes of a deployment share. */
 export type SharedKey = Buffer;
 
+/** Length of a challenge, in bytes: too long to come twice. */
 const NONCE_BYTES = 16;
+/** Time for each message of the peer, in milliseconds. Guess, not measured. */
 const HANDSHAKE_TIMEOUT_MS = 2000;
 const CLIENT_ROLE = 'client';
 const SERVER_ROLE = 'server';
--- a/src/runtime/socket_acceptor.ts
+++ b/src/runtime/socket_acceptor.ts
@@ -1,12 +1,12 @@
 /**
  * Accepts connections before the code that serves them is loaded: a process that starts again is reachable at
- * once, and its first callers wait for it in place of being refused. Needs no other module, so that it can be
- * loaded first.
+ * once, and its first callers wait for it in place of being refused. Loads little, so that it can be loaded first. Owns the
+ * listener and the connections that wait; relies on the address being free, without which `open` is rejected.
  */
 import { type Server, type Socket, createServer } from 'node:net';
 import { splitAddress } from './address.js';
 
-/** Connections that may wait to be accepted. */
+/** Connections that may wait to be accepted. Guess, not measured. */
 const BACKLOG = 1024;
 
 /** Listener at one address; connections are held, unread, until there is a handler. */
@@ -62,6 +62,7 @@
       return;
     }
     this.held.add(socket);
+    // A caller that leaves before it was read has sent nothing that could be lost.
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.held.delete(socket));
   }
--- a/src/runtime/stall_detector.ts
+++ b/src/runtime/stall_detector.ts
@@ -1,12 +1,13 @@
 /**
  * Notices that this process made no progress for a while: it was frozen, or its machine was suspended. What
- * it learned before is then older than it seems.
+ * it learned before is then older than it seems. Owns one timer; relies on the clock only.
  */
 import type { Clock, Timer } from './runtime.js';
 
+/** Time between two looks at the clock, in milliseconds. Guess, not measured. */
 const TICK_MS = 100;
-/** Progress that is later than this counts as a stall, in milliseconds. */
-export const STALL_MS = 400;
+/** Progress that is later than this counts as a stall, in milliseconds. Guess, not measured. */
+const STALL_MS = 400;
 
 /** Detector of one process. */
 export class StallDetector {
--- a/src/runtime/tcp_messenger.ts
+++ b/src/runtime/tcp_messenger.ts
@@ -4,6 +4,9 @@
  * Frame: 32-bit big-endian length, then one encoded Envelope. Where a deployment has a shared key, each side
  * proves before its first frame that it knows the key: the server sends a random challenge, the client
  * answers with an HMAC of it (see `shared_key_handshake.ts`).
+ *
+ * Owns the listener and one connection an address and lane. Peers and the network to them may fail: requests are rejected
+ * then, with whether they were sent.
  */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import { PeerUnreachableError, messageOf } from '../errors/errors.js';
@@ -13,6 +16,7 @@
 import type { MessageBody, Messenger, RequestHandler } from './runtime.js';
 import { type SharedKey, acceptPeer, introduceSelf } from './shared_key_handshake.js';
 
+/** A request whose answer is awaited. */
 interface PendingRequest {
   resolve(body: MessageBody): void;
   reject(error: Error): void;
@@ -21,7 +25,7 @@
 }
 
 /** Options of a TCP messenger. */
-export interface TcpMessengerOptions {
+interface TcpMessengerOptions {
   /** IP address to listen on. */
   readonly host: string;
   /** TCP port to listen on; 0 takes any free port. */
@@ -36,6 +40,7 @@
   readonly connectTimeoutMs?: number;
 }
 
+/** Time to open a connection where the options name none, in milliseconds. Guess, not measured. */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000;
 
 /** One outgoing connection, reused by all requests to the same address. */
@@ -45,6 +50,7 @@
   private nextId = 1;
   private framesReceived = 0;
   private socket: Socket | undefined;
+  /** Whether no request can be sent any more. */
   closed = false;
 
   constructor(
@@ -56,6 +62,7 @@
     this.ready.catch((error: unknown) => this.fail(messageOf(error)));
   }
 
+  /** Sends a request and resolves with its answer. */
   request(body: MessageBody, timeoutMs: number): Promise<MessageBody> {
     const id = this.nextId++;
     const heardBefore = this.framesReceived;
@@ -77,11 +84,13 @@
           pending.wasSent = true;
           socket.write(frame(encodeEnvelope(envelope)));
         },
+        // `fail` has rejected the request: the constructor listens to the same promise.
         () => undefined,
       );
     });
   }
 
+  /** Ends the connection and all requests on it. */
   close(): void {
     this.socket?.destroy();
     this.fail('closed');
@@ -157,6 +166,7 @@
     return this.localAddress;
   }
 
+  /** Sends a request to a peer and resolves with its answer. */
   request(address: string, body: MessageBody, timeoutMs: number, lane = 0): Promise<MessageBody> {
     const key = `${address}/${lane}`;
     let peer = this.peers.get(key);
@@ -167,6 +177,7 @@
     return peer.request(body, timeoutMs);
   }
 
+  /** Sets the handler for requests of other processes; requests that came before are answered now. */
   serve(handler: RequestHandler): void {
     this.setHandler(handler);
   }
@@ -182,12 +193,15 @@
   private async accept(socket: Socket): Promise<void> {
     this.incoming.add(socket);
     socket.setNoDelay(true);
+    // The peer that broke the connection, or lost it, finds its requests rejected and logs them.
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.incoming.delete(socket));
     const reader = new FrameReader();
     try {
       if (this.options.sharedKey) await acceptPeer(socket, reader, this.options.sharedKey);
     } catch {
+      // A peer with a wrong key sees the closed connection and logs its failed request. A line here would let a stranger
+      // fill the log.
       socket.destroy();
       return;
     }
@@ -202,7 +216,8 @@
       const reply: Envelope = { id: request.id, reply: true, from: this.localAddress, body };
       if (!socket.destroyed) socket.write(frame(encodeEnvelope(reply)));
     } catch (error) {
-      // A handler that rejects drops the request; undecodable bytes end the connection.
+      // A handler that rejects drops the request: its sender gets no answer, and logs that. Undecodable bytes end the
+      // connection.
       if (error instanceof RangeError || error instanceof TypeError) socket.destroy();
     }
   }
--- a/src/runtime/timed_waiters.ts
+++ b/src/runtime/timed_waiters.ts
@@ -1,4 +1,4 @@
-/** Callers that wait for the same thing to happen, each for a limited time. */
+/** Callers that wait for the same thing to happen, each for a limited time. Owns their timers; relies on the clock only. */
 import type { Clock } from './runtime.js';
 
 /** Set of waiters. */
