--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -1,4 +1,10 @@
-/** The instances that a proxy knows, and its ways to each of them. */
+/**
+ * The instances that a proxy knows by the catalog, and the access to each of them. Makes a pool for each, with the settings
+ * that its proxy gives, and writes what happens in pools to the log.
+ *
+ * Owns the entries, the accesses and their pools. Relies on the catalog being current: instances that are gone lose their
+ * pool, new ones get one. What fails in a pool is passed on to the proxy.
+ */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -15,15 +21,17 @@
   InstanceTarget,
 } from '../instance/instance_connection.js';
 import { InstanceLoad } from './instance_load.js';
-import { type BusyReaction, type Displacement, InstancePool } from './instance_pool.js';
+import { InstancePool } from './instance_pool.js';
+import type { PoolListener, PoolOptions } from './pool_options.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
 const { InstanceState } = whinyoke;
 
+/** Longest time of an opening, in milliseconds. Guess, not measured. */
 const CONNECT_TIMEOUT_MS = 600;
-/** Slots of an instance that does not tell how many it has. */
+/** Slots (a count) of an instance whose heartbeat names none. Guess, not measured. */
 const UNKNOWN_SLOTS = 8;
 
 /** What the directory needs of its proxy. */
@@ -33,29 +41,31 @@
   readonly ownAddress: string;
   readonly connector: InstanceConnector;
   readonly log: DecisionLog;
-  /** Connections that an instance of a group takes from all together. */
+  /** Connections that an instance of a group takes from all proxies together. */
   connectionLimitOf(group: string): number;
-  /** Whether a connection serves the tenant only for whom it was opened. */
+  /** Whether a connection serves only the tenant for whom it was opened. */
   hasTenants(): boolean;
   /** Operations a second that a tenant may run; undefined where it has no limit. */
   tenantRate(tenant: string): number | undefined;
+  /** Number of live proxies, this one included. */
   readonly liveProxies: () => number;
+  /** A connection could not be opened. */
   onConnectFailed(target: InstanceTarget, error: ConnectError): void;
-  /** A connection was opened; the instance told its position after `startedAt`. */
+  /** A connection was opened; the instance named its position after `startedAt`. */
   onOpened(target: InstanceTarget, position: Position, startedAt: number): void;
 }
 
 /** Directory of one proxy. */
 export class InstanceDirectory {
-  /** Where the connections to instances are that have too few for all proxies. */
-  readonly homes: ConnectionOwners;
+  /** Proxies that hold the connections of instances that have too few for all proxies. */
+  readonly owners: ConnectionOwners;
   private readonly entries = new Map<string, InstanceEntry>();
   private readonly accesses = new Map<string, InstanceAccess>();
   private readonly relaying: RelaySurroundings;
 
   constructor(private readonly surroundings: InstanceSurroundings) {
     const { runtime, ownAddress } = surroundings;
-    this.homes = new ConnectionOwners(ownAddress);
+    this.owners = new ConnectionOwners(ownAddress);
     this.relaying = {
       messenger: runtime.messenger,
       health: new OwnerHealth(runtime.clock, runtime.messenger),
@@ -115,7 +125,7 @@
       .map(([id]) => ({ instance: id, pool: this.accesses.get(id) }));
   }
 
-  /** Looks after all pools; called often. */
+  /** Opens missing and closes idle connections of all pools; called often. */
   maintain(): void {
     for (const { local } of this.accesses.values()) local.maintain();
   }
@@ -128,41 +138,47 @@
   private createAccess(instance: InstanceEntry): InstanceAccess {
     const pool = this.createPool(instance);
     return new InstanceAccess(pool, this.surroundings.ownAddress, this.relaying, (tenant) =>
-      this.homes.of(this.homed(instance), tenant),
+      this.owners.of(this.ownedInstance(instance), tenant),
     );
   }
 
-  private homed({ id, zone, group }: InstanceEntry): OwnedInstance {
+  private ownedInstance({ id, zone, group }: InstanceEntry): OwnedInstance {
     const connectionLimit = this.surroundings.connectionLimitOf(group ?? '');
     return { id: id ?? '', zone: zone ?? '', connectionLimit };
   }
 
   private createPool(instance: InstanceEntry): InstancePool {
-    const { runtime, connector, log, liveProxies } = this.surroundings;
+    const { runtime, connector, liveProxies } = this.surroundings;
     const { id, group, address } = instance;
     const target = { id: id ?? '', group: group ?? '', address: address ?? '' };
-    const options = {
-      share: () => this.homes.shareOf(this.homed(instance), liveProxies()),
+    const options: PoolOptions = {
+      share: () => this.owners.shareOf(this.ownedInstance(instance), liveProxies()),
       slots: () => this.entries.get(target.id)?.slots || UNKNOWN_SLOTS,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       proxies: liveProxies,
       opensSpares: () => this.opensSpares(instance),
-      weightOf: (tenant: string) => this.surroundings.tenantRate(tenant) ?? 1,
+      weightOf: (tenant) => this.surroundings.tenantRate(tenant) ?? 1,
       random: runtime.random,
     };
-    const observer = {
-      onConnectFailed: (error: ConnectError) => this.onConnectFailed(target, error),
-      onOpened: (position: Position, startedAt: number) =>
-        this.surroundings.onOpened(target, position, startedAt),
-      onBusy: ({ window, pauseMs, waiting }: BusyReaction) =>
+    const load = new InstanceLoad();
+    const listener = this.listenerFor(target);
+    return new InstancePool(target, connector, runtime.clock, load, options, listener);
+  }
+
+  private listenerFor(target: InstanceTarget): PoolListener {
+    const { log } = this.surroundings;
+    return {
+      onConnectFailed: (error) => this.onConnectFailed(target, error),
+      onOpened: (position, startedAt) => this.surroundings.onOpened(target, position, startedAt),
+      onBusy: ({ limit, pauseMs, waiting }) =>
         log(Events.instanceBusy, {
           instance: target.id,
           group: target.group,
-          window: Math.floor(window),
+          window: Math.floor(limit),
           pause_ms: Math.round(pauseMs),
           waiting,
         }),
-      onDisplaced: ({ tenant, priority, waitedMs, waiting }: Displacement) =>
+      onDisplaced: ({ tenant, priority, waitedMs, waiting }) =>
         log(Events.waitingDisplaced, {
           instance: target.id,
           group: target.group,
@@ -172,14 +188,12 @@
           waiting,
         }),
     };
-    const load = new InstanceLoad();
-    return new InstancePool(target, connector, runtime.clock, load, options, observer);
   }
 
-  /** Connections are opened ahead only where it is known for whom, and that they are wanted here. */
+  /** Connections are opened ahead only where their tenant is known, and where this proxy keeps connections of its own. */
   private opensSpares(instance: InstanceEntry): boolean {
     if (this.surroundings.hasTenants()) return false;
-    return this.homes.of(this.homed(instance), NO_TENANT).length === 0;
+    return this.owners.of(this.ownedInstance(instance), NO_TENANT).length === 0;
   }
 
   private onConnectFailed(target: InstanceTarget, error: ConnectError): void {
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -100,7 +100,7 @@
       zone: zone ?? '',
       addresses: addresses ?? [],
     }));
-    this.directory.homes.update(zones);
+    this.directory.owners.update(zones);
   }
 
   /** Ends the wait of all statements for an answer of the old primary of a group that changes its primary. */
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -5,8 +5,9 @@
 import type { Position } from '../../positions/position.js';
 import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
 import type { InstanceAnswer, InstanceError } from '../instance/instance_connection.js';
-import { type RefusedRequest, inDoubt, noteRetry, refuse } from '../routing/refusal.js';
-import { RequestDeadline } from '../routing/request_deadline.js';
+import { type RefusedRequest, inDoubt, logRetry, refuse } from '../routing/refusal.js';
+import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
+import { ROLLBACK_TIMEOUT_MS, RequestDeadline } from '../routing/request_deadline.js';
 import { RetryPause } from '../routing/retry_pause.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -24,10 +25,6 @@
 
 /** Identifier of statements that no caller asked for. */
 const OWN_REQUEST = '-';
-const MINIMUM_ATTEMPT_MS = 5;
-/** Share of the target latency that every statement of a transaction gets. */
-const STATEMENT_SHARE = 0.6;
-const ROLLBACK_TIMEOUT_MS = 1000;
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
 export class CallerTransaction {
@@ -35,7 +32,7 @@
   private hasWritten = false;
   private isEnded = false;
   /** The begin at an instance that is under way; resolves with why it failed. */
-  private binding: Promise<string | undefined> | undefined;
+  private binding: Promise<RefusalCause | undefined> | undefined;
 
   constructor(
     private readonly context: ProxyContext,
@@ -63,8 +60,8 @@
     this.operation.noteRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
-    const patienceMs = this.patienceOf(this.held!.target);
-    const attempt = await this.attempt(command, content, deadline, patienceMs);
+    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThreshold);
+    const attempt = await this.attempt(command, content, deadline, limitMs);
     if (attempt.outcome !== 'answered') {
       this.drop();
       return refuse(this.context, refusal, 'aborted', attempt.cause);
@@ -73,7 +70,7 @@
     if (answer.error) return this.failStatement(answer.error, refusal);
     if (!this.isTrusted()) {
       this.drop();
-      return refuse(this.context, refusal, 'aborted', 'the lease on the primary ended');
+      return refuse(this.context, refusal, 'aborted', { kind: 'leaseEnded' });
     }
     this.countServed();
     return {
@@ -94,7 +91,7 @@
     }
     if (!this.isTrusted()) {
       this.drop();
-      return { reply: refuse(this.context, refusal, 'aborted', 'the lease on the primary ended') };
+      return { reply: refuse(this.context, refusal, 'aborted', { kind: 'leaseEnded' }) };
     }
     this.context.leases.commitStarted(this.route.group);
     try {
@@ -136,7 +133,7 @@
     }
     if (!answer || answer.error) return { reply: this.commitFailed(refusal, cause) };
     if (this.hasWritten && !isTargetTrusted(this.context, held.target)) {
-      return { reply: this.commitFailed(refusal, 'the lease on the primary ended') };
+      return { reply: this.commitFailed(refusal, { kind: 'leaseEnded' }) };
     }
     const { rows, signature, position } = answer;
     const reply: CallerReply = { rows, signature, state: 'idle', position };
@@ -146,7 +143,7 @@
   }
 
   /** A commit without a trusted answer is in doubt, unless there was nothing to commit. */
-  private commitFailed(refusal: RefusedRequest, cause: string): CallerReply {
+  private commitFailed(refusal: RefusedRequest, cause: RefusalCause): CallerReply {
     if (this.hasWritten) return inDoubt(this.context, refusal, cause);
     return refuse(this.context, refusal, 'aborted', cause);
   }
@@ -156,18 +153,18 @@
     command: InstanceCommand,
     content: SessionContent,
     deadline: RequestDeadline,
-    patienceMs = Infinity,
+    limitMs = Infinity,
   ): Promise<Attempt> {
     const pause = new RetryPause(this.context.clock);
     const { pooled, target } = this.held!;
     for (;;) {
-      const timeoutMs = Math.min(deadline.remaining, patienceMs);
+      const timeoutMs = Math.min(deadline.remaining, limitMs);
       target.pool.wake(pooled);
       const attempt = await this.runner.attempt(this.held!, content, command, timeoutMs);
       target.pool.rest(pooled);
       const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
       const isBusy = answer?.error?.kind === 'busy' && answer.state === 'open';
-      if (!isBusy || deadline.retryRemaining <= 0) return attempt;
+      if (!isBusy || !deadline.allowsRetry(true)) return attempt;
       await pause.wait();
     }
   }
@@ -177,7 +174,8 @@
     if (error.kind === 'malformed' || error.kind === 'unknownName') {
       return refused(error.kind, error.text, 'failed');
     }
-    return refuse(this.context, refusal, 'aborted', `the instance answered ${error.kind}`);
+    const cause = { kind: 'transactionAnswered' as const, error: error.kind };
+    return refuse(this.context, refusal, 'aborted', cause);
   }
 
   /** Begins at an instance, unless done; returns why it could not. Nothing ran then. */
@@ -185,7 +183,7 @@
     id: string,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
+  ): Promise<RefusalCause | undefined> {
     await this.binding;
     if (this.held) return undefined;
     this.binding = this.tryTargets(id, deadline, content);
@@ -198,19 +196,19 @@
     id: string,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
+  ): Promise<RefusalCause | undefined> {
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
-    let cause = 'no trusted primary';
+    let cause: RefusalCause = { kind: 'noTrustedPrimary' };
     if (this.mayUseReplicas) await this.context.positions.awaitFloor(this.route.group);
-    while (deadline.remaining > MINIMUM_ATTEMPT_MS) {
+    while (deadline.allowsAttempt) {
       const target = await this.nextTarget(deadline, tried, pause);
       if (!target) break;
       tried.add(target.instance);
-      const result = await this.beginAt(target, deadline, content);
-      if (result === undefined) return undefined;
-      cause = `${target.instance}: ${result}`;
-      noteRetry(this.context, { id, deadline }, target, result);
+      const failure = await this.beginAt(target, deadline, content);
+      if (failure === undefined) return undefined;
+      cause = { kind: 'attemptFailed', instance: target.instance, failure };
+      logRetry(this.context, { id, deadline }, target, failure);
     }
     return cause;
   }
@@ -238,20 +236,20 @@
     target: Target,
     deadline: RequestDeadline,
     content: SessionContent,
-  ): Promise<string | undefined> {
-    const waitMs = Math.max(MINIMUM_ATTEMPT_MS, deadline.offerRemaining);
+  ): Promise<AttemptFailure | undefined> {
     const { priority } = this.route;
     let held: HeldConnection;
     try {
       const { name: tenant } = this.operation.tenant;
       const usefulMs = deadline.usefulRemaining;
       const needed = { tenant, values: content.values, priority, usefulMs };
-      held = await this.runner.hold(target, needed, waitMs);
+      held = await this.runner.hold(target, needed, deadline.connectionWait(false));
     } catch {
-      return 'no connection';
+      return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
-    const timeoutMs = Math.min(deadline.remaining, this.patienceOf(target));
+    const limitMs = deadline.statementTimeout(target.pool.load.slowAnswerThreshold);
+    const timeoutMs = Math.min(deadline.remaining, limitMs);
     const attempt = await this.runner.attempt(held, { values: content.values }, command, timeoutMs);
     if (attempt.outcome === 'answered' && !attempt.answer.error) {
       this.held = held;
@@ -260,18 +258,10 @@
     }
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
     return attempt.outcome === 'answered'
-      ? `answered ${attempt.answer.error!.kind}`
+      ? { kind: 'beginAnswered', error: attempt.answer.error!.kind }
       : attempt.cause;
   }
 
-  /**
-   * Time for an answer of an instance, in milliseconds. One that is later is most likely lost; nothing is kept then,
-   * so the caller may begin again at once.
-   */
-  private patienceOf({ pool }: Target): number {
-    return Math.max(pool.load.patience, this.route.targetLatencyMs * STATEMENT_SHARE);
-  }
-
   private isTrusted(): boolean {
     return this.held !== undefined && isTargetTrusted(this.context, this.held.target);
   }
@@ -291,7 +281,7 @@
 /** Stands for an answer after which a connection can't be used again. */
 const UNKNOWN_ANSWER: InstanceAnswer = { rows: [], signature: '', state: 'failed' };
 
-function causeOfFailure(attempt: Attempt): string {
+function causeOfFailure(attempt: Attempt): RefusalCause {
   if (attempt.outcome !== 'answered') return attempt.cause;
-  return `the instance answered ${attempt.answer.error?.kind ?? 'without an error'}`;
+  return { kind: 'transactionAnswered', error: attempt.answer.error?.kind };
 }
--- a/src/appointed/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -12,12 +12,6 @@
 import { type OperationVerdict, GRANTED, type TenantAllowance } from './tenant_allowance.js';
 import { TenantAllowances } from './tenant_allowances.js';
 
-/**
- * Time after which a caller should come back while no leader grants, in milliseconds: an election takes about that. Guess,
- * not measured.
- */
-const NO_LEADER_RETRY_MS = 300;
-
 /** Client of one proxy. */
 export class AllowanceClient {
   /** How operations were counted, since the start. */
@@ -78,8 +72,7 @@
       const timer = clock.setTimer(longestWaitMs, () => {
         allowance.waiting.delete(operation);
         this.counts.ungranted++;
-        const cause = 'no control machine grants operations';
-        resolve({ isGranted: false, cause, retryAfterMs: NO_LEADER_RETRY_MS });
+        resolve({ isGranted: false, cause: { kind: 'noGrant' } });
       });
       const operation = {
         settle: (verdict: OperationVerdict): void => {
--- a/src/appointed/tenancy/limit_refusals.ts
+++ b/src/appointed/tenancy/limit_refusals.ts
@@ -1,16 +1,12 @@
 /**
- * Refusals of operations over the limit of their tenant. Owns the spacing of log lines; relies on nothing that may fail.
- *
- * Load that it answers: callers of a tenant that sends more than its limit.
- * Inputs: time until the leader may grant the tenant's next operation (ms), as the leader calculated it.
- * Rule: a caller should come back after that time, lengthened by a random part of {@link RETRY_SPREAD} times itself.
+ * Refusals of operations over the limit of their tenant; when callers should come back is decided in
+ * `routing/retry_after.ts`. Owns the spacing of log lines; relies on nothing that may fail.
  */
 import { Events } from '../../observability/events.js';
+import { overLimitRetryMs } from '../routing/retry_after.js';
 import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
 import type { OperationVerdict, TenantAllowance } from './tenant_allowance.js';
 
-/** Refused callers come back spread over this many times the wait, so that they don't return together. Guess, not measured. */
-const RETRY_SPREAD = 1.5;
 /** Time between two log lines for one tenant, in milliseconds: one line a second can be read. Guess, not measured. */
 const LOG_SPACING_MS = 1000;
 
@@ -25,9 +21,9 @@
   refuse(allowance: TenantAllowance, waitMs: number): OperationVerdict {
     const { random } = this.surroundings.runtime;
     this.counts.refused++;
-    const retryAfterMs = Math.ceil(waitMs * (1 + RETRY_SPREAD * random.next()));
+    const retryAfterMs = overLimitRetryMs(waitMs, random.next());
     this.logRefusal(allowance, retryAfterMs);
-    return { isGranted: false, cause: 'the tenant is over its limit', retryAfterMs };
+    return { isGranted: false, cause: { kind: 'tenantOverLimit', retryAfterMs } };
   }
 
   /** Refuses all operations that wait for an allowance of a tenant. */
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -8,6 +8,7 @@
  * it is used or half of its life is over. What nobody expects to use goes back to the leader.
  */
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
+import type { RefusalCause } from '../routing/refusal_cause.js';
 import { type QuotaRules, RESERVE_LIFE_MS, quotaBudget } from './operation_budget.js';
 import type { AllowanceDemand } from './operation_ledger.js';
 import type { OperationLimit } from './tenant.js';
@@ -16,7 +17,7 @@
 export type OperationVerdict =
   | { readonly isGranted: true }
   /** Nothing may run; the caller should come back later. */
-  | { readonly isGranted: false; readonly cause: string; readonly retryAfterMs: number };
+  | { readonly isGranted: false; readonly cause: RefusalCause };
 
 /** A request that waits for an allowance. */
 interface WaitingOperation {
--- a/src/daemon/process_runtime.ts
+++ b/src/daemon/process_runtime.ts
@@ -4,7 +4,7 @@
  */
 import { WhinyokeError } from '../errors/errors.js';
 import { RealFolder } from '../runtime/real_folder.js';
-import { readSecret, resolvePath } from '../settings/settings.js';
+import { readSecret, resolvePath } from '../mysql/configuration/settings.js';
 import { type ProcessRuntime, openRealRuntime } from './real_runtime.js';
 
 /** Settings that every daemon has. */
