--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -1,36 +1,45 @@
-/** Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new. */
+/**
+ * Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new.
+ *
+ * Owns the held requests. Relies on a majority (to register a proxy) and on this member leading; where either is missing, the
+ * proxy is refused with what is known of the leader, and asks again.
+ */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 import type { LeaseLedger } from '../failover/lease_ledger.js';
-import type { PrimaryHealthBoard } from '../failover/primary_health_board.js';
+import type { PrimaryHealthOpinions } from '../failover/primary_health_opinions.js';
+import { LEASE_MS } from '../leases/lease_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 import { TimedWaiters } from '../../runtime/timed_waiters.js';
 import { CatalogUpdates } from './catalog_updates.js';
-import { ChangeGate } from './change_gate.js';
-import type { PositionBoard } from './position_board.js';
+import { ChangeNotifier } from './change_notifier.js';
+import type { PrimaryPositionCache } from './primary_position_cache.js';
 import { ProxyDirectory } from './proxy_directory.js';
 import { ProxyRegistrar } from './proxy_registrar.js';
 
 const { GroupPhase } = whinyoke;
 
-/**
- * Life of a lease on a primary, in milliseconds: longer than a restart of all control machines takes, so that
- * one stops no writes. A change of primary waits that long for proxies that are cut off.
- */
-export const LEASE_MS = 3000;
+/** Longest time for which a request is held, in milliseconds: less than a lease, which its answer renews. Not measured. */
 const MAXIMUM_HOLD_MS = 2000;
-/** A proxy that is silent for this long is removed from the catalog, in milliseconds. */
+/** A proxy that is silent for this long is removed from the catalog, in milliseconds: longer than any lease. A guess. */
 const REMOVE_AFTER_MS = 20_000;
 /** What the service needs of its process. */
 export interface SyncSurroundings {
+  /** Time and timers of this process. */
   readonly clock: Clock;
+  /** This machine's consensus member. */
   readonly node: RaftNode;
+  /** The replicated state. */
   readonly catalog: Catalog;
+  /** Leases of this leadership. */
   readonly ledger: LeaseLedger;
-  readonly health: PrimaryHealthBoard;
-  readonly positions: PositionBoard;
+  /** Opinions of proxies on primaries. */
+  readonly health: PrimaryHealthOpinions;
+  /** Newest known positions of primaries. */
+  readonly positions: PrimaryPositionCache;
+  /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
 }
 
@@ -40,7 +49,7 @@
   private readonly registrar: ProxyRegistrar;
   private readonly directory: ProxyDirectory;
   private readonly updates: CatalogUpdates;
-  private readonly gate: ChangeGate;
+  private readonly notifier: ChangeNotifier;
 
   constructor(private readonly surroundings: SyncSurroundings) {
     const { clock, node, catalog, propose } = surroundings;
@@ -48,7 +57,7 @@
     this.registrar = new ProxyRegistrar(catalog, propose);
     this.directory = new ProxyDirectory(clock, node, catalog);
     this.updates = new CatalogUpdates(catalog);
-    this.gate = new ChangeGate(clock, catalog);
+    this.notifier = new ChangeNotifier(clock, catalog);
   }
 
   /** Begins a leadership, once everything that was committed before is applied: the registered proxies are known then. */
@@ -56,7 +65,7 @@
     this.directory.begin();
   }
 
-  /** The leader has changed, or this member has come to lead: requests that wait for that go on. */
+  /** Continues requests that wait for a leader: another member leads, or this one has come to lead. */
   leadershipChanged(): void {
     this.leaderWaiters.wakeAll();
   }
@@ -71,14 +80,14 @@
     if (!this.isLeading) return this.refusal();
     const proxy = request.proxy ?? {};
     if (!(await this.registrar.register(proxy))) return this.refusal();
-    this.note(request, proxy);
-    if (!this.gate.hasNewsFor(request.knownVersion ?? 0)) await this.gate.wait(holdMs);
+    this.take(request, proxy);
+    if (!this.notifier.hasNewsFor(request.knownVersion ?? 0)) await this.notifier.wait(holdMs);
     return this.isLeading ? this.reply(request, proxy) : this.refusal();
   }
 
-  /** Tells all proxies that wait what is known now. */
-  tellAll(): void {
-    this.gate.open();
+  /** Answers all held requests with what is known now. */
+  answerAll(): void {
+    this.notifier.notifyAll();
   }
 
   /** Looks after the registered proxies; called now and then. */
@@ -109,8 +118,8 @@
     };
   }
 
-  /** Takes over what a request tells. */
-  private note(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
+  /** Takes over what a request reports. */
+  private take(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
     const { clock, node, ledger, health, positions } = this.surroundings;
     const now = clock.now();
     this.directory.noteContact(proxy);
--- a/src/appointed/proxy/control_contact.ts
+++ b/src/appointed/proxy/control_contact.ts
@@ -1,8 +1,8 @@
 /**
- * How long control has been silent, and what follows for callers. Owns the times of the newest answers; relies on the clock
+ * DECISION: how long control has been silent, and what follows for callers. Owns the times of the newest answers; relies on the clock
  * of this process only.
  *
- * Load that it answers: control, or the network to it, is gone while callers go on. A proxy without control serves for as
+ * Answers: control, or the network to it, is gone while callers go on. A proxy without control serves for as
  * long as its leases hold, but new callers are better served by a proxy that is in touch.
  * Inputs: age of the newest accepted answer (ms), whether a routing document is in force, whether any lease holds.
  * Rule: control counts as lost after {@link CONTROL_LOST_MS}; the proxy is not ready after {@link READY_SYNC_AGE_MS}, and
--- a/src/appointed/proxy/leader_search.ts
+++ b/src/appointed/proxy/leader_search.ts
@@ -1,8 +1,8 @@
 /**
- * Search for the leading control machine. Owns which machines are being asked; relies on control machines and on other
+ * DECISION: how the leading control machine is searched. Owns which machines are being asked; relies on control machines and on other
  * proxies, any of which may not answer.
  *
- * Load that it answers: the leader stopped, or can't be reached, and leases run out.
+ * Answers: the leader stopped, or can't be reached, and leases run out.
  * Inputs: addresses of control machines; failures in a row; whether the proxy has a catalog already.
  * Rule: {@link SEARCH_WIDTH} machines are asked at once and a further one every {@link SEARCH_STEP_MS}; each names the
  * leader, answers as the leader, or is asked again after a pause. After {@link FAILURES_BEFORE_FORWARDING} failures in a
--- a/src/appointed/proxy/planned_stop.ts
+++ b/src/appointed/proxy/planned_stop.ts
@@ -1,7 +1,7 @@
 /**
- * Planned stop of a proxy. Owns nothing; relies on callers, some of which may still be busy at the end.
+ * DECISION: when a proxy that is stopped closes the connections of its callers. Owns nothing; relies on callers, some of which may still be busy at the end.
  *
- * Load that it answers: a proxy is stopped while callers use it.
+ * Answers: a proxy is stopped while callers use it.
  * Inputs: time between the order to stop and the end (ms), open connections, work for other proxies.
  * Rule: first it reports that it is not ready and goes on serving, until new callers go elsewhere; then connections close as
  * soon as nothing is under way on them; at last the rest ends.
--- a/src/appointed/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether a caller's credential allows an operation now. Owns nothing; relies on the document in force and on control,
+ * DECISION: whether a caller's credential allows an operation now. Owns nothing; relies on the document in force and on control,
  * which may be out of reach: then credentials count until the document is too old, and no longer.
  *
- * Load that it answers: credentials are added and taken away while proxies may be cut off from control.
+ * Answers: credentials are added and taken away while proxies may be cut off from control.
  * Inputs: the document in force; the age of control's newest confirmation that it is the newest (ms); the longest age at
  * which it counts (ms).
  * Rule: a credential is admitted when a confirmed document names its tenant. One that the document does not know is looked up
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -1,7 +1,7 @@
 /**
- * How the limit of a tenant becomes a token bucket. Pure: owns nothing, relies on nothing that may fail.
+ * DECISION: how the limit of a tenant becomes a token bucket. Pure: owns nothing, relies on nothing that may fail.
  *
- * Load that it answers: tenants that send more than their limit through many proxies, while leaders change. In any window
+ * Answers: tenants that send more than their limit through many proxies, while leaders change. In any window
  * of `windowMs` all proxies together may run (rate x window + burst) x (1 + overage) + tolerance operations of a tenant.
  * Inputs: rate (operations/s), burst (operations), window (ms), overage (fraction of the limit), tolerance (operations).
  * Rule: all allowances of a tenant come out of one bucket. A part of its size lies at the leader, the rest may lie with
--- a/src/appointed/tenancy/operation_ledger.ts
+++ b/src/appointed/tenancy/operation_ledger.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's account of what each tenant may run: one token bucket a tenant, a part of which lies with proxies as
+ * DECISION: the leader's account of what each tenant may run: one token bucket a tenant, a part of which lies with proxies as
  * reserves. Owns the accounts of one leadership; relies on the replicated log for the successor's reserve of each tenant,
  * which may fail to be committed: then nothing below the present one is granted.
  *
- * Load that it answers: the operations of all tenants through all proxies, with one answer a trip and proxy.
+ * Answers: the operations of all tenants through all proxies, with one answer a trip and proxy.
  * Inputs: a proxy's demands (operations), the limit and the budget of the tenant, the leader's clock (ms).
  * Rule: requests that wait are granted first, down to the successor's reserve. Proxies' reserves are filled from the upper
  * part of the bucket only, so that they take nothing from requests that wait, and not at all while former leaders may have
--- a/src/appointed/tenancy/successor_reserve.ts
+++ b/src/appointed/tenancy/successor_reserve.ts
@@ -1,8 +1,8 @@
 /**
- * How many operations a leader leaves in the bucket of a tenant for its successor ("floor" in the log and on the wire). Pure:
+ * DECISION: how many operations a leader leaves in the bucket of a tenant for its successor ("floor" in the log and on the wire). Pure:
  * owns nothing, relies on nothing that may fail.
  *
- * Load that it answers: a leader stops while tenants go on. The replicated log holds the successor's reserve of each tenant;
+ * Answers: a leader stops while tenants go on. The replicated log holds the successor's reserve of each tenant;
  * a successor begins with it, so it grants at once and needs to know nothing of what was granted before.
  * Inputs: operations in the bucket, the reserve in force, size of the leader's part of the bucket (operations).
  * Rule: the usual reserve is {@link USUAL_FRACTION} of the bucket. It falls, to the usual one or to none, before requests have
--- a/src/appointed/tenancy/tenant_account.ts
+++ b/src/appointed/tenancy/tenant_account.ts
@@ -1,5 +1,5 @@
 /**
- * The leader's part of one tenant's bucket, and the reserves that lie with proxies. Owns both, in memory only; relies on
+ * DECISION: the leader's part of one tenant's bucket, and the reserves that lie with proxies. Owns both, in memory only; relies on
  * nothing that may fail.
  *
  * Inputs: rate (operations/s), demands (operations), the leader's clock (ms).
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -1,8 +1,8 @@
 /**
- * What one proxy may run for one tenant: its reserve, the requests that wait, and how many are to be expected. Owns these;
+ * DECISION: what one proxy may run for one tenant: its reserve, the requests that wait, and how many are to be expected. Owns these;
  * relies on nothing that may fail.
  *
- * Load that it answers: operations of one tenant at one proxy, none of which should wait for a trip to the leader.
+ * Answers: operations of one tenant at one proxy, none of which should wait for a trip to the leader.
  * Inputs: times of operations (ms), the tenant's budget (operations, ms), grants of the leader (operations).
  * Rule: the reserve should last for the budget's `reserveMs` at the smoothed rate of operations; it is renewed when half of
  * it is used or half of its life is over. What nobody expects to use goes back to the leader.
--- a/src/appointed/trust/group_lease.ts
+++ b/src/appointed/trust/group_lease.ts
@@ -1,8 +1,8 @@
 /**
- * The lease of one group: when it may be used, and when its revocation is confirmed. Pure: owns nothing, relies on nothing
+ * DECISION: the lease of one group: when it may be used, and when its revocation is confirmed. Pure: owns nothing, relies on nothing
  * that may fail.
  *
- * Load that it answers: a primary is replaced while proxies use it, some of them cut off from control.
+ * Answers: a primary is replaced while proxies use it, some of them cut off from control.
  * Inputs: the newest known epoch and its phase; when the lease ends, counted from when its request was sent (ms of this
  * process's clock); commits under way; the present time (ms of the same clock).
  * Rule: a statement is sent only when the lease lasts {@link SEND_MARGIN_MS} longer, and its answer counts only before the
--- a/src/appointed/trust/primary_health_tracker.ts
+++ b/src/appointed/trust/primary_health_tracker.ts
@@ -1,30 +1,25 @@
 /**
- * Tracks the health of the primary of one group in one epoch, as this proxy's own statements show it. Owns which statements
+ * DECISION: whether the primary of one group is healthy in one epoch, as this proxy's own statements show it. Owns which statements
  * are unanswered; relies on nothing that may fail.
  *
- * Load that it answers: a primary that stops, hangs, refuses connections or says that it is none.
+ * Answers: a primary that stops, hangs, refuses connections or says that it is none.
  * Inputs: when statements were sent and answered, when connections opened or failed (ms of this process's clock).
  * Rule: a failed connection, or an answer that it is no primary, is an opinion at once; statements without any answer for
- * {@link SILENCE_MS} make it silent, also where only commits have none; otherwise an answer within
- * {@link OPINION_LIFETIME_MS} makes it healthy.
+ * {@link REPORTED_SILENCE_MS} make it silent, also where only commits have none; otherwise an answer within
+ * {@link ANSWER_LIFETIME_MS} makes it healthy.
  * Shown by: test/unit/router.test.ts.
  */
+import { ANSWER_LIFETIME_MS, REPORTED_SILENCE_MS } from '../leases/primary_health_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
-/**
- * Statements without an answer for longer than this make a primary silent, in milliseconds. docs/measurements/pieraksts.md:
- * with 80 ms for commits on a primary in trouble, trouble-1 0.618 to 0.632 and 0.631.
- */
-const SILENCE_MS = 350;
 /**
  * Statements without an answer for longer than this have another connection opened, in milliseconds: connections may fall
- * silent for good while new ones work. Before {@link SILENCE_MS} by a round of upkeep (100 ms) and the time to open one. Guess, not measured.
+ * silent for good while new ones work. Before {@link REPORTED_SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
+ * Guess, not measured.
  */
 const SUSPICION_MS = 200;
-/** Answers older than this show nothing of the present, in milliseconds. Guess, not measured. */
-const OPINION_LIFETIME_MS = 1500;
 
 /** Opinion on a primary, which control counts with those of other proxies. */
 interface PrimaryOpinion {
@@ -109,11 +104,12 @@
     const { failure } = this;
     if (failure) return { health: failure.health, sinceMs: now - failure.since };
     const silentSince =
-      this.all.silentSince(now, SILENCE_MS) ?? this.commits.silentSince(now, SILENCE_MS);
+      this.all.silentSince(now, REPORTED_SILENCE_MS) ??
+      this.commits.silentSince(now, REPORTED_SILENCE_MS);
     if (silentSince !== undefined) {
       return { health: PrimaryHealth.SILENT, sinceMs: now - silentSince };
     }
     const age = now - this.all.answeredAt;
-    return age <= OPINION_LIFETIME_MS ? { health: PrimaryHealth.HEALTHY, sinceMs: age } : undefined;
+    return age <= ANSWER_LIFETIME_MS ? { health: PrimaryHealth.HEALTHY, sinceMs: age } : undefined;
   }
 }
--- a/src/appointed/trust/primary_health_trackers.ts
+++ b/src/appointed/trust/primary_health_trackers.ts
@@ -1,8 +1,8 @@
 /**
- * Trackers of the primaries of all groups, and which of their opinions control receives. Owns the trackers and what was
+ * DECISION: which opinions on the primaries of all groups control receives, and when. Owns the trackers and what was
  * reported last; relies on nothing that may fail.
  *
- * Load that it answers: a primary fails, and control should hear of it before the next usual request.
+ * Answers: a primary fails, and control should hear of it before the next usual request.
  * Inputs: opinions of the trackers, the newest known epoch and phase of each group.
  * Rule: every request carries the opinions on present primaries. A changed opinion is sent at once, but for the first one if
  * it is a good one. While a group changes its primary nothing is sent at once.
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -1,8 +1,8 @@
 /**
- * Extends leases while control is out of reach, as replicas confirm them. Owns the rounds of questions; relies on replicas,
+ * DECISION: when replicas extend a lease while control is out of reach. Owns the rounds of questions; relies on replicas,
  * which may not answer: the lease then ends by itself.
  *
- * Load that it answers: control, or the network to it, is gone while primaries work on.
+ * Answers: control, or the network to it, is gone while primaries work on.
  * Inputs: age of control's newest answer (ms), groups whose primary statements want, answers of replicas (role, term, term
  * for which they are held).
  * Rule: a lease is extended for {@link REPLICA_LEASE_MS} from when the replicas were asked, if every replica of the group
@@ -20,24 +20,19 @@
  * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts; test/simulation/control_silence.test.ts;
  * docs/measurements/pieraksts.md for the mechanism as a whole: trouble-1 0.449 to 0.609.
  */
+import {
+  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  REPLICA_LEASE_MS,
+  type ReplicaAnswer,
+  objectionOf,
+} from '../leases/replica_lease.js';
 import { Events } from '../../observability/events.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import type { PrimaryLeases } from './primary_leases.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
-/**
- * Life of a lease that replicas confirm, from the moment when they were asked, in milliseconds: three rounds, so that
- * one or two may fail. A change of primary waits that long for proxies that are out of reach. Guess, not measured.
- */
-export const REPLICA_LEASE_MS = 700;
-/**
- * Longest silence of control in which replicas are asked, in milliseconds: a proxy that is cut off for longer knows too
- * little of the group's members. Less than the time after which control forgets a silent proxy (20 s). Guess, not measured.
- */
-export const LONGEST_REPLICA_LEASE_SILENCE_MS = 12_000;
 /** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. Guess, not measured. */
 const FIRST_SILENCE_MS = 1200;
 /** Time between two rounds of a group, in milliseconds: three rounds in a lease. Guess, not measured. */
@@ -77,11 +72,6 @@
   replicasOf(group: string): readonly ConfirmingReplica[];
 }
 
-/** Outcome of asking one replica. */
-type ConfirmerAnswer =
-  | { readonly instance: string; readonly status: InstanceStatus }
-  | { readonly instance: string; readonly problem: string };
-
 /** Rounds of questions for one group. */
 interface GroupRounds {
   /** When the newest round was started. */
@@ -92,17 +82,6 @@
   outcome: string | undefined;
 }
 
-/** Why an answer does not confirm a primary of `term`; undefined when it does. */
-export function objectionOf(answer: ConfirmerAnswer, term: number): string | undefined {
-  const { instance } = answer;
-  if ('problem' in answer) return `${instance}: ${answer.problem}`;
-  const { role, term: ownTerm, heldTerm } = answer.status;
-  if (role !== 'replica') return `${instance} is primary of term ${ownTerm}`;
-  if (ownTerm > term) return `${instance} follows term ${ownTerm}`;
-  if (heldTerm > term) return `${instance} is held for term ${heldTerm}`;
-  return undefined;
-}
-
 /** Asks the replicas of all groups of one proxy. */
 export class ReplicaLeaseConfirmer {
   private readonly rounds = new Map<string, GroupRounds>();
@@ -186,7 +165,7 @@
     this.logOutcome(group, rounds, objection ?? CONFIRMED);
   }
 
-  private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ConfirmerAnswer> {
+  private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ReplicaAnswer> {
     if (!pool) return { instance, problem: 'not connected' };
     let pooled: PooledConnection | undefined;
     try {
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -30,8 +30,9 @@
   const clock = { now: () => now, setTimer: () => ({ cancel: () => undefined }) };
   const connector: InstanceConnector = {
     connect: ({ id }) => {
-      if (failure) return Promise.reject(new ConnectError(failure, failure));
-      if (id !== present) return Promise.reject(new ConnectError('wrongInstance', present));
+      if (failure) return Promise.reject(new ConnectError(failure, { failure }));
+      if (id !== present)
+        return Promise.reject(new ConnectError(present, { failure: 'wrongInstance' }));
       const connection = {
         run: () => Promise.reject(new Error('unused')),
         close: () => undefined,
@@ -44,19 +45,19 @@
   const monitor = new InstanceMonitor();
   const node = { role: 'leader', leadsWithState: true } as unknown as RaftNode;
   const messenger = { request: () => Promise.reject(new Error('unused')), serve: () => undefined };
-  const service = new CatalogService(
+  const service = new CatalogService({
     clock,
     messenger,
     node,
     catalog,
     monitor,
-    new AddressClaims(clock, catalog, monitor, connector),
-    (command) => {
+    claims: new AddressClaims(clock, catalog, monitor, connector),
+    propose: (command) => {
       const bytes = whinyoke.CatalogCommand.encode(command).finish();
       return Promise.resolve(whinyoke.CatalogResult.decode(catalog.apply(++index, bytes)));
     },
-    () => undefined,
-  );
+    log: () => undefined,
+  });
   return {
     catalog,
     advance: (durationMs) => (now += durationMs),
