--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -35,19 +35,19 @@
 const LONGEST_LOGGED_AGE_MS = 1_000_000;
 
 function isChanging(context: ProxyContext, group: string): boolean {
-  return context.trust.entryOf(group)?.phase === whinyoke.GroupPhase.CHANGING;
+  return context.leases.entryOf(group)?.phase === whinyoke.GroupPhase.CHANGING;
 }
 
 /** How long a change of the group's primary has been under way, in milliseconds; undefined when there is none. */
 export function changeAge(context: ProxyContext, group: string): number | undefined {
   if (!isChanging(context, group)) return undefined;
-  return context.trust.phaseAge(group, context.clock.now());
+  return context.leases.phaseAge(group, context.clock.now());
 }
 
 function situationOf(context: ProxyContext, group: string): GroupSituation {
   return {
     changeAgeMs: changeAge(context, group),
-    hasTrustedPrimary: context.trust.primaryOf(group, context.clock.now()) !== undefined,
+    hasTrustedPrimary: context.leases.primaryOf(group, context.clock.now()) !== undefined,
   };
 }
 
@@ -59,8 +59,8 @@
 ): void {
   const { group, name } = request.deadline.route;
   const now = context.clock.now();
-  const entry = context.trust.entryOf(group);
-  const floorAt = context.floorOf(group).newestSentAt;
+  const entry = context.leases.entryOf(group);
+  const floorAt = context.positions.floorOf(group).newestSentAt;
   const event = verdictOf(kind) === 'not_run' ? Events.requestRefused : Events.requestInDoubt;
   context.log(event, {
     request: request.id,
@@ -71,8 +71,8 @@
     elapsed_ms: Math.round(request.deadline.elapsed),
     epoch: entry?.epoch ?? 0,
     phase: isChanging(context, group) ? 'changing' : 'steady',
-    phase_age_ms: Math.round(context.trust.phaseAge(group, now)),
-    leased: context.trust.primaryOf(group, now) !== undefined,
+    phase_age_ms: Math.round(context.leases.phaseAge(group, now)),
+    leased: context.leases.primaryOf(group, now) !== undefined,
     floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
     document: context.table?.version ?? 0,
     document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_LOGGED_AGE_MS)),
--- /dev/null
+++ b/src/appointed/trust/primary_leases.ts
@@ -0,0 +1,176 @@
+/**
+ * The leases of a proxy on the primaries of its groups. Owns them, in memory only: a restart holds none. Relies on control
+ * for leases and epochs, and on replicas while control is out of reach; without both the leases end by themselves.
+ * The rule of a single lease is in `group_lease.ts`.
+ */
+import { whinyoke } from '../../protocol/generated/messages.js';
+import { type GroupEntry, compareNames } from '../catalog/catalog.js';
+import { type Position, latest } from '../../positions/position.js';
+import {
+  type GroupLease,
+  isAnswerCounted,
+  isLeased,
+  isRevocationDue,
+  isUsable,
+  successorOf,
+} from './group_lease.js';
+
+/** A primary that may be used now. */
+interface LeasedPrimary {
+  readonly epoch: number;
+  readonly instance: string;
+  readonly term: number;
+}
+
+/** This proxy uses no epoch of a group before `epoch`. */
+interface Confirmation {
+  readonly group: string;
+  readonly epoch: number;
+  /** Highest position acknowledged to a caller. */
+  readonly position: Position | undefined;
+}
+
+/** Leases of one proxy. */
+export class PrimaryLeases {
+  private readonly groups = new Map<string, GroupLease>();
+  private sortedNames: readonly string[] | undefined;
+  private waiters: (() => void)[] = [];
+
+  /** Takes over the state of all groups from a reply that arrived at `now`. */
+  update(entries: readonly GroupEntry[], now: number): void {
+    for (const entry of entries) {
+      const name = entry.group ?? '';
+      const known = this.groups.get(name);
+      if (known && (entry.epoch ?? 0) < (known.entry.epoch ?? 0)) continue;
+      if (!known) this.sortedNames = undefined;
+      this.groups.set(name, successorOf(known, entry, now));
+    }
+  }
+
+  /** Extends the leases of all present epochs, but of those that are being revoked. */
+  extendAll(until: number): void {
+    for (const lease of this.groups.values()) {
+      if (lease.entry.phase === whinyoke.GroupPhase.CHANGING) continue;
+      lease.leaseUntil = Math.max(lease.leaseUntil, until);
+    }
+    this.wakeWaiters();
+  }
+
+  /** Extends the lease of one epoch, if it is the present one and ever had a lease. */
+  extend(group: string, epoch: number, until: number): void {
+    const lease = this.groups.get(group);
+    if (!lease || lease.entry.epoch !== epoch || !isLeased(lease)) return;
+    lease.leaseUntil = Math.max(lease.leaseUntil, until);
+    this.wakeWaiters();
+  }
+
+  /** Names of all known groups, in order. */
+  get groupNames(): readonly string[] {
+    this.sortedNames ??= [...this.groups.keys()].sort(compareNames);
+    return this.sortedNames;
+  }
+
+  /** Groups whose present epoch has or had a lease here. */
+  leasedGroups(): readonly string[] {
+    return [...this.groups].filter(([, lease]) => isLeased(lease)).map(([group]) => group);
+  }
+
+  /** Primary to which a statement may be sent at `now`: the lease will outlast a short answer. */
+  primaryOf(group: string, now: number): LeasedPrimary | undefined {
+    const lease = this.groups.get(group);
+    if (!lease || !isUsable(lease, now)) return undefined;
+    const { entry } = lease;
+    return { epoch: entry.epoch ?? 0, instance: entry.primary ?? '', term: entry.term ?? 0 };
+  }
+
+  /** Whether the primary of any group may be used at `now`. */
+  hasLease(now: number): boolean {
+    return [...this.groups.values()].some((lease) => isUsable(lease, now));
+  }
+
+  /** Whether answers of the primary of `epoch` still count at `now`. */
+  accepts(group: string, epoch: number, now: number): boolean {
+    const lease = this.groups.get(group);
+    return lease !== undefined && isAnswerCounted(lease, epoch, now);
+  }
+
+  /** Newest known entry of a group. */
+  entryOf(group: string): GroupEntry | undefined {
+    return this.groups.get(group)?.entry;
+  }
+
+  /** How long the present phase of a group has been known, in milliseconds. */
+  phaseAge(group: string, now: number): number {
+    const lease = this.groups.get(group);
+    return lease ? now - lease.knownSince : 0;
+  }
+
+  /** Notes a commit that is acknowledged to a caller. */
+  noteAcknowledged(group: string, position: Position): void {
+    const lease = this.groups.get(group);
+    if (!lease) return;
+    lease.acknowledged = lease.acknowledged ? latest(lease.acknowledged, position) : position;
+  }
+
+  /** Notes the start of a statement that may commit. */
+  commitStarted(group: string): void {
+    const lease = this.groups.get(group);
+    if (lease) lease.commitsUnderWay++;
+  }
+
+  /** Notes the end of a statement that may commit. */
+  commitEnded(group: string): void {
+    const lease = this.groups.get(group);
+    if (lease) lease.commitsUnderWay--;
+  }
+
+  /** Whether a revocation is due and not yet confirmed. */
+  hasDueRevocation(now: number): boolean {
+    return [...this.groups.values()].some((lease) => isRevocationDue(lease, now));
+  }
+
+  /** Ends the leases of old epochs whose revocation is due, and returns their groups. */
+  endRevokedEpochs(now: number): readonly string[] {
+    const ended: string[] = [];
+    for (const [group, lease] of this.groups) {
+      if (!isRevocationDue(lease, now)) continue;
+      lease.ending = undefined;
+      lease.endedEpoch = lease.entry.epoch ?? 0;
+      ended.push(group);
+    }
+    return ended;
+  }
+
+  /**
+   * Confirmations of all revocations that go on, those included that control has taken already: a new leader knows
+   * nothing of them.
+   */
+  confirmations(): readonly Confirmation[] {
+    const confirmations: Confirmation[] = [];
+    for (const [group, { entry, endedEpoch, acknowledged }] of this.groups) {
+      const epoch = entry.epoch ?? 0;
+      const isChanging = entry.phase === whinyoke.GroupPhase.CHANGING;
+      if (isChanging && endedEpoch === epoch) {
+        confirmations.push({ group, epoch, position: acknowledged });
+      }
+    }
+    return confirmations;
+  }
+
+  /** Notes that control has taken a revocation. */
+  confirmed(group: string, epoch: number): void {
+    const lease = this.groups.get(group);
+    if (lease) lease.confirmedEpoch = Math.max(lease.confirmedEpoch, epoch);
+  }
+
+  /** Resolves when a lease is extended. */
+  nextExtension(): Promise<void> {
+    return new Promise((resolve) => this.waiters.push(resolve));
+  }
+
+  private wakeWaiters(): void {
+    const { waiters } = this;
+    this.waiters = [];
+    for (const waiter of waiters) waiter();
+  }
+}
--- a/src/appointed/trust/trust_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -1,11 +1,14 @@
-/** Waiting for a trusted primary; how long is decided in routing/request_deadline.ts. */
+/**
+ * Waits for a primary under a lease; how long is decided in `routing/request_deadline.ts`. Owns nothing; relies on control or
+ * replicas to extend the lease, which may not happen: the wait then ends by the request's deadline.
+ */
 import { delay } from '../../runtime/runtime.js';
 import { changeAge } from '../routing/refusal.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type Target, primaryTarget } from '../routing/target_planner.js';
 
-/** The trusted primary, or undefined when it is not worth waiting longer for one. */
+/** The leased primary; undefined when the request may not wait longer for one. */
 export async function awaitPrimary(
   context: ProxyContext,
   deadline: RequestDeadline,
@@ -13,10 +16,10 @@
   const { group } = deadline.route;
   for (;;) {
     const target = primaryTarget(context, group);
-    context.notePrimaryWanted(group);
+    context.leaseConfirmer.noteWanted(group);
     if (target) return target;
     const waitMs = deadline.primaryWait(changeAge(context, group));
     if (waitMs <= 0) return undefined;
-    await Promise.race([context.trust.nextExtension(), delay(context.clock, waitMs)]);
+    await Promise.race([context.leases.nextExtension(), delay(context.clock, waitMs)]);
   }
 }
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -1,13 +1,24 @@
 /**
- * Leases while control is out of reach. A change of primary holds the replica that it appoints: the replica receives
- * nothing from the old primary any more, and tells so. As long as no replica of a group is held, no change has come
- * that far, so the primary may be trusted for a moment longer. Control appoints a replica beside proxies that it can't
+ * DECISION: when replicas extend a lease while control is out of reach. Owns the rounds of questions; relies on replicas,
+ * which may not answer: the lease then ends by itself.
+ *
+ * Answers: control, or the network to it, is gone while primaries work on.
+ * Inputs: age of control's newest answer (ms), groups whose primary statements want, answers of replicas (role, term, term
+ * for which they are held).
+ * Rule: a lease is extended for {@link REPLICA_LEASE_MS} from when the replicas were asked, if every replica of the group
+ * answers and none of them is primary, follows a newer term or is held for one.
+ *
+ * Why that is safe: a change of primary holds the replica that it appoints: the replica receives
+ * nothing from the old primary any more, and answers so. As long as no replica of a group is held, no change has
+ * come that far, so the primary may be used for a moment longer. Control appoints a replica beside proxies that it can't
  * reach only after it was held for longer than that moment (`src/appointed/failover/appointment_fence.ts`).
  *
  * Only primaries that statements wait for are confirmed: each round takes a slot of every replica of the group, and with
- * many proxies in front of many groups all rounds together would take the slots of callers.
+ * many proxies in front of many groups all rounds together would take the slots of callers (docs/measurements/large.md: 115
+ * proxies x 28 replicas x 5 questions a second, 1,282 answers `busy`).
  *
- * See docs/design/appointed-primaries.md.
+ * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts; test/simulation/control_silence.test.ts;
+ * docs/measurements/pieraksts.md for the mechanism as a whole: trouble-1 0.449 to 0.609.
  */
 import {
   LONGEST_REPLICA_LEASE_SILENCE_MS,
@@ -19,18 +30,24 @@
 import type { Clock } from '../../runtime/runtime.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
-import type { PrimaryTrust } from './primary_trust.js';
+import type { PrimaryLeases } from './primary_leases.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
-/** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. */
+/** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. Guess, not measured. */
 const FIRST_SILENCE_MS = 1200;
-/** Time between two rounds of a group, in milliseconds. */
+/** Time between two rounds of a group, in milliseconds: three rounds in a lease. Guess, not measured. */
 const ROUND_MS = 200;
-/** A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted. */
+/**
+ * A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted.
+ * Guess, not measured.
+ */
 const WANTED_MS = 400;
-/** Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds. */
+/**
+ * Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds: shorter than
+ * the lease. Guess, not measured.
+ */
 const KEPT_ROUND_MS = 600;
-/** Time for a connection, and for an answer on it, in milliseconds. */
+/** Time for a connection, and for an answer on it, in milliseconds. Guess, not measured. */
 const ANSWER_TIMEOUT_MS = 250;
 /** Before all requests of callers, which depend on the answer. */
 const PRIORITY = 0;
@@ -46,19 +63,22 @@
   readonly pool: ConnectionSource | undefined;
 }
 
-/** What the witness needs of its proxy. */
-export interface ConfirmerSurroundings {
+/** What the confirmer needs of its proxy. */
+interface ConfirmerSurroundings {
   readonly clock: Clock;
-  readonly trust: PrimaryTrust;
+  readonly leases: PrimaryLeases;
   readonly log: DecisionLog;
   /** All instances of a group but its primary, whatever their state. */
   replicasOf(group: string): readonly ConfirmingReplica[];
 }
 
+/** Rounds of questions for one group. */
 interface GroupRounds {
+  /** When the newest round was started. */
   startedAt: number;
+  /** Whether answers of it are awaited. */
   isUnderWay: boolean;
-  /** Outcome of the newest round, as told to the log. */
+  /** Outcome of the newest round, as logged. */
   outcome: string | undefined;
 }
 
@@ -72,18 +92,18 @@
 
   constructor(private readonly surroundings: ConfirmerSurroundings) {}
 
-  /** A statement wants the primary of a group. */
+  /** Notes that a statement wants the primary of a group. */
   noteWanted(group: string): void {
     const now = this.surroundings.clock.now();
     this.wantedAt.set(group, now);
-    const { trust } = this.surroundings;
-    const isLeaseMissing = this.isAsking && trust.primaryOf(group, now) === undefined;
-    if (isLeaseMissing && trust.leasedGroups().includes(group)) this.askIfDue(group, now);
+    const { leases } = this.surroundings;
+    const isLeaseMissing = this.isAsking && leases.primaryOf(group, now) === undefined;
+    if (isLeaseMissing && leases.leasedGroups().includes(group)) this.askIfDue(group, now);
   }
 
   /**
-   * Asks the replicas of the groups whose turn it is; called often, with the age of the newest request that control
-   * answered.
+   * Asks the replicas of the groups that are due; called often, with the age of the newest request that control answered, in
+   * milliseconds.
    */
   maintain(controlSilenceMs: number): void {
     this.isAsking =
@@ -93,7 +113,7 @@
       return;
     }
     const now = this.surroundings.clock.now();
-    const groups = this.surroundings.trust.leasedGroups();
+    const groups = this.surroundings.leases.leasedGroups();
     for (const group of groups) {
       const isWanted = now - (this.wantedAt.get(group) ?? -Infinity) < WANTED_MS;
       if (isWanted) this.askIfDue(group, now);
@@ -101,7 +121,7 @@
     this.keepOne(groups, now);
   }
 
-  /** Another group is kept when the present one is not confirmed. */
+  /** Keeps the lease of one group that nobody wants; of another one when the present one is not confirmed. */
   private keepOne(groups: readonly string[], now: number): void {
     const known = this.rounds.get(this.keptGroup);
     const isOver = known !== undefined && !known.isUnderWay;
@@ -132,8 +152,8 @@
   }
 
   private async ask(group: string, rounds: GroupRounds): Promise<void> {
-    const { trust } = this.surroundings;
-    const { epoch = 0, term = 0 } = trust.entryOf(group) ?? {};
+    const { leases } = this.surroundings;
+    const { epoch = 0, term = 0 } = leases.entryOf(group) ?? {};
     const replicas = this.surroundings.replicasOf(group);
     const answers = await Promise.all(replicas.map((replica) => this.statusOf(replica)));
     rounds.isUnderWay = false;
@@ -141,8 +161,8 @@
     const objection =
       replicas.length === 0 ? 'no replica is known' : objections.find((text) => text !== undefined);
     const until = rounds.startedAt + REPLICA_LEASE_MS;
-    if (objection === undefined) trust.extend(group, epoch ?? 0, until);
-    this.note(group, rounds, objection ?? CONFIRMED);
+    if (objection === undefined) leases.extend(group, epoch ?? 0, until);
+    this.logOutcome(group, rounds, objection ?? CONFIRMED);
   }
 
   private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ReplicaAnswer> {
@@ -159,11 +179,11 @@
     }
   }
 
-  /** Tells the log when the outcome differs from that of the round before. */
-  private note(group: string, rounds: GroupRounds, outcome: string): void {
+  /** Logs an outcome that differs from that of the round before. */
+  private logOutcome(group: string, rounds: GroupRounds, outcome: string): void {
     if (rounds.outcome === outcome) return;
     rounds.outcome = outcome;
-    const epoch = this.surroundings.trust.entryOf(group)?.epoch ?? 0;
+    const epoch = this.surroundings.leases.entryOf(group)?.epoch ?? 0;
     this.surroundings.log(Events.leaseWitnessed, { group, epoch, outcome });
   }
 }
