--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -26,7 +26,7 @@
   private readonly groupTable = new GroupTable();
   private readonly proxyById = new Map<string, ProxyEntry>();
   /** Operations of each tenant that its leader leaves to a successor; about 20 bytes a tenant that ever ran one. */
-  private readonly floorByTenant = new Map<string, number>();
+  private readonly successorReserveByTenant = new Map<string, number>();
   private currentLease: whinyoke.IDutyEntry = {};
   private currentVersion = 0;
   private proxyLossIndex = 0;
@@ -121,8 +121,8 @@
   }
 
   /** Operations of a tenant that every leader so far left in its bucket; undefined when none was ever granted. */
-  allowanceFloor(tenant: string): number | undefined {
-    return this.floorByTenant.get(tenant);
+  successorReserveOf(tenant: string): number | undefined {
+    return this.successorReserveByTenant.get(tenant);
   }
 
   /** Calls `listener` after each change until the returned function is called. */
@@ -154,7 +154,10 @@
       version: this.currentVersion,
       proxyLossVersion: this.proxyLossIndex,
       forgottenVersion: this.instanceTable.forgottenVersion,
-      floors: [...this.floorByTenant].map(([tenant, operations]) => ({ tenant, operations })),
+      floors: [...this.successorReserveByTenant].map(([tenant, operations]) => ({
+        tenant,
+        operations,
+      })),
     } as whinyoke.ICatalogSnapshot;
     return whinyoke.CatalogSnapshot.encode(snapshot).finish();
   }
@@ -170,8 +173,8 @@
     this.groupTable.restore(snapshot.groups);
     this.proxyById.clear();
     for (const item of snapshot.proxies) this.proxyById.set(item.id ?? '', item);
-    this.floorByTenant.clear();
-    this.putFloors(snapshot.floors);
+    this.successorReserveByTenant.clear();
+    this.putSuccessorReserves(snapshot.floors);
     this.notify();
   }
 
@@ -194,7 +197,7 @@
         this.proxyLossIndex = index;
         return this.proxyById.delete(command.removeProxy!);
       case 'putFloors':
-        return this.putFloors(command.putFloors!.floors ?? []);
+        return this.putSuccessorReserves(command.putFloors!.floors ?? []);
       case 'takeDuty':
         return this.takeLease(command.takeDuty!);
       default:
@@ -217,9 +220,9 @@
     return proxies.length > 0;
   }
 
-  private putFloors(floors: readonly whinyoke.IAllowanceFloor[]): boolean {
+  private putSuccessorReserves(floors: readonly whinyoke.IAllowanceFloor[]): boolean {
     for (const { tenant, operations } of floors) {
-      this.floorByTenant.set(tenant ?? '', operations ?? 0);
+      this.successorReserveByTenant.set(tenant ?? '', operations ?? 0);
     }
     return floors.length > 0;
   }
--- a/src/appointed/connections/concurrency_limit.ts
+++ b/src/appointed/connections/concurrency_limit.ts
@@ -12,8 +12,8 @@
  * BUSY, drawn at random from half to one and a half of itself, and shortened with each statement served.
  *
  * Held by test/simulation/overload.test.ts and test/unit/router.test.ts. Measured, one run each, the constants together and
- * none alone: docs/measurements/platform.md, "window of statements" (toplina-ljubljana-grown trouble-1 given up → 0.762,
- * citaq-gt-grown trouble-1 0.604 → 0.598).
+ * none alone: docs/measurements/platform.md, "window of statements" (scores of days with faults: given up → 0.762,
+ * 0.604 → 0.598).
  */
 import type { RandomSource } from '../../runtime/runtime.js';
 
--- a/src/appointed/connections/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -49,8 +49,8 @@
   minimumIdle: 1,
   /**
    * Connections of a machine that lost power count against the limit of its instance for seconds, and the proxy that takes
-   * its place needs connections then. docs/measurements/pieraksts.md: closed after 0.4 s, trouble-2 0.691 → 0.710, scale-2
-   * 0.637 → 0.659.
+   * its place needs connections then. docs/measurements/pieraksts.md: closed after 0.4 s, score of a day with faults
+   * 0.691 → 0.710, of a day of high load 0.637 → 0.659.
    */
   idleTimeoutMs: 400,
   /** Guess, not measured. */
--- a/src/appointed/connections/idle_timeout.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -10,8 +10,8 @@
  * Rule: the time-out of the share until the instance first had no connection left; then halved with each such refusal, and
  * longer by a step with each connection that could be opened (additive increase, multiplicative decrease).
  *
- * docs/measurements/platform.md, "The grown deployments": scale-2 of citaq-gt-grown 0.682 with a fixed 100 ms, 0.750 with
- * this rule (one run). The constants were not measured one by one.
+ * docs/measurements/platform.md, "The grown deployments": score of a day of high load 0.682 with a fixed
+ * 100 ms, 0.750 with this rule (one run). The constants were not measured one by one.
  */
 
 /** Shortest time-out, in milliseconds: connections are opened and closed all the time below it. Guess, not measured. */
--- a/src/appointed/connections/opening_rule.ts
+++ b/src/appointed/connections/opening_rule.ts
@@ -12,8 +12,8 @@
  * long as an opening would have paid for, one is opened all the same, within the slots: a statement may take unusually long.
  *
  * docs/design/overload.md, "When a connection is opened", describes it; test/unit/router.test.ts holds it. Measured, one run
- * each: docs/measurements/platform.md, "connections where worth it" (toplina-ljubljana scale-2 0.833 → 0.840, its grown
- * trouble-1 0.762 → 0.771); docs/measurements/pieraksts.md, openings bounded by slots with other changes (mean 0.671 →
+ * each: docs/measurements/platform.md, "connections where worth it" (scores of a day of high load 0.833 → 0.840, of a
+ * day with faults 0.762 → 0.771); docs/measurements/pieraksts.md, openings bounded by slots with other changes (mean 0.671 →
  * 0.676, within noise, kept), openings beyond the slots when no turn comes, with slow ones as silence (0.787 → 0.783,
  * reverted).
  */
@@ -26,7 +26,7 @@
 
 /**
  * Statements (a count) sent beyond the slots of an instance: one on its way there or back keeps the slots filled. Guess,
- * not measured: docs/design/connection-homes.md says that slots + 1 was not compared.
+ * not measured: docs/design/connection-owners.md says that slots + 1 was not compared.
  */
 const STATEMENTS_ON_THE_WAY = 1;
 
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -25,7 +25,7 @@
 
 const REFUSED: whinyoke.IAllowanceReply = { accepted: false };
 /** A first change lets a successor keep a part of a bucket, a second one gives that up too. */
-const MOST_FLOOR_CHANGES = 2;
+const MOST_RESERVE_CHANGES = 2;
 
 /** What the service needs of its control machine. */
 export interface AllowanceSurroundings {
@@ -68,7 +68,7 @@
     rules: QuotaRules,
   ) {
     const { catalog } = surroundings;
-    this.ledger = new OperationLedger(rules, (tenant) => catalog.allowanceFloor(tenant));
+    this.ledger = new OperationLedger(rules, (tenant) => catalog.successorReserveOf(tenant));
   }
 
   /** Begins a leadership. */
@@ -92,7 +92,7 @@
     this.readTenants();
     const demands = (request.demands ?? []).flatMap((demand) => this.limited(demand));
     const term = node.currentTerm;
-    await this.lowerFloorsFor(demands);
+    await this.lowerSuccessorReserves(demands);
     if (!node.leadsWithState || node.currentTerm !== term) return REFUSED;
     this.account(proxy, incarnation, request.complete ?? false);
     const now = this.surroundings.clock.now();
@@ -104,7 +104,7 @@
         : this.ledger.answer(run, tenant, limit, demand, now);
       return { tenant, ...allowance };
     });
-    void this.commitFloors();
+    void this.commitSuccessorReserves();
     const needsAll = this.unaccounted?.get(proxy) === incarnation;
     return { accepted: true, allowances, term, needsAll };
   }
@@ -160,31 +160,31 @@
     ];
   }
 
-  private async lowerFloorsFor(demands: readonly LimitedDemand[]): Promise<void> {
-    for (let change = 0; change < MOST_FLOOR_CHANGES; change++) {
+  private async lowerSuccessorReserves(demands: readonly LimitedDemand[]): Promise<void> {
+    for (let change = 0; change < MOST_RESERVE_CHANGES; change++) {
       const now = this.surroundings.clock.now();
       const blocked = demands.filter(({ tenant, limit, waiting }) =>
         this.ledger.needsLowerSuccessorReserve(tenant, limit, waiting, now),
       );
       if (blocked.length === 0) return;
-      await this.commitFloors();
+      await this.commitSuccessorReserves();
     }
   }
 
-  /** Writes the floors that have to change, all in one entry; one entry at a time. */
-  private async commitFloors(): Promise<void> {
+  /** Writes the successor's reserves that have to change, all in one entry; one entry at a time. */
+  private async commitSuccessorReserves(): Promise<void> {
     while (this.committing) await this.committing;
-    const floors = this.ledger.takeSuccessorReserveChanges();
-    if (floors.length === 0) return;
-    this.committing = this.write(floors);
+    const changes = this.ledger.takeSuccessorReserveChanges();
+    if (changes.length === 0) return;
+    this.committing = this.write(changes);
     await this.committing;
   }
 
-  private async write(floors: readonly SuccessorReserveChange[]): Promise<void> {
+  private async write(changes: readonly SuccessorReserveChange[]): Promise<void> {
     const { propose, log } = this.surroundings;
     try {
-      await propose({ putFloors: { floors: [...floors] } });
-      this.ledger.noteCommitted(floors);
+      await propose({ putFloors: { floors: [...changes] } });
+      this.ledger.noteCommitted(changes);
     } catch (error) {
       log(Events.catalogChangeFailed, { kind: 'floors', reason: messageOf(error) });
     } finally {
--- a/src/appointed/control/change_notifier.ts
+++ b/src/appointed/control/change_notifier.ts
@@ -15,7 +15,7 @@
 
 /**
  * How long changes that are not urgent are gathered, in milliseconds: a small part of the seconds within which a document
- * or a leaving instance must be known everywhere. The value is a guess. Without gathering the leader of the large site sent
+ * or a leaving instance must be known everywhere. The value is a guess. Without gathering the leader of 195 proxies sent
  * 12,900 replies in the first 5 s of a start (docs/measurements/large.md).
  */
 const GATHER_MS = 100;
--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -59,7 +59,7 @@
 /**
  * Longest time for which callers are left unread while a process that starts has no configuration, in milliseconds: with
  * the time for which the listener waits after it, less than the 2 s after which callers leave.
- * docs/measurements/pieraksts.md, with unused libraries left out: scale-2 0.637 to 0.677, scale-1 0.803 to 0.788.
+ * docs/measurements/pieraksts.md, with unused libraries left out: scores of two days of high load 0.637 to 0.677, 0.803 to 0.788.
  */
 const CALLERS_HELD_MS = 600;
 
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -3,7 +3,7 @@
  * output but calls.
  *
  * Load that it answers: instances that take fewer than two connections for each proxy. Where each proxy opened one for a
- * statement and gave it back, 14,484 openings served 15,663 requests (docs/design/connection-homes.md).
+ * statement and gave it back, 14,484 openings served 15,663 requests (docs/design/connection-owners.md).
  *
  * Inputs: live proxies by zone (addresses), zone and connections of the instance (count), the tenant of a statement.
  *
@@ -12,8 +12,8 @@
  * to them. A hash of the tenant picks the first of the owners: all statements of a tenant meet at one, and reuse its
  * connections. Further proxies stand in while owners are gone.
  *
- * docs/design/connection-homes.md: quiet-1, trouble-1 and scale-1 of the shifted site 0.704, 0.549, 0.579 without owners,
- * 0.858, 0.606, 0.652 with them. Its constants were not compared.
+ * docs/design/connection-owners.md: scores of a quiet day, one with faults and one of high load 0.704, 0.549, 0.579
+ * without owners, 0.858, 0.606, 0.652 with them. Its constants were not compared.
  */
 import { RendezvousTable } from '../../hashing/rendezvous.js';
 import {
@@ -53,7 +53,7 @@
 const RESERVED_FRACTION = 0.12;
 /**
  * How long an owner keeps an idle connection, in milliseconds: no other proxy needs its place. Guess, not measured. Closing
- * idle ones sooner, where connections are lent, was tried and was worse (docs/design/connection-homes.md).
+ * idle ones sooner, where connections are lent, was tried and was worse (docs/design/connection-owners.md).
  */
 const OWNER_IDLE_MS = 20_000;
 /**
--- a/src/appointed/routing/request_deadline.ts
+++ b/src/appointed/routing/request_deadline.ts
@@ -29,7 +29,7 @@
 /**
  * Fraction of the target latency that a request waits for a lease: a proxy without one has been cut off from control for
  * seconds, and hardly regains it just then; refused early, the caller can try elsewhere. Set together with two other
- * changes: trouble-1 0.618 → 0.632 (docs/measurements/pieraksts.md).
+ * changes: score of a day with faults 0.618 → 0.632 (docs/measurements/pieraksts.md).
  */
 const TRUST_FRACTION = 0.2;
 /** Both waits above last so long at least, in milliseconds. Guess, not measured. */
--- a/src/appointed/trust/group_lease.ts
+++ b/src/appointed/trust/group_lease.ts
@@ -48,7 +48,8 @@
 /**
  * Longest time that commits under way delay a revocation where the primary is in trouble, in milliseconds: a few
  * statements' time, for the proxies that can still use it. Commits on a primary that answers nothing only lengthen the
- * change. docs/measurements/pieraksts.md: with a silence of 350 ms, trouble-1 0.618 to 0.632 and 0.631.
+ * change. docs/measurements/pieraksts.md: with a silence of 350 ms, score of a day with
+ * faults 0.618 to 0.632 and 0.631.
  */
 const TROUBLED_COMMIT_WAIT_MS = 80;
 
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -18,7 +18,7 @@
  * proxies x 28 replicas x 5 questions a second, 1,282 answers `busy`).
  *
  * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts; test/simulation/control_silence.test.ts;
- * docs/measurements/pieraksts.md for the mechanism as a whole: trouble-1 0.449 to 0.609.
+ * docs/measurements/pieraksts.md for the mechanism as a whole: score of a day with faults 0.449 to 0.609.
  */
 import {
   LONGEST_REPLICA_LEASE_SILENCE_MS,
