--- a/scripts/bundle_platform.js
+++ b/scripts/bundle_platform.js
@@ -110,11 +110,9 @@
 
 /** Loads the programs once, as a start does, and stores what was compiled meanwhile. */
 async function storeCode(programsName) {
-  const { CODE_SUFFIX, loadCompiledModule } = await import(
-    pathToFileURL(resolve(TARGET, 'loader.mjs')).href
-  );
+  const { loadCompiledModule } = await import(pathToFileURL(resolve(TARGET, 'loader.mjs')).href);
   const programs = loadCompiledModule(pathToFileURL(resolve(TARGET, programsName)));
-  const name = `${programsName}${CODE_SUFFIX}`;
+  const name = basename(programs.codeFile);
   if (programs.isCodeReused) present.add(name);
   else replaceFile(name, programs.storeCode());
 }
--- a/src/runtime/compiled_module.ts
+++ b/src/runtime/compiled_module.ts
@@ -19,6 +19,8 @@
 interface CompiledModule {
   /** What the bundle exports. */
   readonly exports: unknown;
+  /** Path of the file that holds the compiled code, or is to hold it. */
+  readonly codeFile: string;
   /** Whether the stored code was used. */
   readonly isCodeReused: boolean;
   /** Compiled code of all functions that have run so far, to be stored. */
@@ -39,6 +41,7 @@
   run(module.exports, createRequire(url), module);
   return {
     exports: module.exports,
+    codeFile,
     isCodeReused: cachedData !== undefined && script.cachedDataRejected !== true,
     storeCode: () => script.createCachedData(),
   };
