--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -6,7 +6,7 @@
   OpenedConnection,
 } from '../../src/appointed/instance/instance_connection.js';
 import {
-  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  MAX_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
 } from '../../src/appointed/leases/replica_lease.js';
 import type { AppointedControl } from '../../src/appointed/control/appointed_control.js';
@@ -131,7 +131,7 @@
 export function disableReplicaLeases(core: AppointedProxy): void {
   const { leases, clock } = core;
   core.leaseConfirmer.maintain = (silenceMs) => {
-    if (silenceMs > LONGEST_REPLICA_LEASE_SILENCE_MS) return;
+    if (silenceMs > MAX_REPLICA_LEASE_SILENCE_MS) return;
     for (const group of leases.leasedGroups()) {
       leases.extend(group, leases.entryOf(group)?.epoch ?? 0, clock.now() + REPLICA_LEASE_MS);
     }
--- a/src/appointed/control/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -40,7 +40,7 @@
     const now = this.clock.now();
     const [holder] = this.catalog.othersAt(newcomer);
     const isHeld =
-      holder !== undefined && this.monitor.age(holder.id ?? '', now) < HOLDER_SILENCE_MS;
+      holder !== undefined && this.monitor.heartbeatAgeMs(holder.id ?? '', now) < HOLDER_SILENCE_MS;
     return isHeld ? this.ask(newcomer) : 'granted';
   }
 
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -21,14 +21,14 @@
 import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../consensus/raft_options.js';
 import { ClusterJoiner, loadIdentity } from '../../consensus/cluster_joiner.js';
 import { AppointmentLease, type Proposer } from '../failover/appointment_lease.js';
-import { CaughtUpMembers } from '../failover/caught_up_members.js';
+import { CaughtUpInstances } from '../failover/caught_up_members.js';
 import { FailoverController } from '../failover/failover_controller.js';
 import { InstanceAdministrator } from '../failover/instance_administrator.js';
 import { InstanceMonitor } from '../failover/instance_monitor.js';
 import { LeaseLedger } from '../failover/lease_ledger.js';
 import type { PrimaryAppointer } from '../failover/primary_appointer.js';
-import { PrimaryHealthOpinions } from '../failover/primary_health_opinions.js';
-import { StandingConnections } from '../failover/standing_connections.js';
+import { PrimaryHealthReports } from '../failover/primary_health_opinions.js';
+import { PersistentConnections } from '../failover/standing_connections.js';
 import { LEASE_MS, STALE_LEADER_MS } from '../leases/lease_times.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -100,7 +100,7 @@
 export class AppointedControl {
   private readonly ledger = new LeaseLedger();
   private readonly monitor = new InstanceMonitor();
-  private readonly health = new PrimaryHealthOpinions();
+  private readonly health = new PrimaryHealthReports();
   private readonly contact: ClusterContact;
   private readonly document: NewestDocument;
   private readonly positions: PrimaryPositionCache;
@@ -109,8 +109,8 @@
   private readonly allowanceService: AllowanceService;
   private readonly catalogService: CatalogService;
   private readonly appointmentLease: AppointmentLease;
-  private readonly standing: StandingConnections;
-  private readonly caughtUp: CaughtUpMembers;
+  private readonly standing: PersistentConnections;
+  private readonly caughtUp: CaughtUpInstances;
   private readonly controller: FailoverController;
   private readonly joiner: ClusterJoiner;
   private seeds: readonly string[];
@@ -142,9 +142,9 @@
     this.catalogService = this.makeCatalogService(shared);
     this.appointmentLease = this.makeAppointmentLease(propose);
     const { appointmentLease } = this;
-    this.standing = new StandingConnections({ clock, catalog, connector, isLeading });
+    this.standing = new PersistentConnections({ clock, catalog, connector, isLeading });
     const administrator = new InstanceAdministrator(connector, this.standing);
-    this.caughtUp = new CaughtUpMembers({ ...shared, administrator, isLeading });
+    this.caughtUp = new CaughtUpInstances({ ...shared, administrator, isLeading });
     const { caughtUp, document } = this;
     const { regionByZone } = options.placementRules;
     const duties = { administrator, appointmentLease, isLeading };
@@ -276,8 +276,8 @@
 
   private beginLeadership(): void {
     const now = this.runtime.clock.now();
-    this.ledger.begin(now + LEASE_MS + STALE_LEADER_MS, now);
-    this.monitor.begin(now);
+    this.ledger.beginLeadership(now + LEASE_MS + STALE_LEADER_MS, now);
+    this.monitor.beginLeadership(now);
     this.health.clear();
     this.positions.begin();
     this.allowanceService.begin();
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -148,7 +148,7 @@
       const claim = await this.surroundings.claims.examine(instance);
       if (claim !== 'granted') return this.refuseClaim(instance, claim);
     }
-    this.surroundings.monitor.note(heartbeat, this.surroundings.clock.now());
+    this.surroundings.monitor.recordHeartbeat(heartbeat, this.surroundings.clock.now());
     const told = { ...instance, ...this.coldnessTold({ ...heartbeat, instance }) };
     if (order !== 'late' && !isSame(known, told)) {
       await this.putInstance(known, told);
@@ -178,7 +178,7 @@
   ): whinyoke.IInstanceEntry {
     const isEarlier = known !== undefined && (instance.born || Infinity) < (known.born ?? 0);
     const { monitor, clock } = this.surroundings;
-    if (!isEarlier || !monitor.mayHaveEnded(instance.id ?? '', clock.now())) return instance;
+    if (!isEarlier || !monitor.mayHaveRestarted(instance.id ?? '', clock.now())) return instance;
     return { ...instance, incarnation: (known.incarnation ?? 0) + 1 };
   }
 
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -8,7 +8,7 @@
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 import type { LeaseLedger } from '../failover/lease_ledger.js';
-import type { PrimaryHealthOpinions } from '../failover/primary_health_opinions.js';
+import type { PrimaryHealthReports } from '../failover/primary_health_opinions.js';
 import { LEASE_MS } from '../leases/lease_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
@@ -37,7 +37,7 @@
   /** Leases of this leadership. */
   readonly ledger: LeaseLedger;
   /** Opinions of proxies on primaries. */
-  readonly health: PrimaryHealthOpinions;
+  readonly health: PrimaryHealthReports;
   /** Newest known positions of primaries. */
   readonly positions: PrimaryPositionCache;
   /** Proxies that send to cold instances. */
@@ -126,10 +126,10 @@
     const { clock, node, ledger, health, positions, slowStarts } = this.surroundings;
     const now = clock.now();
     this.directory.noteContact(proxy);
-    ledger.noteContact(proxy, request.knownVersion ?? 0, now);
+    ledger.recordContact(proxy, request.knownVersion ?? 0, now);
     slowStarts.noteContact(proxy, request.leaving ?? false);
     for (const revocation of request.revocations ?? []) ledger.confirm(proxy, revocation);
-    health.note(proxy.id ?? '', request.reports ?? [], now);
+    health.record(proxy.id ?? '', request.reports ?? [], now);
     if (request.clockTerm === node.currentTerm) positions.note(request.positions ?? []);
     if (request.wantsPositions) positions.noteWanted();
   }
--- a/src/appointed/failover/appointment_fence.ts
+++ b/src/appointed/failover/appointment_fence.ts
@@ -9,14 +9,14 @@
  *   lease that replicas confirm; or the proxy must have stopped asking.
  * Constants: below, and those of `replica_lease.ts`. See docs/design/appointed-primaries.md. Pure.
  */
-import { LONGEST_REPLICA_LEASE_SILENCE_MS, REPLICA_LEASE_MS } from '../leases/replica_lease.js';
+import { MAX_REPLICA_LEASE_SILENCE_MS, REPLICA_LEASE_MS } from '../leases/replica_lease.js';
 
 /** Allowance for steady clocks that run differently, in milliseconds. A guess, not measured. */
 const CLOCK_MARGIN_MS = 100;
 
 /** From its last contact on, a proxy may have its leases confirmed by replicas for that long, in milliseconds. */
-export const LONGEST_REPLICA_LEASE_TRUST_MS =
-  LONGEST_REPLICA_LEASE_SILENCE_MS + REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
+export const MAX_REPLICA_LEASE_TRUST_MS =
+  MAX_REPLICA_LEASE_SILENCE_MS + REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
 
 /** What is known of the proxies that did not confirm. */
 export interface UnconfirmedProxies {
@@ -31,7 +31,7 @@
   /** Version of the catalog since which it is where it is; it may be cold, or have another holder, since a later one. */
   readonly placedSince: number;
   /** Since when it has been held, or has followed a newer term, without a break; undefined when it has not. */
-  readonly heldSince: number | undefined;
+  readonly fencedSince: number | undefined;
 }
 
 /** Why the replica may not be appointed yet; undefined when it may. */
@@ -41,9 +41,9 @@
   now: number,
 ): string | undefined {
   if (now > proxies.trustUntil) return undefined;
-  if (replica.heldSince === undefined) return 'it is not held';
+  if (replica.fencedSince === undefined) return 'it is not held';
   if (replica.placedSince > proxies.knownVersion) return 'a proxy out of reach may not know it';
-  const heldMs = now - replica.heldSince;
-  const isLongEnough = heldMs > REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
-  return isLongEnough ? undefined : `it has been held for ${Math.round(heldMs)} ms only`;
+  const fencedMs = now - replica.fencedSince;
+  const isLongEnough = fencedMs > REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
+  return isLongEnough ? undefined : `it has been held for ${Math.round(fencedMs)} ms only`;
 }
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -32,7 +32,7 @@
 }
 
 /** What the lease needs of its control machine. */
-export interface AppointmentSurroundings {
+export interface AppointmentLeaseDependencies {
   /** Name and address under which this process holds the lease. */
   readonly self: { readonly name: string; readonly address: string };
   /** The replicated state. */
@@ -49,25 +49,26 @@
 
 /** The lease as seen by one control machine. */
 export class AppointmentLease {
-  constructor(private readonly surroundings: AppointmentSurroundings) {}
+  constructor(private readonly dependencies: AppointmentLeaseDependencies) {}
 
   /** Has the holder appoint; takes the lease over when the holder is not in touch. For the leader. */
   async appoint(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty: lease } = this.surroundings.catalog;
+    const { duty: lease } = this.dependencies.catalog;
     const address = lease.holderAddress ?? '';
-    const isOther = lease.holder !== undefined && lease.holder !== this.surroundings.self.name;
-    if (isOther && this.surroundings.contact.isInTouch(address)) {
-      const outcome = await this.askHolder(address, group, instance, lease.token ?? 0);
+    const isHeldByOther =
+      lease.holder !== undefined && lease.holder !== this.dependencies.self.name;
+    if (isHeldByOther && this.dependencies.contact.isInTouch(address)) {
+      const outcome = await this.forwardToHolder(address, group, instance, lease.token ?? 0);
       if (outcome !== undefined) return outcome;
     }
-    if (lease.holder !== this.surroundings.self.name) await this.takeOver();
+    if (lease.holder !== this.dependencies.self.name) await this.takeOver();
     return this.appointAsHolder(group, instance);
   }
 
   /** Answers the leader: appoints if this process still holds the lease under that token. */
   async onRequest(request: whinyoke.IAppointRequest): Promise<whinyoke.IAppointReply> {
-    const { duty: lease } = this.surroundings.catalog;
-    if (lease.holder !== this.surroundings.self.name || lease.token !== request.token) {
+    const { duty: lease } = this.dependencies.catalog;
+    if (lease.holder !== this.dependencies.self.name || lease.token !== request.token) {
       return { outcome: whinyoke.AppointOutcome.TRY_LATER };
     }
     const outcome = await this.appointAsHolder(request.group ?? '', request.instance ?? '');
@@ -75,28 +76,28 @@
   }
 
   private async takeOver(): Promise<void> {
-    await this.surroundings.propose({
+    await this.dependencies.propose({
       takeDuty: {
-        holder: this.surroundings.self.name,
-        holderAddress: this.surroundings.self.address,
+        holder: this.dependencies.self.name,
+        holderAddress: this.dependencies.self.address,
       },
     });
   }
 
   private appointAsHolder(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty: lease } = this.surroundings.catalog;
+    const { duty: lease } = this.dependencies.catalog;
     // A holder that stood still may have been replaced: it must not call under its former token.
-    if (lease.holder !== this.surroundings.self.name || !this.surroundings.contact.isCurrent) {
+    if (lease.holder !== this.dependencies.self.name || !this.dependencies.contact.isCurrent) {
       return Promise.resolve(whinyoke.AppointOutcome.TRY_LATER);
     }
     const authority: AppointmentAuthority = {
-      holder: this.surroundings.self.name,
+      holder: this.dependencies.self.name,
       token: lease.token ?? 0,
     };
-    return this.surroundings.appointer.appoint(group, instance, authority);
+    return this.dependencies.appointer.appoint(group, instance, authority);
   }
 
-  private async askHolder(
+  private async forwardToHolder(
     address: string,
     group: string,
     instance: string,
@@ -104,7 +105,7 @@
   ): Promise<whinyoke.AppointOutcome | undefined> {
     const request = { appointRequest: { group, instance, token } };
     try {
-      const body = await this.surroundings.messenger.request(address, request, REQUEST_TIMEOUT_MS);
+      const body = await this.dependencies.messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.appointReply?.outcome ?? undefined;
     } catch {
       // The holder is out of reach: the caller takes the lease over, so no appointment is lost.
--- a/src/appointed/failover/candidate.ts
+++ b/src/appointed/failover/candidate.ts
@@ -35,24 +35,24 @@
   /** What the proxies said when their leases ended. */
   readonly revocation: Pick<RevocationState, 'isConfirmedByAll' | 'acknowledged'>;
   /** Whether the confirmations cover everything acknowledged in the epoch: no proxy was lost in it. */
-  readonly isHistoryWhole: boolean;
+  readonly isProxyHistoryComplete: boolean;
   /** Whether no instance of the group left since the epoch of the old primary began, with its log. */
-  readonly isMembershipWhole: boolean;
+  readonly isMembershipUnchanged: boolean;
   /** Term of the old primary. */
-  readonly term: number;
+  readonly oldTerm: number;
   /** Number of bound routes that an instance may serve as the primary; the same for all when left out. */
   readonly servedRoutes?: (instance: string) => number;
 }
 
 /** What the choice rests on. */
-type ChoiceEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
+type CandidateEvidence = 'allReplicas' | 'oldPrimary' | 'confirmations';
 
 /** The chosen instance. */
-export interface Choice {
+export interface CandidateChoice {
   /** Its identifier. */
   readonly instance: string;
   /** What shows that it holds every acknowledged commit. */
-  readonly evidence: ChoiceEvidence;
+  readonly evidence: CandidateEvidence;
 }
 
 /**
@@ -61,28 +61,32 @@
  * left since. The named position may lie beyond, since the answer to one commit names the end of a log in
  * which others are still waiting for their replica.
  */
-function holdsAcknowledgedOfTerm({ revocation, isMembershipWhole, term }: ChoiceInput): boolean {
-  return isMembershipWhole && revocation.acknowledged?.term === term;
+function areAcknowledgedCommitsReplicated({
+  revocation,
+  isMembershipUnchanged,
+  oldTerm,
+}: ChoiceInput): boolean {
+  return isMembershipUnchanged && revocation.acknowledged?.term === oldTerm;
 }
 
 /** The evidence that a position holds every acknowledged commit; undefined when there is none. */
-function evidenceFor(status: InstanceStatus, input: ChoiceInput): ChoiceEvidence | undefined {
+function evidenceFor(status: InstanceStatus, input: ChoiceInput): CandidateEvidence | undefined {
   const { received } = status;
   const { revocation } = input;
   const isNewest = input.reports.every((report) => covers(received, report.status.received));
-  const isNewestOfAll = input.missing === 0 && isNewest;
-  if (isNewestOfAll && holdsAcknowledgedOfTerm(input)) return 'allReplicas';
+  const isNewestOfAllReplicas = input.missing === 0 && isNewest;
+  if (isNewestOfAllReplicas && areAcknowledgedCommitsReplicated(input)) return 'allReplicas';
   // A replica that left may alone have held what the proxies name, so it must be there.
   if (revocation.acknowledged && !covers(received, revocation.acknowledged)) return undefined;
-  if (isNewestOfAll) return 'allReplicas';
+  if (isNewestOfAllReplicas) return 'allReplicas';
   if (input.oldPrimary && covers(received, input.oldPrimary.received)) return 'oldPrimary';
-  if (!revocation.isConfirmedByAll || !input.isHistoryWhole) return undefined;
-  const isCovered = revocation.acknowledged !== undefined || received.term >= input.term;
+  if (!revocation.isConfirmedByAll || !input.isProxyHistoryComplete) return undefined;
+  const isCovered = revocation.acknowledged !== undefined || received.term >= input.oldTerm;
   return isCovered ? 'confirmations' : undefined;
 }
 
 /** Eligible instance that provably holds every acknowledged commit: the one for most routes, of these the newest. */
-export function chooseCandidate(input: ChoiceInput): Choice | undefined {
+export function chooseCandidate(input: ChoiceInput): CandidateChoice | undefined {
   const eligible = input.reports.filter((report) => report.isEligible);
   const { servedRoutes = () => 0 } = input;
   const bestFirst = eligible.sort(
--- a/src/appointed/failover/caught_up_members.ts
+++ b/src/appointed/failover/caught_up_members.ts
@@ -11,7 +11,7 @@
  * answer: the instance then goes on counting as missing.
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { coversEpoch } from '../leases/epoch_primary.js';
+import { coversEpochMinimum } from '../leases/epoch_primary.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import { Events } from '../../observability/events.js';
 import { type Position, covers } from '../../positions/position.js';
@@ -23,7 +23,7 @@
 const { GroupPhase } = whinyoke;
 
 /** Time between two looks, in milliseconds: each takes a slot of two instances. A guess, not measured. */
-const LOOK_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
 /** What is needed of the leader. */
 interface CatchUpContext {
@@ -40,18 +40,18 @@
 }
 
 /** Incarnations that have caught up, as the leader knows. */
-export class CaughtUpMembers {
+export class CaughtUpInstances {
   private readonly caughtUp = new Set<string>();
   /** Position that each other new incarnation has to reach, for as long as it has not. */
-  private readonly wanted = new Map<string, Position>();
+  private readonly requiredPositions = new Map<string, Position>();
   private timer: Timer | undefined;
 
   constructor(private readonly context: CatchUpContext) {}
 
   /** Starts to look; does nothing while this machine does not lead. */
   start(): void {
-    this.timer = this.context.clock.setTimer(LOOK_MS, () => {
-      void this.look();
+    this.timer = this.context.clock.setTimer(CHECK_INTERVAL_MS, () => {
+      void this.checkAll();
       this.start();
     });
   }
@@ -67,14 +67,14 @@
   }
 
   /** Asks once about all that have not caught up. */
-  async look(): Promise<void> {
+  async checkAll(): Promise<void> {
     const { catalog, isLeading } = this.context;
     if (!isLeading()) return;
-    const behind = catalog.presentInstances.filter((instance) => this.isWaitedFor(instance));
-    await Promise.all(behind.map((instance) => this.ask(instance)));
+    const behind = catalog.presentInstances.filter((instance) => this.isCatchingUp(instance));
+    await Promise.all(behind.map((instance) => this.check(instance)));
   }
 
-  private isWaitedFor(instance: InstanceEntry): boolean {
+  private isCatchingUp(instance: InstanceEntry): boolean {
     const { catalog } = this.context;
     const group = catalog.group(instance.group ?? '');
     if (!group || group.phase === GroupPhase.CHANGING) return false;
@@ -83,15 +83,16 @@
     return isReplica && began > (group.steadySince ?? 0) && !this.has(instance);
   }
 
-  private async ask(instance: InstanceEntry): Promise<void> {
+  private async check(instance: InstanceEntry): Promise<void> {
     const { administrator, log } = this.context;
     const name = incarnationName(instance);
-    const wanted = this.wanted.get(name) ?? (await this.primaryPosition(instance.group ?? ''));
-    if (!wanted) return;
-    this.wanted.set(name, wanted);
+    const required =
+      this.requiredPositions.get(name) ?? (await this.primaryPosition(instance.group ?? ''));
+    if (!required) return;
+    this.requiredPositions.set(name, required);
     const status = await administrator.status(targetOf(instance));
-    if (!status || !covers(status.received, wanted) || this.caughtUp.has(name)) return;
-    this.wanted.delete(name);
+    if (!status || !covers(status.received, required) || this.caughtUp.has(name)) return;
+    this.requiredPositions.delete(name);
     this.caughtUp.add(name);
     log(Events.incarnationCaughtUp, {
       instance: instance.id ?? '',
@@ -108,11 +109,11 @@
     if (!entry || !primary) return undefined;
     const status = await administrator.status(targetOf(primary));
     const isLeading = status?.role === 'primary' && status.term === entry.term;
-    if (!isLeading || !coversEpoch(entry, status.received)) return undefined;
-    return this.isUnchanged(entry, primary) ? status.received : undefined;
+    if (!isLeading || !coversEpochMinimum(entry, status.received)) return undefined;
+    return this.isSameEpochAndIncarnation(entry, primary) ? status.received : undefined;
   }
 
-  private isUnchanged(entry: GroupEntry, primary: InstanceEntry): boolean {
+  private isSameEpochAndIncarnation(entry: GroupEntry, primary: InstanceEntry): boolean {
     const { catalog } = this.context;
     const isEpoch = catalog.group(entry.group ?? '')?.epoch === entry.epoch;
     const present = catalog.instance(primary.id ?? '')?.incarnation ?? 0;
--- a/src/appointed/failover/direct_questions.ts
+++ b/src/appointed/failover/direct_questions.ts
@@ -8,162 +8,165 @@
 import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import { Events } from '../../observability/events.js';
 import { type Position, comparePositions } from '../../positions/position.js';
-import type { Presence } from './instance_administrator.js';
+import type { ProbeResult } from './instance_administrator.js';
 import { targetOf } from './instance_target.js';
-import type { ChangerContext } from './primary_changer.js';
+import type { PrimaryChangerContext } from './primary_changer.js';
 
 /** Time for one answer, in milliseconds: more than a trip within a region and a short queue. A guess, not measured. */
-const ANSWER_TIMEOUT_MS = 250;
+const PROBE_TIMEOUT_MS = 250;
 /** Time between the begins of two rounds of questions to one group, in milliseconds. A guess, not measured. */
-const ROUND_SPACING_MS = 200;
+const PROBE_INTERVAL_MS = 200;
 
 /** What control itself knows of a primary that is in doubt. */
-export interface DirectEvidence {
+export interface ProbeEvidence {
   /** For how long the first question has been without an answer, in milliseconds; undefined once it is over. */
-  readonly pendingMs: number | undefined;
+  readonly firstProbePendingMs: number | undefined;
   /** Whether the newest question was answered. */
   readonly isAnswered: boolean;
   /** Newest questions in a row that nobody answered. */
-  readonly silentInRow: number;
+  readonly consecutiveFailures: number;
   /** Whether the replicas received nothing between the two newest rounds, though the primary has, or may have, more. */
   readonly isReplicationStalled: boolean;
 }
 
-const NOT_ASKED: DirectEvidence = {
-  pendingMs: undefined,
+const NOT_PROBED: ProbeEvidence = {
+  firstProbePendingMs: undefined,
   isAnswered: false,
-  silentInRow: 0,
+  consecutiveFailures: 0,
   isReplicationStalled: false,
 };
 
 /** Answers of one round. */
-interface Round {
-  readonly presence: Presence;
+interface ProbeRound {
+  readonly probeResult: ProbeResult;
   /** Newest position that a replica has received; undefined when none told one. */
-  readonly received: Position | undefined;
+  readonly newestReceived: Position | undefined;
 }
 
 /** Rounds of questions on the primary of one epoch. */
-interface Inquiry {
+interface GroupProbes {
   readonly epoch: number;
-  begunAt: number;
-  isUnderWay: boolean;
-  rounds: number;
-  evidence: DirectEvidence;
-  newest: Round | undefined;
+  startedAt: number;
+  isInFlight: boolean;
+  completedRounds: number;
+  evidence: ProbeEvidence;
+  newestRound: ProbeRound | undefined;
 }
 
 /** Questions of one leader. */
-export class DirectQuestions {
-  private readonly inquiries = new Map<string, Inquiry>();
+export class PrimaryProber {
+  private readonly probesByGroup = new Map<string, GroupProbes>();
 
   constructor(
-    private readonly context: Pick<ChangerContext, 'clock' | 'catalog' | 'administrator' | 'log'>,
+    private readonly context: Pick<
+      PrimaryChangerContext,
+      'clock' | 'catalog' | 'administrator' | 'log'
+    >,
   ) {}
 
   /** Asks a primary that is in doubt, and its replicas, unless that was done a moment ago. */
-  ask(entry: GroupEntry): void {
-    const inquiry = this.inquiryOn(entry);
-    const now = this.context.clock.now();
-    if (inquiry.isUnderWay || now - inquiry.begunAt < ROUND_SPACING_MS) return;
-    inquiry.isUnderWay = true;
-    inquiry.begunAt = now;
+  probe(entry: GroupEntry): void {
+    const probes = this.probesOf(entry);
+    const startedAt = this.context.clock.now();
+    if (probes.isInFlight || startedAt - probes.startedAt < PROBE_INTERVAL_MS) return;
+    probes.isInFlight = true;
+    probes.startedAt = startedAt;
     // Questions never reject: an instance without an answer is an answer here.
-    void this.runRound(entry, inquiry);
+    void this.runRound(entry, probes);
   }
 
   /** Nobody doubts the primary any more: earlier answers say nothing of a later doubt. */
   forget(entry: GroupEntry): void {
-    this.inquiries.delete(entry.group ?? '');
+    this.probesByGroup.delete(entry.group ?? '');
   }
 
   /** What is known of the primary of the present epoch. */
-  evidenceOn(entry: GroupEntry): DirectEvidence {
-    const inquiry = this.inquiries.get(entry.group ?? '');
-    if (inquiry?.epoch !== entry.epoch || !inquiry) return NOT_ASKED;
-    const isPending = inquiry.rounds === 0;
-    const pendingMs = isPending ? this.context.clock.now() - inquiry.begunAt : undefined;
-    return { ...inquiry.evidence, pendingMs };
+  evidenceOn(entry: GroupEntry): ProbeEvidence {
+    const probes = this.probesByGroup.get(entry.group ?? '');
+    if (probes?.epoch !== entry.epoch || !probes) return NOT_PROBED;
+    const isPending = probes.completedRounds === 0;
+    const firstProbePendingMs = isPending ? this.context.clock.now() - probes.startedAt : undefined;
+    return { ...probes.evidence, firstProbePendingMs };
   }
 
-  private inquiryOn(entry: GroupEntry): Inquiry {
+  private probesOf(entry: GroupEntry): GroupProbes {
     const group = entry.group ?? '';
     const epoch = entry.epoch ?? 0;
-    const known = this.inquiries.get(group);
+    const known = this.probesByGroup.get(group);
     if (known?.epoch === epoch) return known;
-    const inquiry: Inquiry = {
+    const probes: GroupProbes = {
       epoch,
-      begunAt: -Infinity,
-      isUnderWay: false,
-      rounds: 0,
-      evidence: NOT_ASKED,
-      newest: undefined,
+      startedAt: -Infinity,
+      isInFlight: false,
+      completedRounds: 0,
+      evidence: NOT_PROBED,
+      newestRound: undefined,
     };
-    this.inquiries.set(group, inquiry);
-    return inquiry;
+    this.probesByGroup.set(group, probes);
+    return probes;
   }
 
-  private async runRound(entry: GroupEntry, inquiry: Inquiry): Promise<void> {
+  private async runRound(entry: GroupEntry, probes: GroupProbes): Promise<void> {
     const members = this.context.catalog.presentInstances.filter(
       ({ group }) => group === entry.group,
     );
     const primary = members.find(({ id }) => id === entry.primary);
     const replicas = members.filter(({ id }) => id !== entry.primary);
-    const [presence, received] = await Promise.all([
-      this.presenceOf(primary),
-      this.newestReceived(replicas),
+    const [probeResult, newestReceived] = await Promise.all([
+      this.probePrimary(primary),
+      this.probeReplicas(replicas),
     ]);
-    inquiry.isUnderWay = false;
-    inquiry.rounds++;
-    this.take(entry, inquiry, { presence, received });
+    probes.isInFlight = false;
+    probes.completedRounds++;
+    this.recordRound(entry, probes, { probeResult, newestReceived });
   }
 
-  private presenceOf(primary: InstanceEntry | undefined): Promise<Presence> {
+  private probePrimary(primary: InstanceEntry | undefined): Promise<ProbeResult> {
     if (!primary) return Promise.resolve({ kind: 'refused' });
-    return this.context.administrator.presenceOf(targetOf(primary), ANSWER_TIMEOUT_MS);
+    return this.context.administrator.probe(targetOf(primary), PROBE_TIMEOUT_MS);
   }
 
-  private async newestReceived(replicas: readonly InstanceEntry[]): Promise<Position | undefined> {
-    const presences = await Promise.all(
+  private async probeReplicas(replicas: readonly InstanceEntry[]): Promise<Position | undefined> {
+    const probeResults = await Promise.all(
       replicas.map((replica) =>
-        this.context.administrator.presenceOf(targetOf(replica), ANSWER_TIMEOUT_MS),
+        this.context.administrator.probe(targetOf(replica), PROBE_TIMEOUT_MS),
       ),
     );
-    return presences
-      .flatMap((presence) =>
-        presence.kind === 'answered' && presence.status ? [presence.status.received] : [],
+    return probeResults
+      .flatMap((result) =>
+        result.kind === 'answered' && result.status ? [result.status.received] : [],
       )
       .toSorted(comparePositions)
       .at(-1);
   }
 
-  private take(entry: GroupEntry, inquiry: Inquiry, round: Round): void {
-    const { presence } = round;
-    const isAnswered = presence.kind === 'answered';
-    const before = inquiry.evidence;
-    inquiry.evidence = {
-      pendingMs: undefined,
+  private recordRound(entry: GroupEntry, probes: GroupProbes, round: ProbeRound): void {
+    const { probeResult } = round;
+    const isAnswered = probeResult.kind === 'answered';
+    const before = probes.evidence;
+    probes.evidence = {
+      firstProbePendingMs: undefined,
       isAnswered,
-      silentInRow: isAnswered ? 0 : before.silentInRow + 1,
-      isReplicationStalled: isAnswered && isStalled(inquiry.newest, round),
+      consecutiveFailures: isAnswered ? 0 : before.consecutiveFailures + 1,
+      isReplicationStalled: isAnswered && hasReplicationStalled(probes.newestRound, round),
     };
-    inquiry.newest = round;
+    probes.newestRound = round;
     this.context.log(Events.primaryAsked, {
       group: entry.group ?? '',
-      epoch: inquiry.epoch,
+      epoch: probes.epoch,
       primary: entry.primary ?? '',
-      round: inquiry.rounds,
-      answer: presence.kind,
-      replication_stalled: inquiry.evidence.isReplicationStalled,
+      round: probes.completedRounds,
+      answer: probeResult.kind,
+      replication_stalled: probes.evidence.isReplicationStalled,
     });
   }
 }
 
 /** Whether replicas received nothing between two rounds, though the primary has more, or is too busy to tell what it has. */
-function isStalled(before: Round | undefined, now: Round): boolean {
-  if (!before?.received || !now.received) return false;
-  const hasAdvanced = comparePositions(now.received, before.received) !== 0;
-  if (hasAdvanced || now.presence.kind !== 'answered') return false;
-  const { status } = now.presence;
-  return status === undefined || comparePositions(status.received, now.received) > 0;
+function hasReplicationStalled(before: ProbeRound | undefined, latest: ProbeRound): boolean {
+  if (!before?.newestReceived || !latest.newestReceived) return false;
+  const hasAdvanced = comparePositions(latest.newestReceived, before.newestReceived) !== 0;
+  if (hasAdvanced || latest.probeResult.kind !== 'answered') return false;
+  const { status } = latest.probeResult;
+  return status === undefined || comparePositions(status.received, latest.newestReceived) > 0;
 }
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -22,28 +22,28 @@
 import { servedRoutes } from '../placement/primary_homes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Timer } from '../../runtime/runtime.js';
-import { DirectQuestions } from './direct_questions.js';
+import { PrimaryProber } from './direct_questions.js';
 import { targetOf } from './instance_target.js';
 import type { InstanceMonitor } from './instance_monitor.js';
-import { type ChangerContext, PrimaryChanger } from './primary_changer.js';
-import { PrimaryEvacuation, isHeard } from './primary_evacuation.js';
-import type { PrimaryHealthOpinions } from './primary_health_opinions.js';
-import { troubleOf, wantsDirectAnswer } from './primary_trouble.js';
+import { type PrimaryChangerContext, PrimaryChanger } from './primary_changer.js';
+import { PrimaryEvacuation, hasRecentHeartbeat } from './primary_evacuation.js';
+import type { PrimaryHealthReports } from './primary_health_opinions.js';
+import { primaryFailureReason, shouldProbePrimary } from './primary_trouble.js';
 
 const { GroupPhase, InstanceRole, InstanceState } = whinyoke;
 
 /** Time between two looks at all groups, in milliseconds. A guess, not measured. */
-const TICK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
 /**
  * A change for the sake of homes that ended outside them again, for want of a proof, is not tried anew for this long, in
  * milliseconds: each try keeps writes waiting. A guess, not measured.
  */
-const HOMES_RETRY_MS = 30_000;
+const ALLOWED_REGIONS_RETRY_MS = 30_000;
 
 interface KnownEpoch {
   readonly epoch: number;
-  readonly beganAt: number;
+  readonly startedAt: number;
 }
 
 /** An instance that says that it is primary of a term. */
@@ -63,26 +63,26 @@
 /** Controller of one control machine. */
 export class FailoverController {
   private timer: Timer | undefined;
-  private readonly changing = new Set<string>();
+  private readonly changingGroups = new Set<string>();
   /** Epochs that this leader saw begin, and when. */
   private readonly knownEpochs = new Map<string, KnownEpoch>();
   private isAdopting = false;
-  private readonly questions: DirectQuestions;
+  private readonly prober: PrimaryProber;
   private readonly evacuation: PrimaryEvacuation;
 
   constructor(
-    private readonly context: ChangerContext,
+    private readonly context: PrimaryChangerContext,
     private readonly monitor: InstanceMonitor,
-    private readonly opinions: PrimaryHealthOpinions,
+    private readonly healthReports: PrimaryHealthReports,
   ) {
-    this.questions = new DirectQuestions(context);
+    this.prober = new PrimaryProber(context);
     this.evacuation = new PrimaryEvacuation(context.catalog, monitor, context.log);
   }
 
   /** Starts to watch; does nothing while this machine does not lead. */
   start(): void {
-    this.timer = this.context.clock.setTimer(TICK_MS, () => {
-      this.tick();
+    this.timer = this.context.clock.setTimer(CHECK_INTERVAL_MS, () => {
+      this.checkAll();
       this.start();
     });
   }
@@ -93,17 +93,17 @@
   }
 
   /** Looks at all groups once. */
-  tick(): void {
+  checkAll(): void {
     if (!this.context.isLeading()) return;
     const { catalog } = this.context;
-    const names = new Set(this.usable.map((instance) => instance.group ?? ''));
+    const names = new Set(this.usableInstances.map((instance) => instance.group ?? ''));
     for (const name of names) {
       const entry = catalog.group(name);
       if (!entry) void this.adoptPrimary(name);
-      else if (entry.phase === GroupPhase.CHANGING) this.resume(entry);
-      else this.judge(entry);
+      else if (entry.phase === GroupPhase.CHANGING) this.continueChange(entry);
+      else this.checkPrimary(entry);
     }
-    this.evacuation.report();
+    this.evacuation.reportProgress();
   }
 
   /** A group seen for the first time: the instance that leads it now becomes its primary. */
@@ -126,9 +126,9 @@
   /** The instance of the newest term, among those that call themselves primary of a group. */
   private async strongestClaim(group: string): Promise<PrimaryClaim | undefined> {
     const { administrator } = this.context;
-    const claimants = this.usable.filter(
-      ({ id, group: own }) =>
-        own === group && this.monitor.roleOf(id ?? '') === InstanceRole.PRIMARY,
+    const claimants = this.usableInstances.filter(
+      ({ id, group: instanceGroup }) =>
+        instanceGroup === group && this.monitor.roleOf(id ?? '') === InstanceRole.PRIMARY,
     );
     const statuses = await Promise.all(
       claimants.map((instance) => administrator.status(targetOf(instance))),
@@ -145,26 +145,26 @@
     return strongest;
   }
 
-  private resume(entry: GroupEntry): void {
+  private continueChange(entry: GroupEntry): void {
     const group = entry.group ?? '';
-    if (this.changing.has(group)) return;
-    this.changing.add(group);
+    if (this.changingGroups.has(group)) return;
+    this.changingGroups.add(group);
     new PrimaryChanger(this.context, entry)
       .run()
       .catch((error: unknown) => this.logFailure(group, 'change', error))
-      .finally(() => this.changing.delete(group));
+      .finally(() => this.changingGroups.delete(group));
   }
 
-  private judge(entry: GroupEntry): void {
-    this.noteEpoch(entry);
-    if (this.changing.has(entry.group ?? '')) return;
+  private checkPrimary(entry: GroupEntry): void {
+    this.recordEpoch(entry);
+    if (this.changingGroups.has(entry.group ?? '')) return;
     const cause = this.causeOfChange(entry);
-    if (cause) void this.begin(entry, cause.text, cause.isPlanned);
+    if (cause) void this.beginChange(entry, cause.text, cause.isPlanned);
   }
 
-  private async begin(entry: GroupEntry, cause: string, isPlanned: boolean): Promise<void> {
+  private async beginChange(entry: GroupEntry, cause: string, isPlanned: boolean): Promise<void> {
     const group = entry.group ?? '';
-    this.changing.add(group);
+    this.changingGroups.add(group);
     this.context.log(Events.primaryChangeBegun, {
       group,
       epoch: entry.epoch ?? 0,
@@ -179,9 +179,9 @@
       // Nothing has begun. The next look, here or at the next leader, finds the same cause.
       this.logFailure(group, 'begin', error);
     } finally {
-      this.changing.delete(group);
+      this.changingGroups.delete(group);
     }
-    this.tick();
+    this.checkAll();
   }
 
   private logFailure(group: string, step: string, error: unknown): void {
@@ -191,13 +191,14 @@
   private causeOfChange(entry: GroupEntry): ChangeCause | undefined {
     if (!this.hasReplacement(entry)) return undefined;
     const primary = this.context.catalog.instance(entry.primary ?? '');
-    const isSame = (primary?.incarnation ?? 0) === (entry.primaryIncarnation ?? 0);
-    if (primary && !isSame) return { text: 'the primary started again', isPlanned: false };
+    const isSameIncarnation = (primary?.incarnation ?? 0) === (entry.primaryIncarnation ?? 0);
+    if (primary && !isSameIncarnation)
+      return { text: 'the primary started again', isPlanned: false };
     if (primary?.state === InstanceState.READY) {
       return (
         this.causeByHealth(entry) ??
         this.causeByEvacuation(entry) ??
-        this.causeByHomes(entry, primary)
+        this.causeByAllowedRegions(entry, primary)
       );
     }
     return { text: 'the primary leaves', isPlanned: primary?.state === InstanceState.DRAINING };
@@ -205,28 +206,31 @@
 
   private causeByHealth(entry: GroupEntry): ChangeCause | undefined {
     const now = this.context.clock.now();
-    const verdict = this.opinions.verdict(entry.group ?? '', entry.epoch ?? 0, now);
-    if (wantsDirectAnswer(verdict)) this.questions.ask(entry);
-    else this.questions.forget(entry);
-    const text = troubleOf({
-      verdict,
-      heartbeatAgeMs: this.monitor.age(entry.primary ?? '', now),
-      steadyMs: this.steadyAge(entry, now),
-      direct: this.questions.evidenceOn(entry),
+    const healthSummary = this.healthReports.summary(entry.group ?? '', entry.epoch ?? 0, now);
+    if (shouldProbePrimary(healthSummary)) this.prober.probe(entry);
+    else this.prober.forget(entry);
+    const text = primaryFailureReason({
+      healthSummary,
+      heartbeatAgeMs: this.monitor.heartbeatAgeMs(entry.primary ?? '', now),
+      epochAgeMs: this.epochAgeMs(entry, now),
+      probeEvidence: this.prober.evidenceOn(entry),
     });
     return text === undefined ? undefined : { text, isPlanned: false };
   }
 
   /** A primary that may serve fewer routes than another instance is replaced as planned. */
-  private causeByHomes(entry: GroupEntry, primary: InstanceEntry): ChangeCause | undefined {
+  private causeByAllowedRegions(
+    entry: GroupEntry,
+    primary: InstanceEntry,
+  ): ChangeCause | undefined {
     const { catalog, clock } = this.context;
     const now = clock.now();
-    if (this.steadyAge(entry, now) < HOMES_RETRY_MS) return undefined;
-    const own = servedRoutes(primary, this.context);
+    if (this.epochAgeMs(entry, now) < ALLOWED_REGIONS_RETRY_MS) return undefined;
+    const primaryRoutes = servedRoutes(primary, this.context);
     const isBetter = (other: InstanceEntry): boolean =>
-      servedRoutes(other, this.context) > own &&
+      servedRoutes(other, this.context) > primaryRoutes &&
       !catalog.isEvacuated(other.zone ?? '') &&
-      isHeard(this.monitor, other.id ?? '', now);
+      hasRecentHeartbeat(this.monitor, other.id ?? '', now);
     if (!this.replacementsFor(entry).some(isBetter)) return undefined;
     return {
       text: `its region keeps it from routes that another instance may serve`,
@@ -236,21 +240,21 @@
 
   private causeByEvacuation(entry: GroupEntry): ChangeCause | undefined {
     const now = this.context.clock.now();
-    const text = this.evacuation.takeCause(entry, this.steadyAge(entry, now), now);
+    const text = this.evacuation.admitChange(entry, this.epochAgeMs(entry, now), now);
     return text === undefined ? undefined : { text, isPlanned: true };
   }
 
   /** An epoch that was there before this machine led began long ago, as far as it knows. */
-  private noteEpoch(entry: GroupEntry): void {
+  private recordEpoch(entry: GroupEntry): void {
     const group = entry.group ?? '';
     const known = this.knownEpochs.get(group);
     if (known?.epoch === entry.epoch) return;
-    const beganAt = known ? this.context.clock.now() : -Infinity;
-    this.knownEpochs.set(group, { epoch: entry.epoch ?? 0, beganAt });
+    const startedAt = known ? this.context.clock.now() : -Infinity;
+    this.knownEpochs.set(group, { epoch: entry.epoch ?? 0, startedAt });
   }
 
-  private steadyAge(entry: GroupEntry, now: number): number {
-    return now - (this.knownEpochs.get(entry.group ?? '')?.beganAt ?? -Infinity);
+  private epochAgeMs(entry: GroupEntry, now: number): number {
+    return now - (this.knownEpochs.get(entry.group ?? '')?.startedAt ?? -Infinity);
   }
 
   private hasReplacement(entry: GroupEntry): boolean {
@@ -269,7 +273,7 @@
   }
 
   /** Entries that name an instance to use; the other ones make no group and replace nobody. */
-  private get usable(): readonly InstanceEntry[] {
+  private get usableInstances(): readonly InstanceEntry[] {
     const { catalog, document } = this.context;
     const { table } = document;
     return catalog.presentInstances.filter(
--- a/src/appointed/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -13,13 +13,13 @@
   type InstanceTarget,
 } from '../instance/instance_connection.js';
 import type { InstanceCommand } from '../instance/statement.js';
-import type { StandingConnections } from './standing_connections.js';
+import type { PersistentConnections } from './standing_connections.js';
 
 /** Time to connect, and for an answer, in milliseconds. A guess, not measured. */
-const TIMEOUT_MS = 500;
+const COMMAND_TIMEOUT_MS = 500;
 
 /** Whether an instance is there, as control itself found out. */
-export type Presence =
+export type ProbeResult =
   /** It answered; without a state where it was too busy to tell one. */
   | { readonly kind: 'answered'; readonly status: InstanceStatus | undefined }
   /** Nothing came from it in time. */
@@ -30,11 +30,11 @@
 /** Administrator of one control machine. Opens a connection for each command where there is no standing one. */
 export class InstanceAdministrator {
   /** Commands to receive again that are under way, by instance. */
-  private readonly resuming = new Map<string, Promise<unknown>>();
+  private readonly pendingResumes = new Map<string, Promise<unknown>>();
 
   constructor(
     private readonly connector: InstanceConnector,
-    private readonly standing: Pick<StandingConnections, 'of'>,
+    private readonly persistentConnections: Pick<PersistentConnections, 'of'>,
   ) {}
 
   /** State of an instance; undefined when it does not answer. */
@@ -44,24 +44,24 @@
 
   /** Stops a replica from receiving from primaries below `term`, after any command to receive again that is under way. */
   async pause(target: InstanceTarget, term: number): Promise<InstanceStatus | undefined> {
-    await this.resuming.get(target.id);
+    await this.pendingResumes.get(target.id);
     return this.run(target, { kind: 'pause', term });
   }
 
   /**
    * Lets a replica receive again.
-   * @param isWanted - whether that is still to be: looked at before it is sent a second time
+   * @param isStillNeeded - whether that is still to be: looked at before it is sent a second time
    */
   async resume(
     target: InstanceTarget,
-    isWanted: () => boolean,
+    isStillNeeded: () => boolean,
   ): Promise<InstanceStatus | undefined> {
-    const resuming = this.run(target, { kind: 'resume' }, isWanted);
-    this.resuming.set(target.id, resuming);
+    const pending = this.run(target, { kind: 'resume' }, isStillNeeded);
+    this.pendingResumes.set(target.id, pending);
     try {
-      return await resuming;
+      return await pending;
     } finally {
-      if (this.resuming.get(target.id) === resuming) this.resuming.delete(target.id);
+      if (this.pendingResumes.get(target.id) === pending) this.pendingResumes.delete(target.id);
     }
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** Whether an instance is there; an answer that it is full or busy shows that it is. */
-  async presenceOf(target: InstanceTarget, timeoutMs: number): Promise<Presence> {
+  async probe(target: InstanceTarget, timeoutMs: number): Promise<ProbeResult> {
     try {
       const { connection } = await this.connector.connect(target, timeoutMs);
       const status = await connection
@@ -95,25 +95,25 @@
   private async run(
     target: InstanceTarget,
     command: InstanceCommand,
-    isWanted: () => boolean = () => true,
+    isStillNeeded: () => boolean = () => true,
   ): Promise<InstanceStatus | undefined> {
-    const standing = this.standing.of(target);
-    const answer = standing && (await exchange(standing.connection, command));
-    if (standing && answer) return statusOf(answer, standing.openedAt);
-    return this.runAnew(target, command, isWanted);
+    const persistent = this.persistentConnections.of(target);
+    const answer = persistent && (await runCommand(persistent.connection, command));
+    if (persistent && answer) return statusOf(answer, persistent.openedAt);
+    return this.runOnNewConnection(target, command, isStillNeeded);
   }
 
-  private async runAnew(
+  private async runOnNewConnection(
     target: InstanceTarget,
     command: InstanceCommand,
-    isWanted: () => boolean,
+    isStillNeeded: () => boolean,
   ): Promise<InstanceStatus | undefined> {
-    if (!isWanted()) return undefined;
+    if (!isStillNeeded()) return undefined;
     try {
-      const { connection } = await this.connector.connect(target, TIMEOUT_MS);
+      const { connection } = await this.connector.connect(target, COMMAND_TIMEOUT_MS);
       try {
-        if (!isWanted()) return undefined;
-        const answer = await exchange(connection, command);
+        if (!isStillNeeded()) return undefined;
+        const answer = await runCommand(connection, command);
         return answer && statusOf(answer, undefined);
       } finally {
         connection.close();
@@ -126,12 +126,12 @@
 }
 
 /** Answer to a command; undefined when there is none. */
-async function exchange(
+async function runCommand(
   connection: InstanceConnection,
   command: InstanceCommand,
 ): Promise<InstanceAnswer | undefined> {
   try {
-    return await connection.run(command, TIMEOUT_MS);
+    return await connection.run(command, COMMAND_TIMEOUT_MS);
   } catch {
     // No answer is no known state, as for an instance that can't be reached.
     return undefined;
--- a/src/appointed/failover/instance_monitor.ts
+++ b/src/appointed/failover/instance_monitor.ts
@@ -13,9 +13,9 @@
 const RESTART_SILENCE_MS = 3000;
 
 interface Heartbeat {
-  readonly at: number;
+  readonly receivedAt: number;
   /** When its incarnation started, as it tells; 0 where it does not. */
-  readonly born: number;
+  readonly startedAt: number;
   readonly sequence: number;
   readonly role: whinyoke.InstanceRole;
 }
@@ -23,43 +23,43 @@
 /** Monitor of all instances. */
 export class InstanceMonitor {
   private readonly heartbeats = new Map<string, Heartbeat>();
-  private begunAt = 0;
+  private leadingSince = 0;
 
   /** Takes a heartbeat; a late one changes nothing. */
-  note(heartbeat: whinyoke.IInstanceBeat, now: number): void {
+  recordHeartbeat(heartbeat: whinyoke.IInstanceBeat, now: number): void {
     const id = heartbeat.instance?.id ?? '';
     const sequence = heartbeat.instance?.sequence ?? 0;
     const known = this.heartbeats.get(id);
-    const born = heartbeat.instance?.born || known?.born || 0;
-    if (known && isLate(known, born, sequence) && !this.mayHaveEnded(id, now)) return;
+    const startedAt = heartbeat.instance?.born || known?.startedAt || 0;
+    if (known && isLate(known, startedAt, sequence) && !this.mayHaveRestarted(id, now)) return;
     this.heartbeats.set(id, {
-      at: now,
-      born,
+      receivedAt: now,
+      startedAt,
       sequence,
       role: heartbeat.role ?? whinyoke.InstanceRole.UNKNOWN,
     });
   }
 
   /** Forgets everything, at the begin of a leadership. */
-  begin(now: number): void {
+  beginLeadership(now: number): void {
     this.heartbeats.clear();
-    this.begunAt = now;
+    this.leadingSince = now;
   }
 
   /** Milliseconds since the newest heartbeat, or since the leadership began when there was none. */
-  age(instance: string, now: number): number {
-    return now - (this.heartbeats.get(instance)?.at ?? this.begunAt);
+  heartbeatAgeMs(instance: string, now: number): number {
+    return now - (this.heartbeats.get(instance)?.receivedAt ?? this.leadingSince);
   }
 
   /** Whether an instance was silent for so long that what contradicts its newest heartbeat is a restart, not late. */
-  mayHaveEnded(instance: string, now: number): boolean {
-    return this.age(instance, now) > RESTART_SILENCE_MS;
+  mayHaveRestarted(instance: string, now: number): boolean {
+    return this.heartbeatAgeMs(instance, now) > RESTART_SILENCE_MS;
   }
 
   /** Whether the newest heartbeat came at `since` or later, and from the incarnation that tells `born`. */
-  hasHeardSince(instance: string, born: number, since: number): boolean {
+  hasHeartbeatSince(instance: string, startedAt: number, since: number): boolean {
     const newest = this.heartbeats.get(instance);
-    return newest !== undefined && newest.born === born && newest.at >= since;
+    return newest !== undefined && newest.startedAt === startedAt && newest.receivedAt >= since;
   }
 
   /** Sequence of the instance's newest heartbeat; undefined when there was none. */
@@ -74,7 +74,7 @@
 }
 
 /** Whether a heartbeat was sent before the known one, as far as they tell. */
-function isLate(known: Heartbeat, born: number, sequence: number): boolean {
-  if (known.born !== 0 && born !== known.born) return born < known.born;
+function isLate(known: Heartbeat, startedAt: number, sequence: number): boolean {
+  if (known.startedAt !== 0 && startedAt !== known.startedAt) return startedAt < known.startedAt;
   return sequence < known.sequence;
 }
--- a/src/appointed/failover/lease_ledger.ts
+++ b/src/appointed/failover/lease_ledger.ts
@@ -15,7 +15,7 @@
 import { type Position, START, latest } from '../../positions/position.js';
 import { positionOf } from '../../positions/position_message.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import { LONGEST_REPLICA_LEASE_TRUST_MS, type UnconfirmedProxies } from './appointment_fence.js';
+import { MAX_REPLICA_LEASE_TRUST_MS, type UnconfirmedProxies } from './appointment_fence.js';
 
 /** What is known of the end of an epoch's leases. */
 export interface RevocationState {
@@ -31,7 +31,7 @@
 
 /** The newest request of a run of a proxy. */
 interface Contact {
-  readonly at: number;
+  readonly receivedAt: number;
   readonly knownVersion: number;
 }
 
@@ -43,45 +43,43 @@
 
 /** Ledger of one leader. */
 export class LeaseLedger {
-  private readonly heldUntil = new Map<string, number>();
+  private readonly leasedUntil = new Map<string, number>();
   private readonly confirmations = new Map<string, Confirmation>();
   private readonly contacts = new Map<string, Contact>();
-  private unknownUntil = -Infinity;
-  private begunAt = -Infinity;
+  private formerLeasesUntil = -Infinity;
+  private leadingSince = -Infinity;
 
   /** Begins a leadership at `now`: earlier leaders may have granted leases until `until`. */
-  begin(until: number, now: number): void {
-    this.heldUntil.clear();
+  beginLeadership(until: number, now: number): void {
+    this.leasedUntil.clear();
     this.confirmations.clear();
     this.contacts.clear();
-    this.unknownUntil = until;
-    this.begunAt = now;
+    this.formerLeasesUntil = until;
+    this.leadingSince = now;
   }
 
   /** A proxy that knows the catalog up to a version sent a request. */
-  noteContact(proxy: ProxyEntry, knownVersion: number, now: number): void {
-    this.contacts.set(runOf(proxy), { at: now, knownVersion });
+  recordContact(proxy: ProxyEntry, knownVersion: number, now: number): void {
+    this.contacts.set(incarnationKey(proxy), { receivedAt: now, knownVersion });
   }
 
   /** A proxy gets a lease on the present epoch of a group. */
   grant(group: string, proxy: ProxyEntry, until: number): void {
-    this.heldUntil.set(key(group, proxy), until);
+    this.leasedUntil.set(leaseKey(group, proxy), until);
   }
 
   /** A proxy confirms that it trusts no epoch of the group before `epoch`. */
-  confirm(proxy: ProxyEntry, revocation: whinyoke.IRevocation): void {
-    const position = revocation.hasPosition
-      ? (positionOf(revocation.position) ?? START)
-      : undefined;
-    this.confirmations.set(`${revocation.group}\n${proxy.id}`, {
+  confirm(proxy: ProxyEntry, message: whinyoke.IRevocation): void {
+    const position = message.hasPosition ? (positionOf(message.position) ?? START) : undefined;
+    this.confirmations.set(`${message.group}\n${proxy.id}`, {
       incarnation: proxy.incarnation ?? '',
-      epoch: revocation.epoch ?? 0,
+      epoch: message.epoch ?? 0,
       position,
     });
   }
 
   /** State of the revocation that began with `epoch`. */
-  revocation(
+  revocationState(
     group: string,
     epoch: number,
     proxies: readonly ProxyEntry[],
@@ -102,25 +100,28 @@
         continue;
       }
       isConfirmedByAll = false;
-      const contact = this.contacts.get(runOf(proxy)) ?? { at: this.begunAt, knownVersion: 0 };
+      const contact = this.contacts.get(incarnationKey(proxy)) ?? {
+        receivedAt: this.leadingSince,
+        knownVersion: 0,
+      };
       knownVersion = Math.min(knownVersion, contact.knownVersion);
-      trustUntil = Math.max(trustUntil, contact.at + LONGEST_REPLICA_LEASE_TRUST_MS);
-      if (this.mayHold(group, proxy, now)) isComplete = false;
+      trustUntil = Math.max(trustUntil, contact.receivedAt + MAX_REPLICA_LEASE_TRUST_MS);
+      if (this.mayHoldLease(group, proxy, now)) isComplete = false;
     }
     const unconfirmed = { knownVersion, trustUntil };
     return { isComplete, isConfirmedByAll, acknowledged, unconfirmed };
   }
 
-  private mayHold(group: string, proxy: ProxyEntry, now: number): boolean {
-    const until = this.heldUntil.get(key(group, proxy)) ?? -Infinity;
-    return now < Math.max(until, this.unknownUntil);
+  private mayHoldLease(group: string, proxy: ProxyEntry, now: number): boolean {
+    const until = this.leasedUntil.get(leaseKey(group, proxy)) ?? -Infinity;
+    return now < Math.max(until, this.formerLeasesUntil);
   }
 }
 
-function runOf(proxy: ProxyEntry): string {
+function incarnationKey(proxy: ProxyEntry): string {
   return `${proxy.id}\n${proxy.incarnation}`;
 }
 
-function key(group: string, proxy: ProxyEntry): string {
-  return `${group}\n${runOf(proxy)}`;
+function leaseKey(group: string, proxy: ProxyEntry): string {
+  return `${group}\n${incarnationKey(proxy)}`;
 }
--- a/src/appointed/failover/primary_change_log.ts
+++ b/src/appointed/failover/primary_change_log.ts
@@ -4,12 +4,12 @@
 import { Events } from '../../observability/events.js';
 import { formatPosition } from '../../positions/position.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { CandidateReport, Choice } from './candidate.js';
+import type { CandidateReport, CandidateChoice } from './candidate.js';
 import type { RevocationState } from './lease_ledger.js';
 
 /** Log of one change. */
 export class PrimaryChangeLog {
-  private readonly begunAt: number;
+  private readonly startedAt: number;
 
   constructor(
     private readonly clock: Clock,
@@ -17,27 +17,27 @@
     private readonly group: string,
     private readonly epoch: number,
   ) {
-    this.begunAt = clock.now();
+    this.startedAt = clock.now();
   }
 
   /** Milliseconds since this process took the change up. */
   get elapsedMs(): number {
-    return this.clock.now() - this.begunAt;
+    return this.clock.now() - this.startedAt;
   }
 
   /** A step was done. */
-  step(step: string, detail: string): void {
+  logStep(step: string, detail: string): void {
     const { group, epoch } = this;
     const elapsed = Math.round(this.elapsedMs);
     this.log(Events.primaryChangeStep, { group, epoch, step, elapsed_ms: elapsed, detail });
   }
 
   /** A replica was chosen, or none could be. */
-  choice(
+  logChoice(
     reports: readonly CandidateReport[],
     oldPrimary: InstanceStatus | undefined,
     { acknowledged, isConfirmedByAll }: RevocationState,
-    choice: Choice | undefined,
+    choice: CandidateChoice | undefined,
   ): void {
     this.log(Events.primaryCandidates, {
       group: this.group,
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -20,17 +20,17 @@
 import { type Clock, delay } from '../../runtime/runtime.js';
 import { appointmentObjection } from './appointment_fence.js';
 import type { AppointmentLease, Proposer } from './appointment_lease.js';
-import { type CandidateReport, type Choice, chooseCandidate } from './candidate.js';
+import { type CandidateReport, type CandidateChoice, chooseCandidate } from './candidate.js';
 import type { InstanceAdministrator } from './instance_administrator.js';
 import { targetOf } from './instance_target.js';
 import type { InstanceMonitor } from './instance_monitor.js';
 import type { LeaseLedger, RevocationState } from './lease_ledger.js';
 import { evacuatedZoneOf } from './primary_evacuation.js';
 import { PrimaryChangeLog } from './primary_change_log.js';
-import type { CaughtUpMembers } from './caught_up_members.js';
+import type { CaughtUpInstances } from './caught_up_members.js';
 import { type Position, covers } from '../../positions/position.js';
 import { ReplicaEvidence } from './replica_evidence.js';
-import { ReplicaHold } from './replica_hold.js';
+import { ReplicaFence } from './replica_hold.js';
 import { ReplicaRelease } from './replica_release.js';
 
 const { AppointOutcome, GroupPhase, InstanceState } = whinyoke;
@@ -40,26 +40,26 @@
 /** Time between two questions to the appointed instance, in milliseconds. A guess, not measured. */
 const STATUS_POLL_MS = 40;
 /** Time for an appointed instance to say that it is primary, in milliseconds. A guess, not measured. */
-const APPOINTED_TIMEOUT_MS = 2000;
+const APPOINTMENT_TIMEOUT_MS = 2000;
 /** Time between two tries of a change, in milliseconds. A guess, not measured. */
-const RETRY_PAUSE_MS = 150;
+const RETRY_INTERVAL_MS = 150;
 /**
  * Time for proxies to confirm, in milliseconds, before the replicas are held beside the wait for the leases of those
  * that did not: longer than commits under way hold up a confirmation (250 ms where planned, 80 ms in trouble).
  */
 const PLANNED_CONFIRMATION_WAIT_MS = 400;
-const TROUBLED_CONFIRMATION_WAIT_MS = 150;
+const FAILOVER_CONFIRMATION_WAIT_MS = 150;
 /** Time between two tries to hold replicas beside that wait, in milliseconds: a busy replica refuses. A guess, not measured. */
-const HOLD_SPACING_MS = 100;
+const FENCE_RETRY_INTERVAL_MS = 100;
 
 /**
  * An instance in an evacuated zone, or one that was to be replaced, leads only when no other one could be proven to hold
  * everything for this time, in milliseconds: several tries. Its replicas receive again then. Guess, not measured.
  */
-const LAST_RESORT_MS = 1500;
+const LAST_RESORT_AFTER_MS = 1500;
 
 /** What a change needs of its process. */
-export interface ChangerContext extends PrimaryPlacement {
+export interface PrimaryChangerContext extends PrimaryPlacement {
   /** Time and timers of this process. */
   readonly clock: Clock;
   /** The replicated state. */
@@ -69,7 +69,7 @@
   /** Newest heartbeats of instances. */
   readonly monitor: InstanceMonitor;
   /** Instances that started again and hold everything that they had confirmed before. */
-  readonly caughtUp: Pick<CaughtUpMembers, 'has'>;
+  readonly caughtUp: Pick<CaughtUpInstances, 'has'>;
   /** Sends commands to instances. */
   readonly administrator: InstanceAdministrator;
   /** Decides who calls the platform. */
@@ -90,7 +90,7 @@
 }
 
 /** The instance that a former leader appointed in this change before it could finish it. */
-function appointedAlready(
+function findAppointed(
   reports: readonly CandidateReport[],
   oldTerm: number,
 ): CandidateReport | undefined {
@@ -107,32 +107,32 @@
   private readonly epoch: number;
   /** Term of the old primary. */
   private readonly oldTerm: number;
-  private readonly hold: ReplicaHold;
+  private readonly replicaFence: ReplicaFence;
   private readonly evidence: ReplicaEvidence;
   private readonly changeLog: PrimaryChangeLog;
 
   constructor(
-    private readonly context: ChangerContext,
+    private readonly context: PrimaryChangerContext,
     private readonly entry: GroupEntry,
   ) {
     const { clock, administrator, log } = context;
     this.group = entry.group ?? '';
     this.epoch = entry.epoch ?? 0;
     this.oldTerm = entry.term ?? 0;
-    this.hold = new ReplicaHold(clock, administrator, this.oldTerm);
+    this.replicaFence = new ReplicaFence(clock, administrator, this.oldTerm);
     this.evidence = new ReplicaEvidence(context, entry);
     this.changeLog = new PrimaryChangeLog(clock, log, this.group, this.epoch);
   }
 
   /** Runs until the group has a primary again, or this process leads no longer. */
   async run(): Promise<void> {
-    const revocation = await this.awaitRevocation();
-    if (!revocation) return;
-    this.changeLog.step('leases_ended', `confirmed by all: ${revocation.isConfirmedByAll}`);
+    const revocationState = await this.awaitRevocation();
+    if (!revocationState) return;
+    this.changeLog.logStep('leases_ended', `confirmed by all: ${revocationState.isConfirmedByAll}`);
     while (this.isCurrent()) {
-      const isDone = await this.tryOnce();
+      const isDone = await this.attemptChange();
       if (isDone) return;
-      await delay(this.context.clock, RETRY_PAUSE_MS);
+      await delay(this.context.clock, RETRY_INTERVAL_MS);
     }
   }
 
@@ -142,9 +142,9 @@
     return this.context.isLeading() && this.context.catalog.group(this.group)?.epoch === this.epoch;
   }
 
-  private revocation(): RevocationState {
+  private currentRevocation(): RevocationState {
     const { catalog, ledger, clock } = this.context;
-    return ledger.revocation(this.group, this.epoch, catalog.proxies, clock.now());
+    return ledger.revocationState(this.group, this.epoch, catalog.proxies, clock.now());
   }
 
   private get members(): readonly InstanceEntry[] {
@@ -161,12 +161,12 @@
   }
 
   /** Whether no run of a proxy ended since the old primary's epoch began. */
-  private isHistoryWhole(): boolean {
+  private isProxyHistoryComplete(): boolean {
     return this.context.catalog.proxyLossVersion < (this.entry.steadySince ?? 0);
   }
 
   /** Whether no instance of the group left since the old primary's epoch began. */
-  private isMembershipWhole(): boolean {
+  private isMembershipUnchanged(): boolean {
     return !this.context.catalog.hasLostInstanceSince(this.group, this.entry.steadySince ?? 0);
   }
 
@@ -174,13 +174,13 @@
 
   /** Waits until no proxy trusts the old primary; undefined when this process leads no longer. */
   private async awaitRevocation(): Promise<RevocationState | undefined> {
-    let isHolding = false;
+    let isFencing = false;
     while (this.isCurrent()) {
-      const state = this.revocation();
+      const state = this.currentRevocation();
       if (state.isComplete) return state;
-      if (!isHolding && this.changeLog.elapsedMs > this.confirmationWaitMs) {
-        isHolding = true;
-        void this.holdBesideWait();
+      if (!isFencing && this.changeLog.elapsedMs > this.confirmationWaitMs) {
+        isFencing = true;
+        void this.fenceDuringRevocation();
       }
       await delay(this.context.clock, REVOCATION_POLL_MS);
     }
@@ -188,65 +188,67 @@
   }
 
   private get confirmationWaitMs(): number {
-    return this.entry.planned ? PLANNED_CONFIRMATION_WAIT_MS : TROUBLED_CONFIRMATION_WAIT_MS;
+    return this.entry.planned ? PLANNED_CONFIRMATION_WAIT_MS : FAILOVER_CONFIRMATION_WAIT_MS;
   }
 
   /**
    * Holds the replicas until each of them is held or the leases have ended: a hold that begins only then lengthens the change
    * by a whole lease that replicas confirm ({@link appointmentObjection}).
    */
-  private async holdBesideWait(): Promise<void> {
-    while (this.isCurrent() && !this.revocation().isComplete) {
-      const loose = this.replicas.filter((replica) => this.hold.heldSince(replica) === undefined);
-      if (loose.length === 0) return;
-      await this.hold.holdAll(loose, this.hold.newTerm);
-      await delay(this.context.clock, HOLD_SPACING_MS);
+  private async fenceDuringRevocation(): Promise<void> {
+    while (this.isCurrent() && !this.currentRevocation().isComplete) {
+      const unfenced = this.replicas.filter(
+        (replica) => this.replicaFence.fencedSince(replica) === undefined,
+      );
+      if (unfenced.length === 0) return;
+      await this.replicaFence.fenceAll(unfenced, this.replicaFence.newTerm);
+      await delay(this.context.clock, FENCE_RETRY_INTERVAL_MS);
     }
   }
 
   // ---- steps 3 to 6, repeated until they succeed ----
 
   /** One try of all steps after the end of the leases; resolves with whether the group has a primary again. */
-  private async tryOnce(): Promise<boolean> {
-    const appointee = await this.chooseTarget();
+  private async attemptChange(): Promise<boolean> {
+    const appointee = await this.chooseAppointee();
     if (!appointee || !this.isCurrent()) return false;
     const { instance } = appointee;
-    this.changeLog.step('target_chosen', instance);
+    this.changeLog.logStep('target_chosen', instance);
     const outcome = await this.context.appointmentLease.appoint(this.group, instance);
-    this.changeLog.step('appoint_answered', AppointOutcome[outcome]);
+    this.changeLog.logStep('appoint_answered', AppointOutcome[outcome]);
     if (outcome !== AppointOutcome.APPOINTED) return false;
-    const status = await this.awaitPrimary(appointee);
+    const status = await this.awaitAppointedPrimary(appointee);
     if (!status) return false;
-    await this.finish(appointee, status);
-    this.changeLog.step('primary_appointed', `${instance} term ${status.term}`);
+    await this.beginNextEpoch(appointee, status);
+    this.changeLog.logStep('primary_appointed', `${instance} term ${status.term}`);
     return true;
   }
 
   /** Steps 3 and 4: holds the replicas, ends the old primary's term, and names the instance that follows in the log. */
-  private async chooseTarget(): Promise<Appointee | undefined> {
+  private async chooseAppointee(): Promise<Appointee | undefined> {
     const { replicas, oldPrimary } = this;
-    const { newTerm } = this.hold;
+    const { newTerm } = this.replicaFence;
     const stepDown =
       oldPrimary && this.context.administrator.stepDown(targetOf(oldPrimary), newTerm);
-    const held = await this.hold.holdAll(replicas, newTerm);
-    const whole = held.filter((report) => this.evidence.isWhole(report));
-    const appointed = appointedAlready(whole, this.oldTerm);
+    const answers = await this.replicaFence.fenceAll(replicas, newTerm);
+    const complete = answers.filter((report) => this.evidence.holdsRecordedPosition(report));
+    const appointed = findAppointed(complete, this.oldTerm);
     if (appointed) return this.appointeeOf(appointed);
-    const { reports, missing } = this.evidence.weigh(replicas, held);
+    const { reports, missing } = this.evidence.evaluate(replicas, answers);
     // An old primary that is dark holds the change up only when its answer is needed.
     let old: CandidateReport | undefined;
-    const elsewhere = reports.map((report) => this.unlessEvacuated(report));
-    let choice = this.choose(elsewhere, missing, undefined);
+    const candidates = reports.map((report) => this.excludeEvacuated(report));
+    let choice = this.choose(candidates, missing, undefined);
     if (!choice) {
       old = await this.oldPrimaryReport(oldPrimary, stepDown, reports);
-      choice = this.chooseWithOld(reports, missing, old);
+      choice = this.chooseWithOldPrimary(reports, missing, old);
     }
     const chosen = [...reports, ...(old ? [old] : [])].find(
       ({ instance }) => instance === choice?.instance,
     );
-    if (!chosen || !this.passesFence(chosen.instance)) return undefined;
+    if (!chosen || !this.isSafeToAppoint(chosen.instance)) return undefined;
     const appointee = this.appointeeOf(chosen);
-    if (!this.isRecorded(appointee)) await this.record(appointee);
+    if (!this.isTargetRecorded(appointee)) await this.recordTarget(appointee);
     return appointee;
   }
 
@@ -259,27 +261,27 @@
   }
 
   /** Whether an instance tells when it started, so that it may start again empty. */
-  private tellsStart(instance: string): boolean {
+  private reportsStartTime(instance: string): boolean {
     return Boolean(this.context.catalog.instance(instance)?.born);
   }
 
   /** The old primary's answer may prove another one; after a while any ready instance may lead. */
-  private chooseWithOld(
+  private chooseWithOldPrimary(
     reports: readonly CandidateReport[],
     missing: number,
     old: CandidateReport | undefined,
-  ): Choice | undefined {
-    const elsewhere = reports.map((report) => this.unlessEvacuated(report));
-    const oldElsewhere = old && this.unlessEvacuated(old);
+  ): CandidateChoice | undefined {
+    const candidates = reports.map((report) => this.excludeEvacuated(report));
+    const oldCandidate = old && this.excludeEvacuated(old);
     const isPlanned = this.entry.planned ?? false;
-    const present =
-      oldElsewhere && isPlanned ? { ...oldElsewhere, isEligible: false } : oldElsewhere;
-    const choice = this.choose(elsewhere, missing, present);
-    if (choice || this.changeLog.elapsedMs < LAST_RESORT_MS) return choice;
+    const eligibleOld =
+      oldCandidate && isPlanned ? { ...oldCandidate, isEligible: false } : oldCandidate;
+    const choice = this.choose(candidates, missing, eligibleOld);
+    if (choice || this.changeLog.elapsedMs < LAST_RESORT_AFTER_MS) return choice;
     return this.choose(reports, missing, old);
   }
 
-  private unlessEvacuated(report: CandidateReport): CandidateReport {
+  private excludeEvacuated(report: CandidateReport): CandidateReport {
     const isEvacuated = evacuatedZoneOf(this.context.catalog, report.instance) !== undefined;
     return isEvacuated ? { ...report, isEligible: false } : report;
   }
@@ -291,7 +293,8 @@
     replicas: readonly CandidateReport[],
   ): Promise<CandidateReport | undefined> {
     const status = await stepDown;
-    if (!old || !status || !this.evidence.countsOldPrimary(old, status, replicas)) return undefined;
+    if (!old || !status || !this.evidence.isAnswerOfOldPrimary(old, status, replicas))
+      return undefined;
     const isEligible = old.state === InstanceState.READY;
     return { instance: old.id ?? '', status, isEligible };
   }
@@ -300,70 +303,70 @@
     replicas: readonly CandidateReport[],
     missing: number,
     oldPrimary: CandidateReport | undefined,
-  ): Choice | undefined {
+  ): CandidateChoice | undefined {
     const input = {
       missing,
       oldPrimary: oldPrimary?.status,
-      revocation: this.revocation(),
-      isHistoryWhole: this.isHistoryWhole(),
-      isMembershipWhole: this.isMembershipWhole(),
-      term: this.oldTerm,
+      revocation: this.currentRevocation(),
+      isProxyHistoryComplete: this.isProxyHistoryComplete(),
+      isMembershipUnchanged: this.isMembershipUnchanged(),
+      oldTerm: this.oldTerm,
       servedRoutes: (id: string) => servedRoutes(this.context.catalog.instance(id), this.context),
     };
-    const ofReplicas = chooseCandidate({ ...input, reports: [...replicas] });
+    const replicaChoice = chooseCandidate({ ...input, reports: [...replicas] });
     // Where no replica provably holds everything, the old primary does, and may lead again.
     const choice =
-      ofReplicas ??
+      replicaChoice ??
       (oldPrimary && chooseCandidate({ ...input, reports: [...replicas, oldPrimary] }));
-    this.changeLog.choice(replicas, oldPrimary?.status, this.revocation(), choice);
+    this.changeLog.logChoice(replicas, oldPrimary?.status, this.currentRevocation(), choice);
     return choice;
   }
 
   /** Whether the chosen instance may be appointed now, beside proxies that did not confirm. */
-  private passesFence(instance: string): boolean {
-    const { isConfirmedByAll, unconfirmed } = this.revocation();
+  private isSafeToAppoint(instance: string): boolean {
+    const { isConfirmedByAll, unconfirmed } = this.currentRevocation();
     // The old primary that leads again is the one that such a proxy trusts.
     if (isConfirmedByAll || instance === this.entry.primary) return true;
     const { catalog, clock } = this.context;
     const entry = catalog.instance(instance);
     const replica = {
       placedSince: catalog.placedSince(instance),
-      heldSince: entry && this.hold.heldSince(entry),
+      fencedSince: entry && this.replicaFence.fencedSince(entry),
     };
     // A proxy that trusts the old primary knows at least the catalog in which that one's epoch began.
     const knownVersion = Math.max(unconfirmed.knownVersion, this.entry.steadySince ?? 0);
     const objection = appointmentObjection(replica, { ...unconfirmed, knownVersion }, clock.now());
     if (objection === undefined) return true;
-    this.changeLog.step('fence_not_passed', `${instance}: ${objection}`);
+    this.changeLog.logStep('fence_not_passed', `${instance}: ${objection}`);
     return false;
   }
 
-  private isRecorded({ instance, incarnation }: Appointee): boolean {
+  private isTargetRecorded({ instance, incarnation }: Appointee): boolean {
     const { target, targetIncarnation } = this.context.catalog.group(this.group) ?? {};
     return target === instance && (targetIncarnation ?? 0) === incarnation;
   }
 
-  private record({
+  private recordTarget({
     instance: target,
     incarnation,
     position,
   }: Appointee): Promise<whinyoke.CatalogResult> {
     const { group, epoch } = this;
-    const leastPosition = this.tellsStart(target) ? position : undefined;
+    const leastPosition = this.reportsStartTime(target) ? position : undefined;
     const choice = { target, targetIncarnation: incarnation, leastPosition };
     return this.context.propose({ setTarget: { group, epoch, ...choice } });
   }
 
   /** Step 5: waits until the appointed incarnation says itself that it is primary. */
-  private async awaitPrimary(appointee: Appointee): Promise<InstanceStatus | undefined> {
+  private async awaitAppointedPrimary(appointee: Appointee): Promise<InstanceStatus | undefined> {
     const { clock, administrator, catalog } = this.context;
     const { instance } = appointee;
-    const begunAt = clock.now();
-    while (this.isCurrent() && clock.now() - begunAt < APPOINTED_TIMEOUT_MS) {
+    const startedAt = clock.now();
+    while (this.isCurrent() && clock.now() - startedAt < APPOINTMENT_TIMEOUT_MS) {
       const entry = catalog.instance(instance);
       const status = entry && (await administrator.status(targetOf(entry)));
-      if (status && this.hasStartedAgain(appointee, status)) {
-        this.changeLog.step('appointee_started_again', instance);
+      if (status && this.hasRestarted(appointee, status)) {
+        this.changeLog.logStep('appointee_started_again', instance);
         return undefined;
       }
       const isOld = instance === this.entry.primary;
@@ -375,16 +378,16 @@
   }
 
   /** Whether an answer is that of an incarnation which follows the appointed one: the others still hold what they held. */
-  private hasStartedAgain(
+  private hasRestarted(
     { instance, incarnation, position }: Appointee,
     status: InstanceStatus,
   ): boolean {
-    const isShorter = this.tellsStart(instance) && !covers(status.received, position);
+    const isShorter = this.reportsStartTime(instance) && !covers(status.received, position);
     return isShorter || this.incarnationOf(instance) !== incarnation;
   }
 
   /** Step 6: the next epoch begins, and the other replicas receive again. */
-  private async finish(
+  private async beginNextEpoch(
     { instance: primary, incarnation }: Appointee,
     status: InstanceStatus,
   ): Promise<void> {
@@ -395,7 +398,7 @@
       primary,
       term: status.term,
       primaryIncarnation: incarnation,
-      leastPosition: this.tellsStart(primary) ? status.received : undefined,
+      leastPosition: this.reportsStartTime(primary) ? status.received : undefined,
     };
     await this.context.propose({ putGroup: next });
     const others = this.members.filter(({ id }) => id !== primary);
--- a/src/appointed/failover/primary_health_opinions.ts
+++ b/src/appointed/failover/primary_health_opinions.ts
@@ -15,15 +15,15 @@
 import {
   COUNTED_REFUSAL_MS,
   COUNTED_SILENCE_MS,
-  GOOD_REPORT_LIFETIME_MS,
-  REPORT_LIFETIME_MS,
+  HEALTHY_REPORT_LIFETIME_MS,
+  UNHEALTHY_REPORT_LIFETIME_MS,
 } from '../leases/primary_health_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { PrimaryHealth } = whinyoke;
 
-interface Opinion {
-  readonly at: number;
+interface ReceivedHealthReport {
+  readonly receivedAt: number;
   readonly epoch: number;
   readonly health: whinyoke.PrimaryHealth;
   readonly since: number;
@@ -32,35 +32,35 @@
 }
 
 /** Verdict on one primary. */
-export interface PrimaryVerdict {
+export interface PrimaryHealthSummary {
   /** Proxies that can't use the primary. */
-  readonly bad: number;
+  readonly unhealthy: number;
   /** Proxies that find it silent, also for too short a time to count as bad. */
   readonly silent: number;
   /** Those of the bad whose reads it answers, and whose commits it does not. */
   readonly commitsOnly: number;
   /** Proxies that use it. */
-  readonly good: number;
+  readonly healthy: number;
   /** Name of the prevailing trouble; undefined when there is none. */
-  readonly trouble: string | undefined;
+  readonly prevailingFailure: string | undefined;
   /** For how long the longest trouble has lasted, in milliseconds. */
-  readonly lastsMs: number;
+  readonly longestFailureMs: number;
   /** Proxies that no connection owner of the primary answered. */
   readonly withoutOwner: number;
 }
 
 /** Opinions that one leader received. */
-export class PrimaryHealthOpinions {
-  private readonly opinions = new Map<string, Map<string, Opinion>>();
+export class PrimaryHealthReports {
+  private readonly reportsByGroup = new Map<string, Map<string, ReceivedHealthReport>>();
 
   /** Takes the newest opinions of a proxy. */
-  note(proxy: string, reports: readonly whinyoke.IPrimaryReport[], now: number): void {
+  record(proxy: string, reports: readonly whinyoke.IPrimaryReport[], now: number): void {
     for (const report of reports) {
       const group = report.group ?? '';
-      const ofGroup = this.opinions.get(group) ?? new Map<string, Opinion>();
-      this.opinions.set(group, ofGroup);
+      const ofGroup = this.reportsByGroup.get(group) ?? new Map<string, ReceivedHealthReport>();
+      this.reportsByGroup.set(group, ofGroup);
       ofGroup.set(proxy, {
-        at: now,
+        receivedAt: now,
         epoch: report.epoch ?? 0,
         health: report.health ?? PrimaryHealth.HEALTHY,
         since: now - (report.sinceMs ?? 0),
@@ -72,38 +72,38 @@
 
   /** Forgets everything, at the begin of a leadership. */
   clear(): void {
-    this.opinions.clear();
+    this.reportsByGroup.clear();
   }
 
   /** Verdict on the primary of an epoch. */
-  verdict(group: string, epoch: number, now: number): PrimaryVerdict {
-    const present = [...(this.opinions.get(group)?.values() ?? [])].filter(
-      (opinion) => opinion.epoch === epoch && isYoung(opinion, now),
+  summary(group: string, epoch: number, now: number): PrimaryHealthSummary {
+    const current = [...(this.reportsByGroup.get(group)?.values() ?? [])].filter(
+      (report) => report.epoch === epoch && isFresh(report, now),
     );
-    const withoutOwner = present.filter(({ isThroughOwners }) => isThroughOwners);
-    const own = present.filter(({ isThroughOwners }) => !isThroughOwners);
-    const good = own.filter(({ health }) => health === PrimaryHealth.HEALTHY);
-    const bad = own.filter((opinion) => isBad(opinion, now));
-    const prevailing = bad.at(-1);
+    const withoutOwner = current.filter(({ isThroughOwners }) => isThroughOwners);
+    const direct = current.filter(({ isThroughOwners }) => !isThroughOwners);
+    const healthy = direct.filter(({ health }) => health === PrimaryHealth.HEALTHY);
+    const unhealthy = direct.filter((report) => isUnhealthy(report, now));
+    const prevailing = unhealthy.at(-1);
     return {
-      bad: bad.length,
-      silent: own.filter(({ health }) => health === PrimaryHealth.SILENT).length,
-      commitsOnly: bad.filter(({ isCommitsOnly }) => isCommitsOnly).length,
-      good: good.length,
-      trouble: prevailing && PrimaryHealth[prevailing.health].toLowerCase(),
-      lastsMs: Math.max(0, ...bad.map(({ since }) => now - since)),
+      unhealthy: unhealthy.length,
+      silent: direct.filter(({ health }) => health === PrimaryHealth.SILENT).length,
+      commitsOnly: unhealthy.filter(({ isCommitsOnly }) => isCommitsOnly).length,
+      healthy: healthy.length,
+      prevailingFailure: prevailing && PrimaryHealth[prevailing.health].toLowerCase(),
+      longestFailureMs: Math.max(0, ...unhealthy.map(({ since }) => now - since)),
       withoutOwner: withoutOwner.length,
     };
   }
 }
 
-function isYoung({ health, at }: Opinion, now: number): boolean {
+function isFresh({ health, receivedAt }: ReceivedHealthReport, now: number): boolean {
   const lifetimeMs =
-    health === PrimaryHealth.HEALTHY ? GOOD_REPORT_LIFETIME_MS : REPORT_LIFETIME_MS;
-  return now - at <= lifetimeMs;
+    health === PrimaryHealth.HEALTHY ? HEALTHY_REPORT_LIFETIME_MS : UNHEALTHY_REPORT_LIFETIME_MS;
+  return now - receivedAt <= lifetimeMs;
 }
 
-function isBad({ health, since }: Opinion, now: number): boolean {
+function isUnhealthy({ health, since }: ReceivedHealthReport, now: number): boolean {
   if (health === PrimaryHealth.HEALTHY) return false;
   const neededMs = health === PrimaryHealth.SILENT ? COUNTED_SILENCE_MS : COUNTED_REFUSAL_MS;
   return now - since >= neededMs;
--- a/src/appointed/failover/primary_trouble.ts
+++ b/src/appointed/failover/primary_trouble.ts
@@ -9,16 +9,16 @@
  *   - more proxies find it bad than use it, and two of them do, or one and a late heartbeat, or one and control has no
  *     answer itself. Silence right after a change counts only later.
  *   - silence alone is not believed while heartbeats are fresh and the primary answers control. Then it needs a proof
- *     that its commits don't reach a replica, or that no proxy uses it for {@link DISBELIEVED_MS}.
+ *     that its commits don't reach a replica, or that no proxy uses it for {@link UNUSED_PRIMARY_TIMEOUT_MS}.
  *   - proxies that reach no connection owner are believed once control has no answer itself, twice in a row.
  *   - with no good opinion, a heartbeat that is missing for long is enough.
  * Constants: below. Tests: test/unit/primary_trouble.test.ts. Pure.
  */
-import type { DirectEvidence } from './direct_questions.js';
-import type { PrimaryVerdict } from './primary_health_opinions.js';
+import type { ProbeEvidence } from './direct_questions.js';
+import type { PrimaryHealthSummary } from './primary_health_opinions.js';
 
 /** Without any opinion of a proxy, heartbeats must be missing for this long, in milliseconds. A guess, not measured. */
-const SILENT_HEARTBEAT_MS = 5000;
+const MISSING_HEARTBEAT_MS = 5000;
 /** One proxy alone is believed when the primary's heartbeat is older than this, in milliseconds. A guess, not measured. */
 const LATE_HEARTBEAT_MS = 1500;
 /** Silence soon after a change is more likely load than a fault, for this many milliseconds. A guess, not measured. */
@@ -27,64 +27,76 @@
  * A primary that answers control is replaced when no proxy could use it for this long, in milliseconds: all ways from the
  * proxies to it may be cut. Longer than connections that fell silent take to be replaced. A guess, not measured.
  */
-const DISBELIEVED_MS = 1500;
+const UNUSED_PRIMARY_TIMEOUT_MS = 1500;
 /**
  * A primary that no proxy uses has this long to answer control's first question before it is given up, in milliseconds: it had
  * 400 before. test/simulation/silent_primary.test.ts holds the whole: with 250 a write waited for 780, without for 700 at most.
  */
-const ANSWER_GRACE_MS = 80;
+const FIRST_PROBE_GRACE_MS = 80;
 /** Questions in a row that must stay without an answer where proxies know no more than that owners are lost. */
-const SILENT_QUESTIONS = 2;
+const MIN_FAILED_PROBES = 2;
 /** Proxies that must find no owner: one alone may be cut off itself. */
-const WITHOUT_OWNER = 2;
+const MIN_PROXIES_WITHOUT_OWNER = 2;
 
 /** Everything that decides. */
-export interface TroubleInput {
-  readonly verdict: PrimaryVerdict;
+export interface PrimaryFailureInput {
+  readonly healthSummary: PrimaryHealthSummary;
   /** Age of the primary's newest heartbeat, in milliseconds. */
   readonly heartbeatAgeMs: number;
   /** Time since its epoch began, in milliseconds. */
-  readonly steadyMs: number;
+  readonly epochAgeMs: number;
   /** What it answered to control itself. */
-  readonly direct: DirectEvidence;
+  readonly probeEvidence: ProbeEvidence;
 }
 
 /** Whether control should ask the primary itself: some proxy finds it silent, or reaches none of its owners. */
-export function wantsDirectAnswer({ silent, withoutOwner }: PrimaryVerdict): boolean {
+export function shouldProbePrimary({ silent, withoutOwner }: PrimaryHealthSummary): boolean {
   return silent > 0 || withoutOwner > 0;
 }
 
 /** Why the primary is to be replaced; undefined when it is not. */
-export function troubleOf(input: TroubleInput): string | undefined {
-  const { verdict, heartbeatAgeMs } = input;
-  const { bad, good, trouble, withoutOwner } = verdict;
+export function primaryFailureReason(input: PrimaryFailureInput): string | undefined {
+  const { healthSummary, heartbeatAgeMs } = input;
+  const { unhealthy, healthy, prevailingFailure, withoutOwner } = healthSummary;
   const heartbeat = `heartbeat age ${Math.round(heartbeatAgeMs)} ms`;
-  if (bad > good) {
-    const text = `${bad} proxies find it ${trouble}, ${good} use it; ${heartbeat}`;
+  if (unhealthy > healthy) {
+    const text = `${unhealthy} proxies find it ${prevailingFailure}, ${healthy} use it; ${heartbeat}`;
     if (isConfirmed(input) && isSettled(input) && !isContradicted(input)) return text;
   }
-  const isLost = good === 0 && input.direct.silentInRow >= SILENT_QUESTIONS;
-  if (isLost && withoutOwner >= WITHOUT_OWNER) {
+  const isProbeFailing =
+    healthy === 0 && input.probeEvidence.consecutiveFailures >= MIN_FAILED_PROBES;
+  if (isProbeFailing && withoutOwner >= MIN_PROXIES_WITHOUT_OWNER) {
     return `${withoutOwner} proxies reach no owner of its connections, control has no answer; ${heartbeat}`;
   }
-  const isMissing = good === 0 && heartbeatAgeMs > SILENT_HEARTBEAT_MS;
+  const isMissing = healthy === 0 && heartbeatAgeMs > MISSING_HEARTBEAT_MS;
   return isMissing ? `no heartbeat for ${Math.round(heartbeatAgeMs)} ms` : undefined;
 }
 
-function isConfirmed({ verdict, heartbeatAgeMs, direct }: TroubleInput): boolean {
-  const isSeenByControl = direct.silentInRow >= SILENT_QUESTIONS;
-  return verdict.bad >= 2 || heartbeatAgeMs > LATE_HEARTBEAT_MS || isSeenByControl;
+function isConfirmed({
+  healthSummary,
+  heartbeatAgeMs,
+  probeEvidence,
+}: PrimaryFailureInput): boolean {
+  const isSeenByControl = probeEvidence.consecutiveFailures >= MIN_FAILED_PROBES;
+  return healthSummary.unhealthy >= 2 || heartbeatAgeMs > LATE_HEARTBEAT_MS || isSeenByControl;
 }
 
-function isSettled({ verdict, steadyMs }: TroubleInput): boolean {
-  return verdict.trouble !== 'silent' || steadyMs > SETTLING_MS;
+function isSettled({ healthSummary, epochAgeMs }: PrimaryFailureInput): boolean {
+  return healthSummary.prevailingFailure !== 'silent' || epochAgeMs > SETTLING_MS;
 }
 
 /** Whether the primary is alive by its heartbeat and its answer to control, so that silence needs a better proof. */
-function isContradicted({ verdict, heartbeatAgeMs, direct }: TroubleInput): boolean {
-  if (verdict.trouble !== 'silent' || heartbeatAgeMs > LATE_HEARTBEAT_MS) return false;
-  if (direct.pendingMs !== undefined) return verdict.good > 0 || direct.pendingMs < ANSWER_GRACE_MS;
-  if (!direct.isAnswered || direct.isReplicationStalled) return false;
-  const isUsedByNobody = verdict.good === 0 && verdict.lastsMs > DISBELIEVED_MS;
-  return !isUsedByNobody;
+function isContradicted({
+  healthSummary,
+  heartbeatAgeMs,
+  probeEvidence,
+}: PrimaryFailureInput): boolean {
+  if (healthSummary.prevailingFailure !== 'silent' || heartbeatAgeMs > LATE_HEARTBEAT_MS)
+    return false;
+  if (probeEvidence.firstProbePendingMs !== undefined)
+    return healthSummary.healthy > 0 || probeEvidence.firstProbePendingMs < FIRST_PROBE_GRACE_MS;
+  if (!probeEvidence.isAnswered || probeEvidence.isReplicationStalled) return false;
+  const isUnusedTooLong =
+    healthSummary.healthy === 0 && healthSummary.longestFailureMs > UNUSED_PRIMARY_TIMEOUT_MS;
+  return !isUnusedTooLong;
 }
--- a/src/appointed/failover/replica_hold.ts
+++ b/src/appointed/failover/replica_hold.ts
@@ -7,7 +7,7 @@
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
-import { objectionOf } from '../leases/replica_lease.js';
+import { replicaLeaseObjection } from '../leases/replica_lease.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 import type { CandidateReport } from './candidate.js';
@@ -18,9 +18,9 @@
 const { InstanceState } = whinyoke;
 
 /** Hold of the replicas of one group in one change. */
-export class ReplicaHold {
+export class ReplicaFence {
   /** Since when each incarnation of a replica has answered without a break that the old primary is not to be trusted. */
-  private readonly objectingSince = new Map<string, number>();
+  private readonly fencedSinceByIncarnation = new Map<string, number>();
   /** Newest term that an instance of the group named. */
   private newestTerm: number;
 
@@ -41,16 +41,16 @@
   }
 
   /** Since when a replica has been held, or has followed a newer term, without a break; undefined when it has not. */
-  heldSince(instance: InstanceEntry): number | undefined {
-    return this.objectingSince.get(incarnationName(instance));
+  fencedSince(instance: InstanceEntry): number | undefined {
+    return this.fencedSinceByIncarnation.get(incarnationName(instance));
   }
 
   /** Holds replicas for a term; those that answer are candidates. */
-  async holdAll(
+  async fenceAll(
     replicas: readonly InstanceEntry[],
     term: number,
   ): Promise<readonly CandidateReport[]> {
-    const statuses = await Promise.all(replicas.map((instance) => this.hold(instance, term)));
+    const statuses = await Promise.all(replicas.map((instance) => this.fence(instance, term)));
     const reports: CandidateReport[] = [];
     for (const [index, status] of statuses.entries()) {
       const instance = replicas[index]!;
@@ -61,28 +61,28 @@
   }
 
   /** Stops a replica from receiving; one that does so already, or that follows a newer term, is left as it is. */
-  private async hold(instance: InstanceEntry, term: number): Promise<InstanceStatus | undefined> {
+  private async fence(instance: InstanceEntry, term: number): Promise<InstanceStatus | undefined> {
     const target = targetOf(instance);
     const name = incarnationName(instance);
     // A restart of an instance ends its hold, so one that was held before is asked whether it still is.
-    const known = this.objectingSince.has(name)
+    const known = this.fencedSinceByIncarnation.has(name)
       ? await this.administrator.status(target)
       : undefined;
-    this.takeStatus(name, known);
-    if (known && this.objectingSince.has(name)) return known;
+    this.recordStatus(name, known);
+    if (known && this.fencedSinceByIncarnation.has(name)) return known;
     const status =
       (await this.administrator.pause(target, term)) ?? (await this.administrator.status(target));
-    this.takeStatus(name, status);
+    this.recordStatus(name, status);
     return status;
   }
 
-  private takeStatus(instance: string, status: InstanceStatus | undefined): void {
+  private recordStatus(instance: string, status: InstanceStatus | undefined): void {
     if (!status) return;
     this.newestTerm = Math.max(this.newestTerm, status.term);
-    const isObjecting = objectionOf({ instance, status }, this.oldTerm) !== undefined;
-    if (!isObjecting) this.objectingSince.delete(instance);
-    else if (!this.objectingSince.has(instance)) {
-      this.objectingSince.set(instance, this.clock.now());
+    const isFenced = replicaLeaseObjection({ instance, status }, this.oldTerm) !== undefined;
+    if (!isFenced) this.fencedSinceByIncarnation.delete(instance);
+    else if (!this.fencedSinceByIncarnation.has(instance)) {
+      this.fencedSinceByIncarnation.set(instance, this.clock.now());
     }
   }
 }
--- a/src/appointed/failover/replica_release.ts
+++ b/src/appointed/failover/replica_release.ts
@@ -7,19 +7,19 @@
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import { delay } from '../../runtime/runtime.js';
-import type { ChangerContext } from './primary_changer.js';
+import type { PrimaryChangerContext } from './primary_changer.js';
 import type { PrimaryChangeLog } from './primary_change_log.js';
 import { targetOf } from './instance_target.js';
 
 /** Time between two tries to release a replica, in milliseconds. A guess, not measured. */
-const SPACING_MS = 150;
+const RETRY_INTERVAL_MS = 150;
 /** A replica that could not be released for this long has crashed, which releases it, in milliseconds. A guess, not measured. */
-const TIMEOUT_MS = 10_000;
+const RELEASE_TIMEOUT_MS = 10_000;
 
 /** Release after the change that began with one epoch. */
 export class ReplicaRelease {
   constructor(
-    private readonly context: ChangerContext,
+    private readonly context: PrimaryChangerContext,
     private readonly group: string,
     /** Epoch of the change; the one after it is that of the new primary. */
     private readonly epoch: number,
@@ -29,12 +29,12 @@
   /** Asks a replica until it confirms, a later change has begun, or the time is over. */
   async release(instance: InstanceEntry): Promise<void> {
     const { clock, administrator } = this.context;
-    const giveUpAt = clock.now() + TIMEOUT_MS;
-    while (clock.now() < giveUpAt && this.isLatestChange()) {
+    const deadline = clock.now() + RELEASE_TIMEOUT_MS;
+    while (clock.now() < deadline && this.isLatestChange()) {
       if (await administrator.resume(targetOf(instance), () => this.isLatestChange())) return;
-      await delay(clock, SPACING_MS);
+      await delay(clock, RETRY_INTERVAL_MS);
     }
-    this.changeLog.step('not_released', instance.id ?? '');
+    this.changeLog.logStep('not_released', instance.id ?? '');
   }
 
   /** Whether no later change of the group has begun, which would hold the replicas anew. */
--- a/src/appointed/failover/standing_connections.ts
+++ b/src/appointed/failover/standing_connections.ts
@@ -15,19 +15,19 @@
 import { targetOf } from './instance_target.js';
 
 /** Time between two looks at what is missing, in milliseconds. A guess, not measured. */
-const LOOK_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 /** Time to open a connection, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
 /** An open connection. */
-export interface StandingConnection {
+export interface PersistentConnection {
   readonly connection: InstanceConnection;
   /** When it was open at the latest. */
   readonly openedAt: number;
 }
 
 /** What is needed of the leader. */
-interface StandingContext {
+interface PersistentConnectionsContext {
   readonly clock: Clock;
   readonly catalog: Catalog;
   readonly connector: InstanceConnector;
@@ -35,17 +35,17 @@
 }
 
 /** Connections of one leader. */
-export class StandingConnections {
-  private readonly open = new Map<string, StandingConnection>();
+export class PersistentConnections {
+  private readonly connections = new Map<string, PersistentConnection>();
   private readonly opening = new Set<string>();
   private timer: Timer | undefined;
 
-  constructor(private readonly context: StandingContext) {}
+  constructor(private readonly context: PersistentConnectionsContext) {}
 
   /** Starts to keep connections open; keeps none while this machine does not lead. */
   start(): void {
-    this.timer = this.context.clock.setTimer(LOOK_MS, () => {
-      this.look();
+    this.timer = this.context.clock.setTimer(CHECK_INTERVAL_MS, () => {
+      this.reconcile();
       this.start();
     });
   }
@@ -53,16 +53,16 @@
   /** Ends all connections. */
   stop(): void {
     this.timer?.cancel();
-    this.closeAllBut(new Map());
+    this.closeAllExcept(new Map());
   }
 
   /** The connection to an instance; undefined while there is none. */
-  of(target: InstanceTarget): StandingConnection | undefined {
-    const standing = this.open.get(keyOf(target));
-    return standing?.connection.closed ? undefined : standing;
+  of(target: InstanceTarget): PersistentConnection | undefined {
+    const persistent = this.connections.get(keyOf(target));
+    return persistent?.connection.closed ? undefined : persistent;
   }
 
-  private look(): void {
+  private reconcile(): void {
     const wanted = new Map<string, InstanceTarget>();
     if (this.context.isLeading()) {
       for (const instance of this.context.catalog.presentInstances) {
@@ -70,16 +70,16 @@
         if (instance.born) wanted.set(keyOf(target), target);
       }
     }
-    this.closeAllBut(wanted);
+    this.closeAllExcept(wanted);
     for (const [key, target] of wanted) {
-      if (!this.open.has(key) && !this.opening.has(key)) void this.openTo(key, target);
+      if (!this.connections.has(key) && !this.opening.has(key)) void this.openTo(key, target);
     }
   }
 
-  private closeAllBut(wanted: ReadonlyMap<string, InstanceTarget>): void {
-    for (const [key, { connection }] of this.open) {
+  private closeAllExcept(wanted: ReadonlyMap<string, InstanceTarget>): void {
+    for (const [key, { connection }] of this.connections) {
       if (wanted.has(key) && !connection.closed) continue;
-      this.open.delete(key);
+      this.connections.delete(key);
       connection.close();
     }
   }
@@ -89,7 +89,7 @@
     this.opening.add(key);
     try {
       const { connection } = await connector.connect(target, CONNECT_TIMEOUT_MS);
-      this.open.set(key, { connection, openedAt: clock.now() });
+      this.connections.set(key, { connection, openedAt: clock.now() });
     } catch {
       // An instance that can't be reached is tried at the next look; its answers vouch for nothing until then.
     } finally {
--- a/src/appointed/leases/epoch_primary.ts
+++ b/src/appointed/leases/epoch_primary.ts
@@ -14,7 +14,7 @@
 import { positionOf } from '../../positions/position_message.js';
 
 /** Whether a received position holds at least what the epoch names; true where it names none. */
-export function coversEpoch(entry: GroupEntry, received: Position): boolean {
+export function coversEpochMinimum(entry: GroupEntry, received: Position): boolean {
   return covers(received, positionOf(entry.leastPosition) ?? START);
 }
 
@@ -28,6 +28,6 @@
   known: Position | undefined,
 ): boolean {
   if (!entry.leastPosition) return false;
-  const isEmptyAgain = covers(START, position) && !coversEpoch(entry, START);
-  return isEmptyAgain || (known !== undefined && !covers(position, known));
+  const hasBecomeEmpty = covers(START, position) && !coversEpochMinimum(entry, START);
+  return hasBecomeEmpty || (known !== undefined && !covers(position, known));
 }
--- a/src/appointed/leases/primary_health_times.ts
+++ b/src/appointed/leases/primary_health_times.ts
@@ -32,6 +32,6 @@
  * report with each request, about every 300 ms; one that was cut off together with the primary must not vouch for it. A guess,
  * not measured.
  */
-export const GOOD_REPORT_LIFETIME_MS = 700;
+export const HEALTHY_REPORT_LIFETIME_MS = 700;
 /** At the leader: a report of trouble that is older than this does not count, in milliseconds. A guess, not measured. */
-export const REPORT_LIFETIME_MS = 1300;
+export const UNHEALTHY_REPORT_LIFETIME_MS = 1300;
--- a/src/appointed/leases/replica_lease.ts
+++ b/src/appointed/leases/replica_lease.ts
@@ -22,7 +22,7 @@
  * little of the group's members. Less than the time after which control forgets a silent proxy (20 s). A guess, not
  * measured.
  */
-export const LONGEST_REPLICA_LEASE_SILENCE_MS = 12_000;
+export const MAX_REPLICA_LEASE_SILENCE_MS = 12_000;
 
 /** Answer of one replica that was asked to confirm. */
 export type ReplicaAnswer =
@@ -30,7 +30,7 @@
   | { readonly instance: string; readonly problem: string };
 
 /** Why an answer does not confirm a primary of `term`; undefined when it does. */
-export function objectionOf(answer: ReplicaAnswer, term: number): string | undefined {
+export function replicaLeaseObjection(answer: ReplicaAnswer, term: number): string | undefined {
   const { instance } = answer;
   if ('problem' in answer) return `${instance}: ${answer.problem}`;
   const { role, term: ownTerm, heldTerm } = answer.status;
--- a/src/appointed/proxy/control_synchronisation.ts
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -80,7 +80,7 @@
 
   /** Sends changed opinions on primaries and due revocations at once; called often. */
   sendNews(now: number): void {
-    if (this.parts.primaryHealth.hasNews(now)) void this.client.syncNow();
+    if (this.parts.primaryHealth.hasUpdates(now)) void this.client.syncNow();
     if (this.parts.leases.hasDueRevocation(now)) void this.client.syncNow();
   }
 
@@ -142,7 +142,8 @@
     const { contact, document, leases, positions, slowStarts } = this.parts;
     const now = this.runtime.clock.now();
     contact.noteReply(now);
-    for (const { group, epoch } of content.revocations) leases.confirmed(group ?? '', epoch ?? 0);
+    for (const { group, epoch } of content.revocations)
+      leases.recordConfirmed(group ?? '', epoch ?? 0);
     positions.noteClock(reply, now);
     if (reply.directory) this.adoptDirectory(reply.directory);
     const version = reply.version ?? 0;
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -42,7 +42,7 @@
 /** Confirmation of leases by replicas, while control is out of reach. */
 interface SessionLeaseConfirmer {
   /** Notes that a statement wants the primary of a group. */
-  noteWanted(group: string): void;
+  recordPrimaryNeeded(group: string): void;
 }
 
 /** Instances that statements may be sent to. */
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -195,7 +195,7 @@
     const trust = { ...this.surroundings, clock };
     if (distrustShorterLog(trust, { group, epoch }, position, undefined)) return;
     if (!leases.accepts(group, epoch, clock.now())) return;
-    primaryHealth.of(group, epoch).opened(clock.now());
+    primaryHealth.of(group, epoch).onConnectionOpened(clock.now());
     positions.noteFromPrimary(group, epoch, startedAt, position);
   }
 
@@ -206,10 +206,10 @@
     const tracker = primaryHealth.of(group, entry.epoch ?? 0);
     // A primary that turns connections away because it is full is alive.
     if (error.failure === 'connectionLimit' || error.failure === 'busy') {
-      tracker.opened(runtime.clock.now());
+      tracker.onConnectionOpened(runtime.clock.now());
       return;
     }
     const health = error.failure === 'silent' ? PrimaryHealth.SILENT : PrimaryHealth.REFUSING;
-    tracker.failed(health, runtime.clock.now());
+    tracker.onFailure(health, runtime.clock.now());
   }
 }
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -41,7 +41,7 @@
 /** How long a change of the group's primary has been under way, in milliseconds; undefined when there is none. */
 export function changeAge(context: ProxyContext, group: string): number | undefined {
   if (!isChanging(context, group)) return undefined;
-  return context.leases.phaseAge(group, context.clock.now());
+  return context.leases.phaseAgeMs(group, context.clock.now());
 }
 
 function situationOf(context: ProxyContext, group: string): GroupSituation {
@@ -71,7 +71,7 @@
     elapsed_ms: Math.round(request.deadline.elapsed),
     epoch: entry?.epoch ?? 0,
     phase: isChanging(context, group) ? 'changing' : 'steady',
-    phase_age_ms: Math.round(context.leases.phaseAge(group, now)),
+    phase_age_ms: Math.round(context.leases.phaseAgeMs(group, now)),
     leased: context.leases.primaryOf(group, now) !== undefined,
     floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
     document: context.table?.version ?? 0,
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -104,7 +104,7 @@
   const primary = primaryWithin(context, group, homes);
   const after = readFloor(context, request);
   if (!after) {
-    context.leaseConfirmer.noteWanted(group);
+    context.leaseConfirmer.recordPrimaryNeeded(group);
     return primary && !tried.has(primary.instance) ? [primary] : [];
   }
   const primaryInstance = context.leases.entryOf(group)?.primary;
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -120,12 +120,12 @@
       this.drop();
       return { reply: refuse(this.context, refusal, 'aborted', obstacle) };
     }
-    this.context.leases.commitStarted(this.route.group);
+    this.context.leases.onCommitStarted(this.route.group);
     try {
       const attempt = await this.attempt({ kind: 'commit', id }, content, deadline);
       return this.judgeCommit(attempt, refusal);
     } finally {
-      this.context.leases.commitEnded(this.route.group);
+      this.context.leases.onCommitEnded(this.route.group);
     }
   }
 
@@ -168,7 +168,7 @@
     const { rows, signature, position } = answer;
     const reply: CallerReply = { rows, signature, state: 'idle', position };
     if (!this.hasWritten || !position) return { reply };
-    this.context.leases.noteAcknowledged(this.route.group, position);
+    this.context.leases.recordAcknowledged(this.route.group, position);
     return { reply, committedAt: position };
   }
 
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -111,9 +111,9 @@
     while (deadline.allowsAttempt) {
       const target = await awaitPrimary(this.context, deadline, tenant);
       if (!target) break;
-      this.context.leases.commitStarted(group);
+      this.context.leases.onCommitStarted(group);
       const result = await this.attemptWrite(request, target).finally(() =>
-        this.context.leases.commitEnded(group),
+        this.context.leases.onCommitEnded(group),
       );
       if ('reply' in result) return result;
       cause = result.cause;
@@ -232,7 +232,7 @@
     if (!isTargetTrusted(this.context, target) || !answer.position) {
       return { reply: inDoubt(this.context, refusal, { kind: 'leaseEnded' }) };
     }
-    this.context.leases.noteAcknowledged(target.group, answer.position);
+    this.context.leases.recordAcknowledged(target.group, answer.position);
     return { reply: this.succeed(request, target, answer), committedAt: answer.position };
   }
 
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -200,19 +200,19 @@
     const asked = { at: sentAt, known };
     const tracker = epoch === undefined ? undefined : this.context.primaryHealth.of(group, epoch);
     const mayCommit = command.kind === 'commit' || isWrite(command);
-    const ended = pooled.isRelayed ? undefined : tracker?.started(mayCommit, sentAt);
+    const ended = pooled.isRelayed ? undefined : tracker?.onStatementSent(mayCommit, sentAt);
     load.outstanding++;
     try {
       const answer = await pooled.connection.run(command, timeoutMs);
       const now = clock.now();
       ended?.(true, now);
-      if (pooled.isRelayed) tracker?.ownerAnswered();
+      if (pooled.isRelayed) tracker?.onOwnerAnswered();
       this.reportAnswer(held, answer, asked, command.kind === 'data');
       if (command.kind === 'begin' && !answer.error) held.inTransaction = true;
       return answer;
     } catch (error) {
       ended?.(false, clock.now());
-      if (error instanceof OwnerUnreachableError) tracker?.ownersSilent(clock.now());
+      if (error instanceof OwnerUnreachableError) tracker?.onOwnersSilent(clock.now());
       if (isInstanceFault(held, error)) load.noteFailure(clock.now());
       throw error;
     } finally {
@@ -259,7 +259,7 @@
     const { clock, leases, primaryHealth, positions } = this.context;
     const now = clock.now();
     if (error?.kind === 'readOnly' && !pooled.isRelayed) {
-      primaryHealth.of(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
+      primaryHealth.of(group, epoch).onFailure(PrimaryHealth.NOT_PRIMARY, now);
     } else if (position && leases.accepts(group, epoch, now)) {
       if (distrustShorterLog(this.context, { group, epoch }, position, asked.known)) return;
       positions.noteFromPrimary(group, epoch, asked.at, position);
--- a/src/appointed/trust/group_lease.ts
+++ b/src/appointed/trust/group_lease.ts
@@ -31,9 +31,9 @@
   /** Highest position acknowledged to a caller. */
   acknowledged: Position | undefined;
   /** Statements under way whose outcome a revocation should wait for. */
-  commitsUnderWay: number;
+  commitsInFlight: number;
   /** CHANGING epoch for which the leases of earlier ones have ended. */
-  endedEpoch: number;
+  revokedEpoch: number;
   /** Newest epoch whose confirmation control has taken. */
   confirmedEpoch: number;
   /** Epoch whose primary has started again: it gets no lease any more. */
@@ -53,7 +53,7 @@
  * change. docs/measurements/pieraksts.md: with a silence of 350 ms, score of a day with
  * faults 0.618 to 0.632 and 0.631.
  */
-const TROUBLED_COMMIT_WAIT_MS = 80;
+const FAILOVER_COMMIT_WAIT_MS = 80;
 
 function endingLease(known: GroupLease | undefined): EndingLease | undefined {
   if (!known) return undefined;
@@ -67,12 +67,12 @@
 export function isRevocationDue(lease: GroupLease, now: number): boolean {
   const isChanging = lease.entry.phase === whinyoke.GroupPhase.CHANGING;
   if (!isChanging || lease.confirmedEpoch >= (lease.entry.epoch ?? 0)) return false;
-  const longestWaitMs = lease.entry.planned ? PLANNED_COMMIT_WAIT_MS : TROUBLED_COMMIT_WAIT_MS;
-  return lease.commitsUnderWay === 0 || now - lease.knownSince > longestWaitMs;
+  const maxWaitMs = lease.entry.planned ? PLANNED_COMMIT_WAIT_MS : FAILOVER_COMMIT_WAIT_MS;
+  return lease.commitsInFlight === 0 || now - lease.knownSince > maxWaitMs;
 }
 
 /** Lease after control sent an entry of the same or a later epoch. */
-export function successorOf(
+export function updatedLease(
   known: GroupLease | undefined,
   entry: GroupEntry,
   now: number,
@@ -84,8 +84,8 @@
     leaseUntil: -Infinity,
     knownSince: now,
     acknowledged: known?.acknowledged,
-    commitsUnderWay: known?.commitsUnderWay ?? 0,
-    endedEpoch: known?.endedEpoch ?? 0,
+    commitsInFlight: known?.commitsInFlight ?? 0,
+    revokedEpoch: known?.revokedEpoch ?? 0,
     confirmedEpoch: known?.confirmedEpoch ?? 0,
     distrustedEpoch: known?.distrustedEpoch ?? 0,
   };
@@ -107,7 +107,7 @@
 }
 
 /** Whether an answer of the primary of `epoch` counts at `now`. */
-export function isAnswerCounted(
+export function isAnswerValid(
   { entry, leaseUntil, ending }: GroupLease,
   epoch: number,
   now: number,
--- a/src/appointed/trust/primary_health_tracker.ts
+++ b/src/appointed/trust/primary_health_tracker.ts
@@ -21,10 +21,10 @@
  * silent for good while new ones work. Before {@link REPORTED_SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
  * Guess, not measured.
  */
-const SUSPICION_MS = 200;
+const SUSPECT_AFTER_MS = 200;
 
 /** Opinion on a primary, which control counts with those of other proxies. */
-interface PrimaryOpinion {
+interface PrimaryHealthReport {
   readonly health: whinyoke.PrimaryHealth;
   /** How long the primary has been like this, in milliseconds; for a healthy one the age of the newest answer. */
   readonly sinceMs: number;
@@ -38,7 +38,7 @@
  * Silence goes on over statements that were given up when the next one is sent within this time, in milliseconds: control waits
  * longer (`src/appointed/failover/primary_trouble.ts`) than statements do. Guess, not measured.
  */
-const SILENCE_GAP_MS = 1000;
+const MAX_SILENCE_GAP_MS = 1000;
 
 /** For how long statements that no connection owner answered are reported, in milliseconds. Guess, not measured. */
 const OWNERS_SILENCE_LIFETIME_MS = 1000;
@@ -54,7 +54,7 @@
   private readonly sentTimes = new Map<number, number>();
   private lastAnswerAt = -Infinity;
   /** Statements since the last answer that were given up. */
-  private givenUp: Silence | undefined;
+  private abandoned: Silence | undefined;
   private nextKey = 1;
 
   start(now: number): number {
@@ -66,15 +66,15 @@
   end(key: number, isAnswered: boolean, now: number): void {
     const sentAt = this.sentTimes.get(key);
     this.sentTimes.delete(key);
-    if (isAnswered) this.answered(now);
+    if (isAnswered) this.recordAnswer(now);
     else if (sentAt !== undefined && sentAt >= this.lastAnswerAt) {
-      this.givenUp = { since: this.silenceBegan(sentAt), newestAt: now };
+      this.abandoned = { since: this.silenceBegan(sentAt), newestAt: now };
     }
   }
 
-  answered(now: number): void {
+  recordAnswer(now: number): void {
     this.lastAnswerAt = now;
-    this.givenUp = undefined;
+    this.abandoned = undefined;
   }
 
   /** Since when statements stay without any answer; undefined while that is not longer than `silenceMs`. */
@@ -89,8 +89,8 @@
 
   /** When the silence began in which a statement was sent. */
   private silenceBegan(sentAt: number): number {
-    const { since, newestAt } = this.givenUp ?? { since: sentAt, newestAt: sentAt };
-    return sentAt - newestAt <= SILENCE_GAP_MS ? Math.min(since, sentAt) : sentAt;
+    const { since, newestAt } = this.abandoned ?? { since: sentAt, newestAt: sentAt };
+    return sentAt - newestAt <= MAX_SILENCE_GAP_MS ? Math.min(since, sentAt) : sentAt;
   }
 
   get answeredAt(): number {
@@ -106,7 +106,7 @@
   private failure: { health: whinyoke.PrimaryHealth; since: number } | undefined;
 
   /** Notes a statement that was sent; returns what ends it. */
-  started(mayCommit: boolean, now: number): (isAnswered: boolean, endedAt: number) => void {
+  onStatementSent(mayCommit: boolean, now: number): (isAnswered: boolean, endedAt: number) => void {
     const keys = { all: this.all.start(now), commit: mayCommit ? this.commits.start(now) : 0 };
     return (isAnswered, endedAt) => {
       this.all.end(keys.all, isAnswered, endedAt);
@@ -116,51 +116,51 @@
   }
 
   /** Notes that a connection could not be opened, or that the instance says it is no primary. */
-  failed(health: whinyoke.PrimaryHealth, now: number): void {
+  onFailure(health: whinyoke.PrimaryHealth, now: number): void {
     if (this.failure?.health === health) return;
     this.failure = { health, since: this.failure?.since ?? now };
   }
 
   /** Notes that the primary opened a connection: whatever stays without an answer, it is alive. */
-  opened(now: number): void {
-    this.all.answered(now);
+  onConnectionOpened(now: number): void {
+    this.all.recordAnswer(now);
   }
 
   /** Notes that no connection owner answered a statement for the primary. */
-  ownersSilent(now: number): void {
+  onOwnersSilent(now: number): void {
     this.ownersSilence = { since: this.ownersSilence?.since ?? now, newestAt: now };
   }
 
   /** Notes that a connection owner passed on an answer of the primary. */
-  ownerAnswered(): void {
+  onOwnerAnswered(): void {
     this.ownersSilence = undefined;
   }
 
   /** Whether statements are without any answer for long enough to try another connection. */
   isSuspect(now: number): boolean {
-    const since = this.all.silentSince(now, SUSPICION_MS);
+    const since = this.all.silentSince(now, SUSPECT_AFTER_MS);
     return since !== undefined && this.failure === undefined;
   }
 
   /** Present opinion; undefined without recent evidence. */
-  opinion(now: number): PrimaryOpinion | undefined {
-    return this.ownOpinion(now) ?? this.opinionThroughOwners(now);
+  healthReport(now: number): PrimaryHealthReport | undefined {
+    return this.directHealthReport(now) ?? this.healthReportThroughOwners(now);
   }
 
-  private ownOpinion(now: number): PrimaryOpinion | undefined {
+  private directHealthReport(now: number): PrimaryHealthReport | undefined {
     const { failure } = this;
-    if (failure) return ownOpinion(failure.health, now - failure.since);
+    if (failure) return directReport(failure.health, now - failure.since);
     const allSince = this.all.silentSince(now, REPORTED_SILENCE_MS);
-    if (allSince !== undefined) return ownOpinion(PrimaryHealth.SILENT, now - allSince);
+    if (allSince !== undefined) return directReport(PrimaryHealth.SILENT, now - allSince);
     const commitsSince = this.commits.silentSince(now, REPORTED_SILENCE_MS);
     if (commitsSince !== undefined) {
-      return ownOpinion(PrimaryHealth.SILENT, now - commitsSince, true);
+      return directReport(PrimaryHealth.SILENT, now - commitsSince, true);
     }
     const age = now - this.all.answeredAt;
-    return age <= ANSWER_LIFETIME_MS ? ownOpinion(PrimaryHealth.HEALTHY, age) : undefined;
+    return age <= ANSWER_LIFETIME_MS ? directReport(PrimaryHealth.HEALTHY, age) : undefined;
   }
 
-  private opinionThroughOwners(now: number): PrimaryOpinion | undefined {
+  private healthReportThroughOwners(now: number): PrimaryHealthReport | undefined {
     const silence = this.ownersSilence;
     if (!silence || now - silence.newestAt > OWNERS_SILENCE_LIFETIME_MS) return undefined;
     const sinceMs = now - silence.since;
@@ -174,10 +174,10 @@
 }
 
 /** Opinion that rests on connections of this proxy. */
-function ownOpinion(
+function directReport(
   health: whinyoke.PrimaryHealth,
   sinceMs: number,
   isCommitsOnly = false,
-): PrimaryOpinion {
+): PrimaryHealthReport {
   return { health, sinceMs, isCommitsOnly, isThroughOwners: false };
 }
--- a/src/appointed/trust/primary_health_trackers.ts
+++ b/src/appointed/trust/primary_health_trackers.ts
@@ -50,28 +50,28 @@
     for (const [group, tracked] of this.tracked) {
       const { epoch, tracker } = tracked;
       const entry = this.leases.entryOf(group);
-      const opinion = entry?.epoch === epoch ? tracker.opinion(now) : undefined;
-      if (!opinion) continue;
-      const { health, isCommitsOnly: commitsOnly, isThroughOwners: throughOwners } = opinion;
+      const report = entry?.epoch === epoch ? tracker.healthReport(now) : undefined;
+      if (!report) continue;
+      const { health, isCommitsOnly: commitsOnly, isThroughOwners: throughOwners } = report;
       tracked.reportedHealth = health;
       tracked.isReportedThroughOwners = throughOwners;
-      const sinceMs = Math.round(opinion.sinceMs);
+      const sinceMs = Math.round(report.sinceMs);
       reports.push({ group, epoch, health, sinceMs, commitsOnly, throughOwners });
     }
     return reports;
   }
 
   /** Whether an opinion has changed that control should hear of at once. */
-  hasNews(now: number): boolean {
+  hasUpdates(now: number): boolean {
     for (const [group, tracked] of this.tracked) {
       const { epoch, tracker, reportedHealth } = tracked;
       const entry = this.leases.entryOf(group);
       if (entry?.epoch !== epoch || entry.phase === GroupPhase.CHANGING) continue;
-      const opinion = tracker.opinion(now);
-      if (opinion === undefined) continue;
-      const isSameSource = opinion.isThroughOwners === tracked.isReportedThroughOwners;
-      if (opinion.health === reportedHealth && isSameSource) continue;
-      if (opinion.health !== PrimaryHealth.HEALTHY || reportedHealth !== undefined) return true;
+      const report = tracker.healthReport(now);
+      if (report === undefined) continue;
+      const isSameSource = report.isThroughOwners === tracked.isReportedThroughOwners;
+      if (report.health === reportedHealth && isSameSource) continue;
+      if (report.health !== PrimaryHealth.HEALTHY || reportedHealth !== undefined) return true;
     }
     return false;
   }
@@ -81,8 +81,8 @@
     const suspects: string[] = [];
     for (const [group, { epoch, tracker }] of this.tracked) {
       const entry = this.leases.entryOf(group);
-      const isPresent = entry?.epoch === epoch && entry.phase !== GroupPhase.CHANGING;
-      if (isPresent && tracker.isSuspect(now)) suspects.push(entry.primary ?? '');
+      const isCurrent = entry?.epoch === epoch && entry.phase !== GroupPhase.CHANGING;
+      if (isCurrent && tracker.isSuspect(now)) suspects.push(entry.primary ?? '');
     }
     return suspects;
   }
--- a/src/appointed/trust/primary_incarnation.ts
+++ b/src/appointed/trust/primary_incarnation.ts
@@ -23,7 +23,7 @@
 const { PrimaryHealth } = whinyoke;
 
 /** What the rule needs of the proxy. */
-interface TrustSurroundings {
+interface TrustDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
   readonly leases: PrimaryLeases;
@@ -35,35 +35,35 @@
  * @param known - newest position that the primary had told before it was asked
  */
 export function distrustShorterLog(
-  surroundings: TrustSurroundings,
+  dependencies: TrustDependencies,
   { group, epoch }: { readonly group: string; readonly epoch: number },
   position: Position,
   known: Position | undefined,
 ): boolean {
-  const entry = surroundings.leases.entryOf(group);
+  const entry = dependencies.leases.entryOf(group);
   if (!entry || !isOfLaterIncarnation(entry, position, known)) return false;
-  distrust(surroundings, group, epoch, `its log ends at ${formatPosition(position)}`);
+  distrust(dependencies, group, epoch, `its log ends at ${formatPosition(position)}`);
   return true;
 }
 
 /** Ends the lease where the catalog names another incarnation than that of the present epoch. */
 export function distrustOtherIncarnation(
-  surroundings: TrustSurroundings,
+  dependencies: TrustDependencies,
   group: string,
   instance: string,
   incarnation: number,
 ): void {
-  const { primary, epoch, primaryIncarnation } = surroundings.leases.entryOf(group) ?? {};
+  const { primary, epoch, primaryIncarnation } = dependencies.leases.entryOf(group) ?? {};
   if (primary !== instance || !epoch || (primaryIncarnation ?? 0) === incarnation) return;
-  distrust(surroundings, group, epoch, `incarnation ${incarnation}`);
+  distrust(dependencies, group, epoch, `incarnation ${incarnation}`);
 }
 
 function distrust(
-  { clock, log, leases, primaryHealth }: TrustSurroundings,
+  { clock, log, leases, primaryHealth }: TrustDependencies,
   group: string,
   epoch: number,
   sign: string,
 ): void {
-  primaryHealth.of(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, clock.now());
+  primaryHealth.of(group, epoch).onFailure(PrimaryHealth.NOT_PRIMARY, clock.now());
   if (leases.distrust(group, epoch)) log(Events.primaryStartedAgain, { group, epoch, sign });
 }
--- a/src/appointed/trust/primary_leases.ts
+++ b/src/appointed/trust/primary_leases.ts
@@ -8,12 +8,12 @@
 import { type Position, latest } from '../../positions/position.js';
 import {
   type GroupLease,
-  isAnswerCounted,
+  isAnswerValid,
   isLeasable,
   isLeased,
   isRevocationDue,
   isUsable,
-  successorOf,
+  updatedLease,
 } from './group_lease.js';
 
 /** A primary that may be used now. */
@@ -44,7 +44,7 @@
       const known = this.groups.get(name);
       if (known && (entry.epoch ?? 0) < (known.entry.epoch ?? 0)) continue;
       if (!known) this.sortedNames = undefined;
-      this.groups.set(name, successorOf(known, entry, now));
+      this.groups.set(name, updatedLease(known, entry, now));
     }
   }
 
@@ -108,7 +108,7 @@
   /** Whether answers of the primary of `epoch` still count at `now`. */
   accepts(group: string, epoch: number, now: number): boolean {
     const lease = this.groups.get(group);
-    return lease !== undefined && isAnswerCounted(lease, epoch, now);
+    return lease !== undefined && isAnswerValid(lease, epoch, now);
   }
 
   /** Newest known entry of a group. */
@@ -117,28 +117,28 @@
   }
 
   /** How long the present phase of a group has been known, in milliseconds. */
-  phaseAge(group: string, now: number): number {
+  phaseAgeMs(group: string, now: number): number {
     const lease = this.groups.get(group);
     return lease ? now - lease.knownSince : 0;
   }
 
   /** Notes a commit that is acknowledged to a caller. */
-  noteAcknowledged(group: string, position: Position): void {
+  recordAcknowledged(group: string, position: Position): void {
     const lease = this.groups.get(group);
     if (!lease) return;
     lease.acknowledged = lease.acknowledged ? latest(lease.acknowledged, position) : position;
   }
 
   /** Notes the start of a statement that may commit. */
-  commitStarted(group: string): void {
+  onCommitStarted(group: string): void {
     const lease = this.groups.get(group);
-    if (lease) lease.commitsUnderWay++;
+    if (lease) lease.commitsInFlight++;
   }
 
   /** Notes the end of a statement that may commit. */
-  commitEnded(group: string): void {
+  onCommitEnded(group: string): void {
     const lease = this.groups.get(group);
-    if (lease) lease.commitsUnderWay--;
+    if (lease) lease.commitsInFlight--;
   }
 
   /** Whether a revocation is due and not yet confirmed. */
@@ -152,7 +152,7 @@
     for (const [group, lease] of this.groups) {
       if (!isRevocationDue(lease, now)) continue;
       lease.ending = undefined;
-      lease.endedEpoch = lease.entry.epoch ?? 0;
+      lease.revokedEpoch = lease.entry.epoch ?? 0;
       ended.push(group);
     }
     return ended;
@@ -164,10 +164,10 @@
    */
   confirmations(): readonly Confirmation[] {
     const confirmations: Confirmation[] = [];
-    for (const [group, { entry, endedEpoch, acknowledged }] of this.groups) {
+    for (const [group, { entry, revokedEpoch, acknowledged }] of this.groups) {
       const epoch = entry.epoch ?? 0;
       const isChanging = entry.phase === whinyoke.GroupPhase.CHANGING;
-      if (isChanging && endedEpoch === epoch) {
+      if (isChanging && revokedEpoch === epoch) {
         confirmations.push({ group, epoch, position: acknowledged });
       }
     }
@@ -175,7 +175,7 @@
   }
 
   /** Notes that control has taken a revocation. */
-  confirmed(group: string, epoch: number): void {
+  recordConfirmed(group: string, epoch: number): void {
     const lease = this.groups.get(group);
     if (lease) lease.confirmedEpoch = Math.max(lease.confirmedEpoch, epoch);
   }
--- a/src/appointed/trust/primary_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -19,11 +19,11 @@
 ): Promise<Target | undefined> {
   const { group } = deadline.route;
   for (;;) {
-    const homes = homesOf(context, deadline.route, tenant);
-    const target = primaryWithin(context, group, homes);
-    context.leaseConfirmer.noteWanted(group);
+    const allowedRegions = homesOf(context, deadline.route, tenant);
+    const target = primaryWithin(context, group, allowedRegions);
+    context.leaseConfirmer.recordPrimaryNeeded(group);
     if (target) return target;
-    if (isWaitInVain(context, group, homes)) return undefined;
+    if (isWaitInVain(context, group, allowedRegions)) return undefined;
     if (isPrimaryEvacuated(context, group)) return undefined;
     const waitMs = deadline.primaryWait(changeAge(context, group));
     if (waitMs <= 0) return undefined;
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -21,10 +21,10 @@
  * docs/measurements/pieraksts.md for the mechanism as a whole: score of a day with faults 0.449 to 0.609.
  */
 import {
-  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  MAX_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
   type ReplicaAnswer,
-  objectionOf,
+  replicaLeaseObjection,
 } from '../leases/replica_lease.js';
 import { Events } from '../../observability/events.js';
 import type { Clock } from '../../runtime/runtime.js';
@@ -34,19 +34,19 @@
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
 /** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. Guess, not measured. */
-const FIRST_SILENCE_MS = 1200;
+const MIN_CONTROL_SILENCE_MS = 1200;
 /** Time between two rounds of a group, in milliseconds: three rounds in a lease. Guess, not measured. */
-const ROUND_MS = 200;
+const ROUND_INTERVAL_MS = 200;
 /**
  * A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted.
  * Guess, not measured.
  */
-const WANTED_MS = 400;
+const RECENT_USE_MS = 400;
 /**
  * Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds: shorter than
  * the lease. Guess, not measured.
  */
-const KEPT_ROUND_MS = 600;
+const UNUSED_GROUP_ROUND_INTERVAL_MS = 600;
 /** Time for a connection, and for an answer on it, in milliseconds. Guess, not measured. */
 const ANSWER_TIMEOUT_MS = 250;
 /** Before all requests of callers, which depend on the answer. */
@@ -54,7 +54,11 @@
 /** Outcome of a round in which no replica objected. */
 const CONFIRMED = 'confirmed';
 /** Any connection will do, also one of a tenant: the question is the system's own. */
-const QUESTION: ConnectionRequest = { tenant: undefined, values: new Map(), priority: PRIORITY };
+const STATUS_CONNECTION_REQUEST: ConnectionRequest = {
+  tenant: undefined,
+  values: new Map(),
+  priority: PRIORITY,
+};
 
 /** A replica of a group as the proxy knows it. */
 export interface ConfirmingReplica {
@@ -64,7 +68,7 @@
 }
 
 /** What the confirmer needs of its proxy. */
-interface ConfirmerSurroundings {
+interface ReplicaLeaseConfirmerDependencies {
   readonly clock: Clock;
   readonly leases: PrimaryLeases;
   readonly log: DecisionLog;
@@ -77,7 +81,7 @@
   /** When the newest round was started. */
   startedAt: number;
   /** Whether answers of it are awaited. */
-  isUnderWay: boolean;
+  isInFlight: boolean;
   /** Outcome of the newest round, as logged. */
   outcome: string | undefined;
 }
@@ -85,20 +89,20 @@
 /** Asks the replicas of all groups of one proxy. */
 export class ReplicaLeaseConfirmer {
   private readonly rounds = new Map<string, GroupRounds>();
-  private readonly wantedAt = new Map<string, number>();
-  private isAsking = false;
+  private readonly neededAt = new Map<string, number>();
+  private isActive = false;
   /** Group that is confirmed though nobody wants its primary, so that the proxy knows whether it can serve at all. */
-  private keptGroup = '';
+  private unusedGroup = '';
 
-  constructor(private readonly surroundings: ConfirmerSurroundings) {}
+  constructor(private readonly dependencies: ReplicaLeaseConfirmerDependencies) {}
 
   /** Notes that a statement wants the primary of a group. */
-  noteWanted(group: string): void {
-    const now = this.surroundings.clock.now();
-    this.wantedAt.set(group, now);
-    const { leases } = this.surroundings;
-    const isLeaseMissing = this.isAsking && leases.primaryOf(group, now) === undefined;
-    if (isLeaseMissing && leases.leasedGroups().includes(group)) this.askIfDue(group, now);
+  recordPrimaryNeeded(group: string): void {
+    const now = this.dependencies.clock.now();
+    this.neededAt.set(group, now);
+    const { leases } = this.dependencies;
+    const isLeaseMissing = this.isActive && leases.primaryOf(group, now) === undefined;
+    if (isLeaseMissing && leases.leasedGroups().includes(group)) this.startRoundIfDue(group, now);
   }
 
   /**
@@ -106,70 +110,74 @@
    * milliseconds.
    */
   maintain(controlSilenceMs: number): void {
-    this.isAsking =
-      controlSilenceMs > FIRST_SILENCE_MS && controlSilenceMs < LONGEST_REPLICA_LEASE_SILENCE_MS;
-    if (!this.isAsking) {
+    this.isActive =
+      controlSilenceMs > MIN_CONTROL_SILENCE_MS && controlSilenceMs < MAX_REPLICA_LEASE_SILENCE_MS;
+    if (!this.isActive) {
       this.rounds.clear();
       return;
     }
-    const now = this.surroundings.clock.now();
-    const groups = this.surroundings.leases.leasedGroups();
+    const now = this.dependencies.clock.now();
+    const groups = this.dependencies.leases.leasedGroups();
     for (const group of groups) {
-      const isWanted = now - (this.wantedAt.get(group) ?? -Infinity) < WANTED_MS;
-      if (isWanted) this.askIfDue(group, now);
+      const isNeeded = now - (this.neededAt.get(group) ?? -Infinity) < RECENT_USE_MS;
+      if (isNeeded) this.startRoundIfDue(group, now);
     }
-    this.keepOne(groups, now);
+    this.confirmUnusedGroup(groups, now);
   }
 
   /** Keeps the lease of one group that nobody wants; of another one when the present one is not confirmed. */
-  private keepOne(groups: readonly string[], now: number): void {
-    const known = this.rounds.get(this.keptGroup);
-    const isOver = known !== undefined && !known.isUnderWay;
-    if (isOver && known.outcome !== CONFIRMED) {
-      this.keptGroup = groups[(groups.indexOf(this.keptGroup) + 1) % groups.length] ?? '';
-    } else if (!groups.includes(this.keptGroup)) {
-      this.keptGroup = groups[0] ?? '';
+  private confirmUnusedGroup(groups: readonly string[], now: number): void {
+    const known = this.rounds.get(this.unusedGroup);
+    const hasEnded = known !== undefined && !known.isInFlight;
+    if (hasEnded && known.outcome !== CONFIRMED) {
+      this.unusedGroup = groups[(groups.indexOf(this.unusedGroup) + 1) % groups.length] ?? '';
+    } else if (!groups.includes(this.unusedGroup)) {
+      this.unusedGroup = groups[0] ?? '';
     }
-    const isDue = now - (this.rounds.get(this.keptGroup)?.startedAt ?? -Infinity) >= KEPT_ROUND_MS;
-    if (this.keptGroup !== '' && isDue) this.askIfDue(this.keptGroup, now);
+    const isDue =
+      now - (this.rounds.get(this.unusedGroup)?.startedAt ?? -Infinity) >=
+      UNUSED_GROUP_ROUND_INTERVAL_MS;
+    if (this.unusedGroup !== '' && isDue) this.startRoundIfDue(this.unusedGroup, now);
   }
 
-  private askIfDue(group: string, now: number): void {
+  private startRoundIfDue(group: string, now: number): void {
     const rounds = this.roundsOf(group);
-    if (rounds.isUnderWay || now - rounds.startedAt < ROUND_MS) return;
+    if (rounds.isInFlight || now - rounds.startedAt < ROUND_INTERVAL_MS) return;
     rounds.startedAt = now;
-    rounds.isUnderWay = true;
-    void this.ask(group, rounds);
+    rounds.isInFlight = true;
+    void this.runRound(group, rounds);
   }
 
   private roundsOf(group: string): GroupRounds {
     let rounds = this.rounds.get(group);
     if (!rounds) {
-      rounds = { startedAt: -Infinity, isUnderWay: false, outcome: undefined };
+      rounds = { startedAt: -Infinity, isInFlight: false, outcome: undefined };
       this.rounds.set(group, rounds);
     }
     return rounds;
   }
 
-  private async ask(group: string, rounds: GroupRounds): Promise<void> {
-    const { leases } = this.surroundings;
+  private async runRound(group: string, rounds: GroupRounds): Promise<void> {
+    const { leases } = this.dependencies;
     const { epoch = 0, term = 0 } = leases.entryOf(group) ?? {};
-    const replicas = this.surroundings.replicasOf(group);
+    const replicas = this.dependencies.replicasOf(group);
     const answers = await Promise.all(replicas.map((replica) => this.statusOf(replica)));
-    rounds.isUnderWay = false;
+    rounds.isInFlight = false;
     const objection =
-      this.objectionTo(group, replicas) ??
-      answers.map((answer) => objectionOf(answer, term ?? 0)).find((text) => text !== undefined);
+      this.memberObjection(group, replicas) ??
+      answers
+        .map((answer) => replicaLeaseObjection(answer, term ?? 0))
+        .find((text) => text !== undefined);
     const until = rounds.startedAt + REPLICA_LEASE_MS;
     if (objection === undefined) leases.extend(group, epoch ?? 0, until);
     this.logOutcome(group, rounds, objection ?? CONFIRMED);
   }
 
   /** Why the replicas that were asked can't answer for the group now. */
-  private objectionTo(group: string, asked: readonly ConfirmingReplica[]): string | undefined {
+  private memberObjection(group: string, asked: readonly ConfirmingReplica[]): string | undefined {
     if (asked.length === 0) return 'no replica is known';
     const present = new Map(
-      this.surroundings.replicasOf(group).map(({ instance, pool }) => [instance, pool]),
+      this.dependencies.replicasOf(group).map(({ instance, pool }) => [instance, pool]),
     );
     const changed = asked.find(
       ({ instance, pool }) => present.has(instance) && present.get(instance) !== pool,
@@ -181,7 +189,7 @@
     if (!pool) return { instance, problem: 'not connected' };
     let pooled: PooledConnection | undefined;
     try {
-      pooled = await pool.acquire(QUESTION, ANSWER_TIMEOUT_MS);
+      pooled = await pool.acquire(STATUS_CONNECTION_REQUEST, ANSWER_TIMEOUT_MS);
       const { status, error } = await pooled.connection.run({ kind: 'status' }, ANSWER_TIMEOUT_MS);
       pool.release(pooled);
       return status ? { instance, status } : { instance, problem: error?.kind ?? 'no state' };
@@ -195,7 +203,7 @@
   private logOutcome(group: string, rounds: GroupRounds, outcome: string): void {
     if (rounds.outcome === outcome) return;
     rounds.outcome = outcome;
-    const epoch = this.surroundings.leases.entryOf(group)?.epoch ?? 0;
-    this.surroundings.log(Events.leaseWitnessed, { group, epoch, outcome });
+    const epoch = this.dependencies.leases.entryOf(group)?.epoch ?? 0;
+    this.dependencies.log(Events.leaseWitnessed, { group, epoch, outcome });
   }
 }
--- a/test/tools/changed_group.ts
+++ b/test/tools/changed_group.ts
@@ -6,10 +6,10 @@
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import { LeaseLedger } from '../../src/appointed/failover/lease_ledger.js';
 import {
-  type ChangerContext,
+  type PrimaryChangerContext,
   PrimaryChanger,
 } from '../../src/appointed/failover/primary_changer.js';
-import type { StandingConnection } from '../../src/appointed/failover/standing_connections.js';
+import type { PersistentConnection } from '../../src/appointed/failover/standing_connections.js';
 import type {
   InstanceAnswer,
   InstanceConnection,
@@ -31,7 +31,7 @@
 const TERM = 3;
 
 /** State of an instance that has received up to `sequence` of term 3; of one that holds nothing when left out. */
-export function logUpTo(
+export function statusUpTo(
   sequence?: number,
   role: InstanceStatus['role'] = 'replica',
 ): InstanceStatus {
@@ -40,7 +40,7 @@
 }
 
 /** The group `g` of the instances a (the primary), b and c. */
-export class ChangedGroup {
+export class PrimaryChangeScenario {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
   readonly monitor = new InstanceMonitor();
@@ -48,19 +48,19 @@
   caughtUp = { has: () => false };
   readonly appointed: string[] = [];
   /** What each instance answers; those that are left out do not answer. */
-  readonly states = new Map<string, InstanceStatus>();
+  readonly statuses = new Map<string, InstanceStatus>();
   /** When the standing connection to an instance was opened; long ago for those that are left out. */
   readonly openedAt = new Map<string, number>();
   /** Called when an instance is appointed; it leads the next term then. */
   onAppoint: (instance: string) => void = () => undefined;
   private index = 0;
 
-  /** @param least - sequence that the primary's log held when its epoch began; 0: it was empty */
-  constructor(least = 90) {
-    this.ledger.begin(-Infinity, 0);
-    for (const id of ['a', 'b', 'c']) this.tell(id, 1000, 50);
+  /** @param minimumSequence - sequence that the primary's log held when its epoch began; 0: it was empty */
+  constructor(minimumSequence = 90) {
+    this.ledger.beginLeadership(-Infinity, 0);
+    for (const id of ['a', 'b', 'c']) this.reportInstance(id, 1000, 50);
     const epoch = { group: 'g', epoch: 1, phase: GroupPhase.STEADY, primary: 'a', term: TERM };
-    const leastPosition = least === 0 ? START : { term: TERM, sequence: least };
+    const leastPosition = minimumSequence === 0 ? START : { term: TERM, sequence: minimumSequence };
     this.apply({ putGroup: { ...epoch, leastPosition } });
   }
 
@@ -70,21 +70,21 @@
   }
 
   /** An instance tells of itself, and the leader notes it. */
-  tell(id: string, born: number, sequence: number): void {
+  reportInstance(id: string, born: number, sequence: number): void {
     const instance = { id, group: 'g', address: id, state: InstanceState.READY, born, sequence };
-    this.monitor.note({ instance }, this.scheduler.now);
+    this.monitor.recordHeartbeat({ instance }, this.scheduler.now);
     this.apply({ putInstance: instance });
   }
 
   /** Begins a change in which p1 confirms what it had acknowledged, if anything, and p2 says nothing. */
-  change(acknowledged?: number): Promise<void> {
+  changePrimary(acknowledged?: number): Promise<void> {
     const epoch = this.catalog.group('g')!;
     for (const proxy of PROXIES) this.apply({ putProxy: proxy });
     this.apply({ putGroup: { ...epoch, epoch: 2, phase: GroupPhase.CHANGING } });
     const hasPosition = acknowledged !== undefined;
     const position = { term: TERM, sequence: acknowledged ?? 0 };
     this.ledger.confirm(PROXIES[0]!, { group: 'g', epoch: 2, hasPosition, position });
-    return this.changer().run();
+    return this.createChanger().run();
   }
 
   /** p2 confirms as well, having acknowledged nothing. */
@@ -97,7 +97,7 @@
     return this.scheduler.runUntil(this.scheduler.now + durationMs);
   }
 
-  private changer(): PrimaryChanger {
+  private createChanger(): PrimaryChanger {
     const { scheduler, catalog, ledger, monitor } = this;
     const clock = {
       now: () => scheduler.now,
@@ -111,8 +111,10 @@
       this.onAppoint(instance);
       return Promise.resolve(AppointOutcome.APPOINTED);
     };
-    const standing = { of: (target: InstanceTarget) => this.standing(target) };
-    const context: ChangerContext = {
+    const persistentConnections = {
+      of: (target: InstanceTarget) => this.persistentConnectionTo(target),
+    };
+    const context: PrimaryChangerContext = {
       clock,
       catalog,
       ledger,
@@ -120,7 +122,7 @@
       caughtUp: this.caughtUp,
       document: { table: tableNaming('g') },
       regionByZone: new Map(),
-      administrator: new InstanceAdministrator(this.connector(), standing),
+      administrator: new InstanceAdministrator(this.connector(), persistentConnections),
       appointmentLease: { appoint } as unknown as AppointmentLease,
       propose: (command) => Promise.resolve(this.apply(command)),
       log: () => undefined,
@@ -129,15 +131,15 @@
     return new PrimaryChanger(context, catalog.group('g')!);
   }
 
-  private standing({ id }: InstanceTarget): StandingConnection | undefined {
-    if (!this.states.has(id)) return undefined;
+  private persistentConnectionTo({ id }: InstanceTarget): PersistentConnection | undefined {
+    if (!this.statuses.has(id)) return undefined;
     return { connection: this.connectionTo(id), openedAt: this.openedAt.get(id) ?? -Infinity };
   }
 
   private connector(): InstanceConnector {
     return {
       connect: ({ id }) => {
-        if (this.states.has(id)) return Promise.resolve({ connection: this.connectionTo(id) });
+        if (this.statuses.has(id)) return Promise.resolve({ connection: this.connectionTo(id) });
         return Promise.reject(new ConnectError(id, { failure: 'silent' }));
       },
     };
@@ -145,10 +147,10 @@
 
   private connectionTo(id: string): InstanceConnection {
     const run = (command: { kind: string; term?: number }): Promise<InstanceAnswer> => {
-      const state = this.states.get(id) ?? logUpTo();
+      const state = this.statuses.get(id) ?? statusUpTo();
       const heldTerm = command.kind === 'pause' ? command.term! : state.heldTerm;
-      this.states.set(id, { ...state, heldTerm });
-      const status = this.states.get(id)!;
+      this.statuses.set(id, { ...state, heldTerm });
+      const status = this.statuses.get(id)!;
       return Promise.resolve({ rows: [], signature: '-', state: 'idle', status });
     };
     return { run, close: () => undefined, closed: false, onClosed: undefined };
--- a/test/unit/evacuation_primaries.test.ts
+++ b/test/unit/evacuation_primaries.test.ts
@@ -7,9 +7,9 @@
 import { FailoverController } from '../../src/appointed/failover/failover_controller.js';
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import { LeaseLedger } from '../../src/appointed/failover/lease_ledger.js';
-import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
+import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
 import { evacuatedPrimaries } from '../../src/appointed/failover/primary_evacuation.js';
-import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
 import type {
   InstanceStatus,
   InstanceTarget,
@@ -21,10 +21,10 @@
 const { AppointOutcome, GroupPhase, InstanceState } = whinyoke;
 
 /** A leader before instances whose answers a test sets; an appointed instance leads at once, with what it had received. */
-class Leader {
+class LeaderScenario {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
-  readonly opinions = new PrimaryHealthOpinions();
+  readonly healthReports = new PrimaryHealthReports();
   readonly monitor = new InstanceMonitor();
   /** Number of commits that each instance received; undefined: it does not answer. */
   readonly received = new Map<string, number | undefined>();
@@ -56,11 +56,11 @@
         if (name === 'evacuation_progress') this.progress.push(fields);
       },
       isLeading: () => true,
-    } as unknown as ChangerContext;
-    this.controller = new FailoverController(context, this.monitor, this.opinions);
+    } as unknown as PrimaryChangerContext;
+    this.controller = new FailoverController(context, this.monitor, this.healthReports);
   }
 
-  private get document(): ChangerContext['document'] {
+  private get document(): PrimaryChangerContext['document'] {
     const table = (): RouteTable => tableNamingAll(this.groups);
     return {
       get table() {
@@ -75,21 +75,21 @@
     return whinyoke.CatalogResult.decode(this.catalog.apply(this.index, bytes));
   }
 
-  order(zone: string, begins: boolean): void {
+  setEvacuated(zone: string, begins: boolean): void {
     this.apply({ putEvacuation: { zone, begins } });
   }
 
   /** A group whose instances stand in these zones; the first one leads. */
   addGroup(group: string, zones: readonly string[]): void {
     this.groups.push(group);
-    for (const [place, zone] of zones.entries()) this.place(group, place, zone);
+    for (const [index, zone] of zones.entries()) this.putInstance(group, index, zone);
     this.terms.set(`${group}-0`, 1);
     const { STEADY: phase } = GroupPhase;
     this.apply({ putGroup: { group, epoch: 1, phase, primary: `${group}-0`, term: 1 } });
   }
 
-  place(group: string, place: number, zone: string, state = InstanceState.READY): void {
-    const id = `${group}-${place}`;
+  putInstance(group: string, index: number, zone: string, state = InstanceState.READY): void {
+    const id = `${group}-${index}`;
     if (!this.received.has(id)) this.received.set(id, 10);
     this.apply({ putInstance: { id, group, address: `${id}:1`, zone, state } });
   }
@@ -131,10 +131,10 @@
 void t.test(
   'primaries leave an evacuated zone side by side, and stay where they are',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     for (const group of ['g', 'h', 'k']) leader.addGroup(group, ['z1', 'z2', 'z3']);
     leader.addGroup('m', ['z2', 'z1', 'z3']);
-    leader.order('z1', true);
+    leader.setEvacuated('z1', true);
     t.same(evacuatedPrimaries(leader.catalog).length, 3);
     await leader.run(300);
     t.same(
@@ -143,7 +143,7 @@
     );
     t.same(leader.causes, Array(3).fill('zone z1 is evacuated'));
     t.same(leader.progress.at(-1), { zone: 'z1', evacuated: true, primaries: 0, stuck: 0 });
-    leader.order('z1', false);
+    leader.setEvacuated('z1', false);
     await leader.run(3000);
     t.same(leader.primaryOf('g'), 'g-1', 'it does not move back');
     t.same(leader.progress.at(-1), { zone: 'z1', evacuated: false });
@@ -152,10 +152,10 @@
 );
 
 void t.test('no more changes begin in a second than the platform takes', async (t) => {
-  const leader = new Leader();
+  const leader = new LeaderScenario();
   const groups = Array.from({ length: 60 }, (_, place) => `g${place}`);
   for (const group of groups) leader.addGroup(group, ['z1', 'z2']);
-  leader.order('z1', true);
+  leader.setEvacuated('z1', true);
   await leader.run(900);
   t.equal(leader.causes.length, 25);
   await leader.run(2000);
@@ -165,18 +165,18 @@
 void t.test(
   'a change never ends in an evacuated zone while another instance is proven',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2', 'z3']);
-    leader.order('z1', true);
-    leader.order('z2', true);
+    leader.setEvacuated('z1', true);
+    leader.setEvacuated('z2', true);
     await leader.run(1000);
     t.equal(leader.primaryOf('g'), 'g-2');
-    const late = new Leader();
+    const late = new LeaderScenario();
     late.addGroup('g', ['z1', 'z2', 'z3']);
     late.apply({
       putGroup: { group: 'g', epoch: 2, phase: GroupPhase.CHANGING, primary: 'g-0', term: 1 },
     });
-    late.order('z2', true);
+    late.setEvacuated('z2', true);
     await late.run(1000);
     t.same(late.appointed, ['g-2'], 'an evacuation that begins in a change counts');
   },
@@ -185,13 +185,13 @@
 void t.test(
   'nothing acknowledged is lost to hurry: who lacks it leads only after it followed',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2', 'z3']);
     leader.received.set('g-2', 9);
     leader.received.set('g-0', undefined);
     leader.apply({ putProxy: { id: 'p', incarnation: 'lost' } });
-    leader.order('z1', true);
-    leader.order('z2', true);
+    leader.setEvacuated('z1', true);
+    leader.setEvacuated('z2', true);
     await leader.run(1000);
     t.equal(leader.primaryOf('g'), 'changing', 'z3 may lack a commit that z2 has');
     await leader.run(700);
@@ -209,17 +209,17 @@
 void t.test(
   'while all zones are evacuated no change begins for it, until one is free',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2']);
-    leader.order('z1', true);
-    leader.order('z2', true);
+    leader.setEvacuated('z1', true);
+    leader.setEvacuated('z2', true);
     await leader.run(1000);
     t.same(leader.causes, []);
     t.match(leader.progress, [
       { zone: 'z1', primaries: 1, stuck: 1 },
       { zone: 'z2', primaries: 0 },
     ]);
-    leader.place('g', 2, 'z3');
+    leader.putInstance('g', 2, 'z3');
     await leader.run(300);
     t.equal(leader.primaryOf('g'), 'g-2', 'an instance moved in elsewhere');
   },
@@ -228,16 +228,16 @@
 void t.test(
   'a primary is not taken from its zone for an instance that nobody hears of',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2']);
     await leader.run(3500);
-    leader.order('z1', true);
-    const beat = (id: string): void =>
-      leader.monitor.note({ instance: { id, sequence: 1 } }, leader.scheduler.now);
-    beat('g-0');
+    leader.setEvacuated('z1', true);
+    const sendHeartbeat = (id: string): void =>
+      leader.monitor.recordHeartbeat({ instance: { id, sequence: 1 } }, leader.scheduler.now);
+    sendHeartbeat('g-0');
     await leader.run(500);
     t.equal(leader.primaryOf('g'), 'g-0');
-    beat('g-1');
+    sendHeartbeat('g-1');
     await leader.run(500);
     t.equal(leader.primaryOf('g'), 'g-1');
   },
@@ -246,14 +246,14 @@
 void t.test(
   'with draining: only one that stays is ready elsewhere, and one that leaves does so as planned',
   async (t) => {
-    const leader = new Leader();
+    const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2', 'z3']);
-    leader.place('g', 1, 'z2', InstanceState.DRAINING);
-    leader.order('z1', true);
+    leader.putInstance('g', 1, 'z2', InstanceState.DRAINING);
+    leader.setEvacuated('z1', true);
     await leader.run(300);
     t.equal(leader.primaryOf('g'), 'g-2');
     leader.addGroup('h', ['z1', 'z2']);
-    leader.place('h', 0, 'z1', InstanceState.DRAINING);
+    leader.putInstance('h', 0, 'z1', InstanceState.DRAINING);
     await leader.run(300);
     t.equal(leader.causes.at(-1), 'the primary leaves');
     t.equal(leader.primaryOf('h'), 'h-1');
@@ -264,10 +264,10 @@
   'a zone that is cut off: its dark primary is replaced elsewhere, with evidence',
   async (t) => {
     for (const isCutFirst of [true, false]) {
-      const leader = new Leader();
+      const leader = new LeaderScenario();
       leader.addGroup('g', ['z1', 'z2', 'z3']);
       if (isCutFirst) leader.received.set('g-0', undefined);
-      leader.order('z1', true);
+      leader.setEvacuated('z1', true);
       leader.received.set('g-0', undefined);
       await leader.run(1000);
       t.equal(leader.primaryOf('g'), 'g-1');
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -13,14 +13,14 @@
   appointmentObjection,
 } from '../../src/appointed/failover/appointment_fence.js';
 import { LeaseLedger, type RevocationState } from '../../src/appointed/failover/lease_ledger.js';
-import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
-import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
+import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { InstanceStatus } from '../../src/appointed/instance/instance_connection.js';
 import {
-  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  MAX_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
-  objectionOf,
+  replicaLeaseObjection,
 } from '../../src/appointed/leases/replica_lease.js';
 import { PrimaryLeases } from '../../src/appointed/trust/primary_leases.js';
 import { tableNaming } from '../tools/route_table.js';
@@ -40,9 +40,9 @@
     missing: 0,
     oldPrimary: undefined,
     revocation: { isConfirmedByAll: false, acknowledged: undefined },
-    isHistoryWhole: false,
-    isMembershipWhole: false,
-    term: 3,
+    isProxyHistoryComplete: false,
+    isMembershipUnchanged: false,
+    oldTerm: 3,
     ...change,
   };
   const choice = chooseCandidate(input);
@@ -68,12 +68,12 @@
     undefined,
     'the old primary holds more',
   );
-  const whole = { reports: onlyA, missing: 1, isHistoryWhole: true };
+  const whole = { reports: onlyA, missing: 1, isProxyHistoryComplete: true };
   t.equal(choiceOf({ ...whole, revocation: confirmed(10) }), 'a confirmations');
   t.equal(choiceOf({ ...whole, revocation: confirmed(11) }), undefined);
   t.equal(choiceOf({ ...whole, revocation: confirmed() }), 'a confirmations', 'same term');
   t.equal(
-    choiceOf({ ...whole, term: 4, revocation: confirmed() }),
+    choiceOf({ ...whole, oldTerm: 4, revocation: confirmed() }),
     undefined,
     'nothing of the newest term was received',
   );
@@ -87,13 +87,17 @@
     undefined,
     'a replica that left alone held an acknowledged commit',
   );
-  const named = { revocation: confirmed(13), isMembershipWhole: true };
+  const named = { revocation: confirmed(13), isMembershipUnchanged: true };
   t.equal(
     choiceOf(named),
     'b allReplicas',
     'the answer to a commit told of later ones that no replica had received',
   );
-  t.equal(choiceOf({ ...named, term: 4 }), undefined, 'acknowledged by a primary of an older term');
+  t.equal(
+    choiceOf({ ...named, oldTerm: 4 }),
+    undefined,
+    'acknowledged by a primary of an older term',
+  );
   t.equal(choiceOf({ ...named, reports: onlyA, missing: 1 }), undefined, 'one is silent');
   const leaving = [
     { instance: 'a', status: statusAt(10), isEligible: true },
@@ -110,28 +114,28 @@
 
 void t.test('leases end by confirmation of the same run, or by time', (t) => {
   const ledger = new LeaseLedger();
-  ledger.begin(-Infinity, 0);
+  ledger.beginLeadership(-Infinity, 0);
   for (const proxy of PROXIES) ledger.grant('g', proxy, 3000);
-  t.notOk(ledger.revocation('g', 2, PROXIES, 1000).isComplete);
+  t.notOk(ledger.revocationState('g', 2, PROXIES, 1000).isComplete);
   ledger.confirm(PROXIES[0]!, {
     group: 'g',
     epoch: 2,
     hasPosition: true,
     position: { term: 1, sequence: 5 },
   });
-  t.notOk(ledger.revocation('g', 2, PROXIES, 1000).isComplete);
-  t.match(ledger.revocation('g', 2, PROXIES, 3000), {
+  t.notOk(ledger.revocationState('g', 2, PROXIES, 1000).isComplete);
+  t.match(ledger.revocationState('g', 2, PROXIES, 3000), {
     isComplete: true,
     isConfirmedByAll: false,
     acknowledged: { term: 1, sequence: 5 },
   });
   const restarted = [PROXIES[0]!, { id: 'p2', incarnation: 'z' }];
-  t.ok(ledger.revocation('g', 2, restarted, 1000).isComplete, 'a new run holds no lease');
+  t.ok(ledger.revocationState('g', 2, restarted, 1000).isComplete, 'a new run holds no lease');
   ledger.confirm(restarted[1]!, { group: 'g', epoch: 1 });
-  t.notOk(ledger.revocation('g', 2, restarted, 1000).isConfirmedByAll, 'an older epoch');
-  ledger.begin(9000, 5000);
+  t.notOk(ledger.revocationState('g', 2, restarted, 1000).isConfirmedByAll, 'an older epoch');
+  ledger.beginLeadership(9000, 5000);
   t.notOk(
-    ledger.revocation('g', 2, restarted, 8999).isComplete,
+    ledger.revocationState('g', 2, restarted, 8999).isComplete,
     'an earlier leader may have granted',
   );
   t.end();
@@ -140,11 +144,11 @@
 void t.test('a replica is appointed beside proxies out of reach only when they can tell', (t) => {
   const proxies = { knownVersion: 20, trustUntil: 50_000 };
   const objection = (replica: Partial<FencedReplica>, now: number): string | undefined =>
-    appointmentObjection({ placedSince: 20, heldSince: 1000, ...replica }, proxies, now);
+    appointmentObjection({ placedSince: 20, fencedSince: 1000, ...replica }, proxies, now);
   const longEnough = 1000 + REPLICA_LEASE_MS + 200;
   t.equal(objection({}, longEnough), undefined);
   t.match(objection({}, 1000 + REPLICA_LEASE_MS), /only/, 'a lease that it confirmed may hold');
-  t.match(objection({ heldSince: undefined }, longEnough), /not held/);
+  t.match(objection({ fencedSince: undefined }, longEnough), /not held/);
   t.match(objection({ placedSince: 21 }, longEnough), /not know/, 'nobody would ask it');
   t.equal(objection({ placedSince: 21 }, 50_001), undefined, 'they have stopped to ask');
   t.end();
@@ -152,27 +156,27 @@
 
 void t.test('the ledger tells what proxies know that did not confirm', (t) => {
   const ledger = new LeaseLedger();
-  ledger.begin(-Infinity, 100);
-  const state = (): RevocationState => ledger.revocation('g', 2, PROXIES, 3000);
+  ledger.beginLeadership(-Infinity, 100);
+  const state = (): RevocationState => ledger.revocationState('g', 2, PROXIES, 3000);
   t.match(state().unconfirmed, { knownVersion: 0 }, 'nothing is known of them');
-  ledger.noteContact(PROXIES[0]!, 7, 1000);
-  ledger.noteContact(PROXIES[1]!, 9, 2000);
+  ledger.recordContact(PROXIES[0]!, 7, 1000);
+  ledger.recordContact(PROXIES[1]!, 9, 2000);
   t.equal(state().unconfirmed.knownVersion, 7);
   ledger.confirm(PROXIES[0]!, { group: 'g', epoch: 2 });
   t.equal(state().unconfirmed.knownVersion, 9);
-  t.ok(state().unconfirmed.trustUntil > 2000 + LONGEST_REPLICA_LEASE_SILENCE_MS);
+  t.ok(state().unconfirmed.trustUntil > 2000 + MAX_REPLICA_LEASE_SILENCE_MS);
   t.end();
 });
 
 void t.test('replicas confirm a primary as long as none is held or follows another', (t) => {
   const answer = (change: Partial<InstanceStatus>): string | undefined =>
-    objectionOf({ instance: 'a', status: { ...statusAt(5), heldTerm: 0, ...change } }, 3);
+    replicaLeaseObjection({ instance: 'a', status: { ...statusAt(5), heldTerm: 0, ...change } }, 3);
   t.equal(answer({}), undefined);
   t.equal(answer({ heldTerm: 3 }), undefined, 'held by an earlier change, which is over');
   t.match(answer({ heldTerm: 4 }), /held/);
   t.match(answer({ term: 4 }), /follows/);
   t.match(answer({ role: 'primary' }), /primary/);
-  t.match(objectionOf({ instance: 'a', problem: 'timeout' }, 3), /timeout/);
+  t.match(replicaLeaseObjection({ instance: 'a', problem: 'timeout' }, 3), /timeout/);
   t.end();
 });
 
@@ -208,8 +212,8 @@
   t.equal(leases.primaryOf('g', 2950), undefined, 'an answer would come too late');
   t.ok(leases.accepts('g', 1, 2999));
   t.notOk(leases.accepts('g', 1, 3000));
-  leases.commitStarted('g');
-  leases.noteAcknowledged('g', { term: 1, sequence: 4 });
+  leases.onCommitStarted('g');
+  leases.recordAcknowledged('g', { term: 1, sequence: 4 });
   leases.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned: true }], 1000);
   t.equal(leases.primaryOf('g', 1000), undefined, 'nothing new is sent');
   t.ok(leases.accepts('g', 1, 1100), 'an answer under way still counts');
@@ -218,13 +222,13 @@
   leases.update([groupEntry(1)], 1100);
   leases.extendAll(9000);
   t.equal(leases.entryOf('g')?.epoch, 2, 'an older reply changes nothing');
-  leases.commitEnded('g');
+  leases.onCommitEnded('g');
   t.ok(leases.hasDueRevocation(1200));
   t.same(leases.endRevokedEpochs(1200), ['g']);
   const confirmation = { group: 'g', epoch: 2, position: { term: 1, sequence: 4 } };
   t.match(leases.confirmations(), [confirmation]);
   t.notOk(leases.accepts('g', 1, 1200), 'after the confirmation nothing counts');
-  leases.confirmed('g', 2);
+  leases.recordConfirmed('g', 2);
   t.same(leases.endRevokedEpochs(1300), []);
   t.match(leases.confirmations(), [confirmation], 'a new leader has not heard of it');
   leases.extendAll(9000);
@@ -237,7 +241,7 @@
     const leases = new PrimaryLeases();
     leases.update([groupEntry(1)], 0);
     leases.extendAll(3000);
-    leases.commitStarted('g');
+    leases.onCommitStarted('g');
     leases.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned }], 1000);
     return leases;
   };
@@ -245,36 +249,36 @@
   t.equal(planned.endRevokedEpochs(1200).length, 0);
   t.equal(planned.endRevokedEpochs(1300).length, 1);
   t.notOk(planned.accepts('g', 1, 1300));
-  const troubled = revoking(false);
-  t.equal(troubled.endRevokedEpochs(1050).length, 0);
-  t.equal(troubled.endRevokedEpochs(1100).length, 1, 'a primary in trouble answers hardly any');
-  t.notOk(troubled.accepts('g', 1, 1100));
+  const unplanned = revoking(false);
+  t.equal(unplanned.endRevokedEpochs(1050).length, 0);
+  t.equal(unplanned.endRevokedEpochs(1100).length, 1, 'a primary in trouble answers hardly any');
+  t.notOk(unplanned.accepts('g', 1, 1100));
   t.end();
 });
 
 void t.test('opinions of proxies on a primary', (t) => {
-  const opinions = new PrimaryHealthOpinions();
-  const say = (proxy: string, health: whinyoke.PrimaryHealth, sinceMs: number): void =>
-    opinions.note(proxy, [{ group: 'g', epoch: 1, health, sinceMs }], 1000);
-  say('p1', PrimaryHealth.REFUSING, 100);
-  say('p2', PrimaryHealth.HEALTHY, 10);
-  say('p3', PrimaryHealth.SILENT, 100);
-  t.match(opinions.verdict('g', 1, 1000), { bad: 1, good: 1 }, 'silence must last');
-  t.match(opinions.verdict('g', 1, 1500), { bad: 2, good: 1 });
-  t.match(opinions.verdict('g', 2, 1500), { bad: 0, good: 0 }, 'opinions are on one epoch');
-  t.match(opinions.verdict('g', 1, 9000), { bad: 0, good: 0 }, 'old opinions do not count');
+  const reports = new PrimaryHealthReports();
+  const report = (proxy: string, health: whinyoke.PrimaryHealth, sinceMs: number): void =>
+    reports.record(proxy, [{ group: 'g', epoch: 1, health, sinceMs }], 1000);
+  report('p1', PrimaryHealth.REFUSING, 100);
+  report('p2', PrimaryHealth.HEALTHY, 10);
+  report('p3', PrimaryHealth.SILENT, 100);
+  t.match(reports.summary('g', 1, 1000), { unhealthy: 1, healthy: 1 }, 'silence must last');
+  t.match(reports.summary('g', 1, 1500), { unhealthy: 2, healthy: 1 });
+  t.match(reports.summary('g', 2, 1500), { unhealthy: 0, healthy: 0 }, 'opinions are on one epoch');
+  t.match(reports.summary('g', 1, 9000), { unhealthy: 0, healthy: 0 }, 'old opinions do not count');
   t.end();
 });
 
 void t.test('late heartbeats change nothing, a restart counts anew', (t) => {
   const monitor = new InstanceMonitor();
-  const beat = (sequence: number, role: whinyoke.InstanceRole, now: number): void =>
-    monitor.note({ instance: { id: 'i', sequence }, role }, now);
-  beat(5, InstanceRole.PRIMARY, 0);
-  beat(4, InstanceRole.REPLICA, 100);
+  const sendHeartbeat = (sequence: number, role: whinyoke.InstanceRole, now: number): void =>
+    monitor.recordHeartbeat({ instance: { id: 'i', sequence }, role }, now);
+  sendHeartbeat(5, InstanceRole.PRIMARY, 0);
+  sendHeartbeat(4, InstanceRole.REPLICA, 100);
   t.equal(monitor.roleOf('i'), InstanceRole.PRIMARY);
-  t.equal(monitor.age('i', 1000), 1000);
-  beat(1, InstanceRole.REPLICA, 6000);
+  t.equal(monitor.heartbeatAgeMs('i', 1000), 1000);
+  sendHeartbeat(1, InstanceRole.REPLICA, 6000);
   t.equal(monitor.roleOf('i'), InstanceRole.REPLICA);
   t.end();
 });
@@ -381,12 +385,12 @@
 });
 
 /** A controller on a leader that knows one group, and the commands that it proposes. */
-function controllerOf(): {
+function createController(): {
   controller: FailoverController;
-  opinions: PrimaryHealthOpinions;
+  reports: PrimaryHealthReports;
   proposed: whinyoke.ICatalogCommand[];
   setNow: (time: number) => void;
-  context: ChangerContext;
+  context: PrimaryChangerContext;
 } {
   let now = 0;
   const catalog = new Catalog();
@@ -407,7 +411,7 @@
     clock: { now: () => now, setTimer: () => ({ cancel: () => undefined }) },
     catalog,
     ledger: new LeaseLedger(),
-    administrator: { presenceOf: () => Promise.resolve({ kind: 'silent' }) },
+    administrator: { probe: () => Promise.resolve({ kind: 'silent' }) },
     propose: (command: whinyoke.ICatalogCommand) => {
       proposed.push(command);
       return propose(command);
@@ -416,53 +420,53 @@
     isLeading: () => true,
     document: { table: tableNaming('g') },
     regionByZone: new Map(),
-  } as unknown as ChangerContext;
-  const opinions = new PrimaryHealthOpinions();
-  const controller = new FailoverController(context, new InstanceMonitor(), opinions);
-  return { controller, opinions, proposed, context, setNow: (time: number) => (now = time) };
+  } as unknown as PrimaryChangerContext;
+  const reports = new PrimaryHealthReports();
+  const controller = new FailoverController(context, new InstanceMonitor(), reports);
+  return { controller, reports, proposed, context, setNow: (time: number) => (now = time) };
 }
 
 void t.test('a primary that turns silent long after its epoch began is replaced at once', (t) => {
-  const { controller, opinions, proposed, setNow } = controllerOf();
-  controller.tick();
+  const { controller, reports, proposed, setNow } = createController();
+  controller.checkAll();
   setNow(60_000);
   const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 600 };
-  opinions.note('p1', [silent], 60_000);
-  opinions.note('p2', [silent], 60_000);
-  controller.tick();
+  reports.record('p1', [silent], 60_000);
+  reports.record('p2', [silent], 60_000);
+  controller.checkAll();
   t.match(proposed, [{ putGroup: { epoch: 2, phase: GroupPhase.CHANGING } }]);
   t.end();
 });
 
 void t.test('a new leader takes the epoch that it finds for an old one', async (t) => {
-  const { controller, opinions, proposed } = controllerOf();
+  const { controller, reports, proposed } = createController();
   const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 600 };
-  opinions.note('p1', [silent], 0);
-  opinions.note('p2', [silent], 0);
-  controller.tick();
+  reports.record('p1', [silent], 0);
+  reports.record('p2', [silent], 0);
+  controller.checkAll();
   t.equal(proposed.length, 0, 'its heartbeat may be fresh, so control asks it first');
   await nextTurn();
-  controller.tick();
+  controller.checkAll();
   t.equal(proposed.length, 1, 'control has no answer, too');
 });
 
 void t.test('a primary that started again is replaced at once', async (t) => {
-  const { controller, opinions, proposed, context } = controllerOf();
+  const { controller, reports, proposed, context } = createController();
   await context.propose({ putInstance: { id: 'i-1', group: 'g', address: 'i-1', born: 1 } });
-  opinions.note('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
-  controller.tick();
+  reports.record('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
+  controller.checkAll();
   t.equal(proposed.length, 1, 'it begins to tell when it started');
   await context.propose({ putInstance: { id: 'i-1', group: 'g', address: 'i-1', born: 2 } });
-  controller.tick();
+  controller.checkAll();
   t.match(proposed.at(-1), { putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: false } });
   t.end();
 });
 
 void t.test('one proxy against another does not replace a primary', (t) => {
-  const { controller, opinions, proposed } = controllerOf();
-  opinions.note('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.REFUSING, sinceMs: 600 }], 0);
-  opinions.note('p2', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
-  controller.tick();
+  const { controller, reports, proposed } = createController();
+  reports.record('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.REFUSING, sinceMs: 600 }], 0);
+  reports.record('p2', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
+  controller.checkAll();
   t.equal(proposed.length, 0);
   t.end();
 });
--- a/test/unit/fenced_replicas.test.ts
+++ b/test/unit/fenced_replicas.test.ts
@@ -2,15 +2,15 @@
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { ChangedGroup, logUpTo } from '../tools/changed_group.js';
+import { PrimaryChangeScenario, statusUpTo } from '../tools/changed_group.js';
 
 const { InstanceState } = whinyoke;
 
 void t.test('a change beside a proxy out of reach waits for no news of coldness', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(100));
-  group.states.set('c', logUpTo(100));
-  void group.change(95);
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(100));
+  group.statuses.set('c', statusUpTo(100));
+  void group.changePrimary(95);
   for (const id of ['b', 'c']) {
     group.apply({
       setSlowStartHolder: { instance: id, holder: 'p1', incarnation: 'x', address: 'p' },
@@ -21,14 +21,14 @@
 });
 
 void t.test('a change beside a proxy out of reach waits where a replica has moved', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(100));
-  group.states.set('c', logUpTo(100));
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(100));
+  group.statuses.set('c', statusUpTo(100));
   for (const id of ['b', 'c']) {
     const known = group.catalog.instance(id)!;
     group.apply({ putInstance: { ...known, sequence: 51, address: `${id}2` } });
   }
-  void group.change(95);
+  void group.changePrimary(95);
   await group.run(2000);
   t.same(group.appointed, [], 'the proxy asks at the former address');
 });
@@ -51,6 +51,6 @@
 });
 
 function fleet(): { catalog: Catalog; apply: (command: whinyoke.ICatalogCommand) => void } {
-  const group = new ChangedGroup();
+  const group = new PrimaryChangeScenario();
   return { catalog: group.catalog, apply: (command) => void group.apply(command) };
 }
--- a/test/unit/incarnations.test.ts
+++ b/test/unit/incarnations.test.ts
@@ -4,10 +4,10 @@
 import { orderOf } from '../../src/appointed/catalog/incarnation_order.js';
 import { AddressClaims } from '../../src/appointed/control/address_claim.js';
 import { CatalogService } from '../../src/appointed/control/catalog_service.js';
-import { CaughtUpMembers } from '../../src/appointed/failover/caught_up_members.js';
+import { CaughtUpInstances } from '../../src/appointed/failover/caught_up_members.js';
 import type { RaftNode } from '../../src/consensus/raft_node.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { ChangedGroup, logUpTo } from '../tools/changed_group.js';
+import { PrimaryChangeScenario, statusUpTo } from '../tools/changed_group.js';
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
@@ -15,43 +15,43 @@
 const TRIES_MS = 2500;
 
 void t.test('an old primary that started again is no evidence', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(100));
-  group.states.set('a', logUpTo());
-  group.tell('a', 2000, 1);
-  void group.change(95);
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(100));
+  group.statuses.set('a', statusUpTo());
+  group.reportInstance('a', 2000, 1);
+  void group.changePrimary(95);
   await group.run(TRIES_MS);
   t.same(group.appointed, [], 'c may alone hold up to 3.120');
-  group.states.set('c', logUpTo(120));
+  group.statuses.set('c', statusUpTo(120));
   await group.run(TRIES_MS);
   t.same(group.appointed[0], 'c');
 });
 
 void t.test('a replica that started again does not speak for the one that it was', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(100));
-  group.states.set('c', logUpTo());
-  group.tell('c', 2000, 1);
-  void group.change(120);
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(100));
+  group.statuses.set('c', statusUpTo());
+  group.reportInstance('c', 2000, 1);
+  void group.changePrimary(120);
   await group.run(TRIES_MS);
   t.same(group.appointed, [], 'the former c alone had confirmed 3.120');
-  group.states.set('a', logUpTo(120, 'primary'));
+  group.statuses.set('a', statusUpTo(120, 'primary'));
   await group.run(TRIES_MS);
   t.same(group.appointed[0], 'a', 'only the old primary has it');
 });
 
 void t.test('answers of incarnations of which control has not heard yet', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(100));
-  group.states.set('a', logUpTo());
-  void group.change(95);
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(100));
+  group.statuses.set('a', statusUpTo());
+  void group.changePrimary(95);
   await group.run(TRIES_MS);
   t.same(group.appointed, [], 'an old primary with a log shorter than that of its epoch');
-  group.states.set('c', logUpTo(99));
+  group.statuses.set('c', statusUpTo(99));
   group.openedAt.set('c', group.scheduler.now);
   await group.run(TRIES_MS);
   t.same(group.appointed, [], 'a replica that may be a new incarnation');
-  group.tell('c', 1000, 60);
+  group.reportInstance('c', 1000, 60);
   await group.run(TRIES_MS);
   t.same(
     group.appointed[0],
@@ -63,11 +63,11 @@
 void t.test(
   'confirmations of all proxies need no word of a replica that started again',
   async (t) => {
-    const group = new ChangedGroup();
-    group.states.set('b', logUpTo(100));
-    group.states.set('c', logUpTo(91));
-    group.tell('c', 2000, 1);
-    void group.change(100);
+    const group = new PrimaryChangeScenario();
+    group.statuses.set('b', statusUpTo(100));
+    group.statuses.set('c', statusUpTo(91));
+    group.reportInstance('c', 2000, 1);
+    void group.changePrimary(100);
     group.confirmAll();
     await group.run(TRIES_MS);
     t.same(group.appointed[0], 'b');
@@ -77,10 +77,10 @@
 void t.test(
   'a log that is shorter than that of the epoch at its begin is not chosen',
   async (t) => {
-    const group = new ChangedGroup();
-    group.states.set('b', logUpTo(89));
-    group.states.set('c', logUpTo(80));
-    void group.change(50);
+    const group = new PrimaryChangeScenario();
+    group.statuses.set('b', statusUpTo(89));
+    group.statuses.set('c', statusUpTo(80));
+    void group.changePrimary(50);
     group.confirmAll();
     await group.run(TRIES_MS);
     t.same(
@@ -88,21 +88,21 @@
       [],
       'the primary may alone hold 3.90, acknowledged in an earlier epoch',
     );
-    group.states.set('b', logUpTo(90));
+    group.statuses.set('b', statusUpTo(90));
     await group.run(TRIES_MS);
     t.same(group.appointed[0], 'b');
   },
 );
 
 void t.test('an instance that starts again after it was appointed does not lead', async (t) => {
-  const group = new ChangedGroup();
-  group.states.set('b', logUpTo(119));
-  group.states.set('c', logUpTo(120));
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(119));
+  group.statuses.set('c', statusUpTo(120));
   group.onAppoint = (instance) => {
-    const state = instance === 'c' ? logUpTo() : group.states.get(instance)!;
-    group.states.set(instance, { ...state, role: 'primary', term: 3 + group.appointed.length });
+    const state = instance === 'c' ? statusUpTo() : group.statuses.get(instance)!;
+    group.statuses.set(instance, { ...state, role: 'primary', term: 3 + group.appointed.length });
   };
-  void group.change(119);
+  void group.changePrimary(119);
   group.confirmAll();
   await group.run(TRIES_MS);
   t.same(group.appointed, ['c', 'b']);
@@ -115,27 +115,27 @@
 });
 
 void t.test('a new incarnation counts once it holds what the primary held', async (t) => {
-  const group = new ChangedGroup();
+  const group = new PrimaryChangeScenario();
   const { catalog, scheduler } = group;
-  group.states.set('a', logUpTo(120, 'primary'));
-  group.states.set('c', logUpTo(110));
-  group.tell('c', 2000, 1);
-  const caughtUp = new CaughtUpMembers({
+  group.statuses.set('a', statusUpTo(120, 'primary'));
+  group.statuses.set('c', statusUpTo(110));
+  group.reportInstance('c', 2000, 1);
+  const caughtUp = new CaughtUpInstances({
     clock: { now: () => scheduler.now, setTimer: () => ({ cancel: () => undefined }) },
     catalog,
-    administrator: { status: ({ id }) => Promise.resolve(group.states.get(id)) },
+    administrator: { status: ({ id }) => Promise.resolve(group.statuses.get(id)) },
     log: () => undefined,
     isLeading: () => true,
   });
   const isCaughtUp = async (): Promise<boolean> => {
-    await caughtUp.look();
+    await caughtUp.checkAll();
     return caughtUp.has(catalog.instance('c')!);
   };
   t.notOk(await isCaughtUp());
-  group.states.set('a', logUpTo());
-  group.states.set('c', logUpTo(120));
+  group.statuses.set('a', statusUpTo());
+  group.statuses.set('c', statusUpTo(120));
   t.ok(await isCaughtUp(), 'the position that the primary told counts, whatever becomes of it');
-  group.tell('c', 3000, 1);
+  group.reportInstance('c', 3000, 1);
   t.notOk(await isCaughtUp(), 'the next incarnation, while the primary itself started again');
   t.notOk(caughtUp.has(catalog.instance('c')!));
 });
@@ -163,13 +163,13 @@
 
 /** A leader that takes heartbeats, without others at any address. */
 function leader(): {
-  readonly group: ChangedGroup;
+  readonly group: PrimaryChangeScenario;
   readonly say: (
     told: whinyoke.IInstanceEntry,
     leaves?: boolean,
   ) => Promise<whinyoke.InstanceState | null | undefined>;
 } {
-  const group = new ChangedGroup();
+  const group = new PrimaryChangeScenario();
   const { catalog, monitor, scheduler } = group;
   const clock = { now: () => scheduler.now, setTimer: () => ({ cancel: () => undefined }) };
   const fail = (): Promise<never> => Promise.reject(new Error('unused'));
@@ -201,7 +201,7 @@
   t.match(group.catalog.instance('b'), present, 'a heartbeat');
   await say({ born: 1000 }, true);
   t.match(group.catalog.instance('b'), present, 'a deregister');
-  t.ok(group.monitor.hasHeardSince('b', 2000, 0));
+  t.ok(group.monitor.hasHeartbeatSince('b', 2000, 0));
   t.equal(await say({ born: 2000 }, true), InstanceState.GONE, 'its own counts');
   t.equal(
     await say({ born: 2000, sequence: 2 }),
@@ -230,17 +230,17 @@
 void t.test('a new leader takes a heartbeat of a former incarnation for late', async (t) => {
   const { group, say } = leader();
   await say({ born: 2000, sequence: 1 });
-  group.monitor.begin(group.scheduler.now);
+  group.monitor.beginLeadership(group.scheduler.now);
   await group.run(1000);
   await say({ born: 1000, sequence: 51 });
   t.match(group.catalog.instance('b'), { born: 2000, incarnation: 1 });
-  t.notOk(group.monitor.hasHeardSince('b', 1000, 0));
+  t.notOk(group.monitor.hasHeartbeatSince('b', 1000, 0));
 });
 
 void t.test('a snapshot keeps which incarnations there are', (t) => {
-  const group = new ChangedGroup();
+  const group = new PrimaryChangeScenario();
   const steadySince = group.catalog.group('g')!.steadySince!;
-  group.tell('c', 2000, 1);
+  group.reportInstance('c', 2000, 1);
   const copy = new Catalog();
   copy.restore(9, group.catalog.serialize());
   t.same(copy.serialize(), group.catalog.serialize());
@@ -255,13 +255,13 @@
 void t.test(
   'an old primary that may have started again, in an epoch that began empty',
   async (t) => {
-    const group = new ChangedGroup(0);
-    group.states.set('a', logUpTo());
+    const group = new PrimaryChangeScenario(0);
+    group.statuses.set('a', statusUpTo());
     group.openedAt.set('a', group.scheduler.now);
-    void group.change();
+    void group.changePrimary();
     await group.run(TRIES_MS);
     t.same(group.appointed, [], 'no log is shorter than that of the epoch');
-    group.tell('a', 1000, 60);
+    group.reportInstance('a', 1000, 60);
     await group.run(TRIES_MS);
     t.same(group.appointed[0], 'a', 'its heartbeat came long after the connection');
   },
--- a/test/unit/incarnations_at_proxies.test.ts
+++ b/test/unit/incarnations_at_proxies.test.ts
@@ -20,15 +20,15 @@
 import type { Clock, Runtime } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { FakeConnection } from '../tools/fake_connection.js';
-import { logUpTo } from '../tools/changed_group.js';
+import { statusUpTo } from '../tools/changed_group.js';
 
 const { GroupPhase, PrimaryHealth, RelayOutcome } = whinyoke;
-const ANYBODY = { tenant: '', values: new Map<string, string>(), priority: 0 };
+const ANY_TENANT_REQUEST = { tenant: '', values: new Map<string, string>(), priority: 0 };
 const WAIT_MS = 100;
 const LEASE_MS = 3000;
 
 /** A proxy that holds a lease on instance a of group g, whose replica is b; instances open connections at `position`. */
-function proxyAt(position: Position) {
+function createProxy(position: Position) {
   const connections: FakeConnection[] = [];
   const events: string[] = [];
   const connector = {
@@ -63,18 +63,28 @@
     primaryHealth,
     positions: new PrimaryPositions(clock, leases),
   });
-  const lead = (epoch: number, primaryIncarnation: number): void => {
+  const beginEpoch = (epoch: number, primaryIncarnation: number): void => {
     const entry = { group: 'g', epoch, phase: GroupPhase.STEADY, primary: 'a', term: 3 };
     const leastPosition = { term: 3, sequence: 90 };
     leases.update([{ ...entry, primaryIncarnation, leastPosition }], 0);
     leases.extendAll(LEASE_MS);
   };
-  const tell = (id: string, incarnation: number): void =>
+  const updateInstance = (id: string, incarnation: number): void =>
     instances.adopt({ instances: [{ id, group: 'g', address: `${id}:1`, incarnation }] });
-  tell('a', 0);
-  tell('b', 0);
-  lead(1, 0);
-  return { clock, connections, events, instances, leases, primaryHealth, lead, tell, log };
+  updateInstance('a', 0);
+  updateInstance('b', 0);
+  beginEpoch(1, 0);
+  return {
+    clock,
+    connections,
+    events,
+    instances,
+    leases,
+    primaryHealth,
+    beginEpoch,
+    updateInstance,
+    log,
+  };
 }
 
 /** A gate before instances that are warm at once. */
@@ -90,50 +100,53 @@
 }
 
 void t.test('connections and load of an incarnation end with it', async (t) => {
-  const { events, instances, leases, tell } = proxyAt({ term: 3, sequence: 95 });
+  const { events, instances, leases, updateInstance } = createProxy({ term: 3, sequence: 95 });
   const former = instances.connectionsTo('b')!;
-  const inUse = await former.acquire(ANYBODY, WAIT_MS);
+  const inUse = await former.acquire(ANY_TENANT_REQUEST, WAIT_MS);
   former.load.noteFailure(0);
-  tell('b', 1);
+  updateInstance('b', 1);
   t.ok(inUse.connection.closed, 'also those in use');
   const present = instances.connectionsTo('b')!;
   t.not(present, former);
   t.notOk(present.load.isEjected(1));
-  await t.rejects(former.acquire(ANYBODY, WAIT_MS), 'the former way leads nowhere');
+  await t.rejects(former.acquire(ANY_TENANT_REQUEST, WAIT_MS), 'the former way leads nowhere');
   t.ok(events.includes('instance_replaced'));
   t.ok(leases.hasLease(0), 'the primary is another instance');
-  tell('b', 1);
+  updateInstance('b', 1);
   t.equal(instances.connectionsTo('b'), present, 'the same incarnation keeps its connections');
 });
 
 void t.test('a primary that started again has no lease in its epoch any more', (t) => {
-  const { leases, lead, tell } = proxyAt(START);
-  tell('a', 1);
+  const { leases, beginEpoch, updateInstance } = createProxy(START);
+  updateInstance('a', 1);
   t.notOk(leases.accepts('g', 1, 0), 'answers do not count');
   leases.extendAll(LEASE_MS);
   leases.extend('g', 1, LEASE_MS);
   t.notOk(leases.hasLease(0), 'neither control nor replicas extend it');
-  lead(3, 1);
+  beginEpoch(3, 1);
   t.ok(leases.hasLease(0), 'the next epoch is for the new incarnation');
   t.end();
 });
 
 void t.test('a primary that opens a connection without its log is not trusted', async (t) => {
-  const { instances, leases, primaryHealth, clock } = proxyAt(START);
-  await instances.connectionsTo('a')!.acquire(ANYBODY, WAIT_MS);
+  const { instances, leases, primaryHealth, clock } = createProxy(START);
+  await instances.connectionsTo('a')!.acquire(ANY_TENANT_REQUEST, WAIT_MS);
   t.notOk(leases.hasLease(0));
-  t.equal(primaryHealth.of('g', 1).opinion(clock.now())?.health, PrimaryHealth.NOT_PRIMARY);
+  t.equal(primaryHealth.of('g', 1).healthReport(clock.now())?.health, PrimaryHealth.NOT_PRIMARY);
 });
 
 void t.test('a primary that opens a connection with its log is trusted', async (t) => {
-  const { instances, leases } = proxyAt({ term: 3, sequence: 89 });
-  await instances.connectionsTo('a')!.acquire(ANYBODY, WAIT_MS);
+  const { instances, leases } = createProxy({ term: 3, sequence: 89 });
+  await instances.connectionsTo('a')!.acquire(ANY_TENANT_REQUEST, WAIT_MS);
   t.ok(leases.hasLease(0), 'what it has not applied yet is not missing');
 });
 
 void t.test('replicas that start again while they are asked confirm no lease', async (t) => {
-  const { clock, leases, instances, tell, log, connections } = proxyAt({ term: 3, sequence: 95 });
-  const status = logUpTo(95);
+  const { clock, leases, instances, updateInstance, log, connections } = createProxy({
+    term: 3,
+    sequence: 95,
+  });
+  const status = statusUpTo(95);
   const answer: InstanceAnswer = { rows: [], signature: '-', state: 'idle', status };
   const confirmer = new ReplicaLeaseConfirmer({
     clock,
@@ -142,13 +155,13 @@
     replicasOf: (group) => instances.replicasOf(group),
   });
   const pool = instances.localPool('b')!;
-  pool.release(await pool.acquire(ANYBODY, WAIT_MS));
+  pool.release(await pool.acquire(ANY_TENANT_REQUEST, WAIT_MS));
   let reply: (given: InstanceAnswer) => void = () => undefined;
   const answered = new Promise<InstanceAnswer>((resolve) => (reply = resolve));
   connections[0]!.run = () => answered;
   confirmer.maintain(2000);
   await new Promise(setImmediate);
-  tell('b', 1);
+  updateInstance('b', 1);
   reply(answer);
   await new Promise(setImmediate);
   t.notOk(leases.accepts('g', 1, LEASE_MS), 'the lease was not extended');
@@ -156,10 +169,10 @@
 });
 
 void t.test('an owner runs nothing that is meant for another incarnation', async (t) => {
-  const { clock, instances, leases, tell, log } = proxyAt(START);
+  const { clock, instances, leases, updateInstance, log } = createProxy(START);
   const context = { clock, leases, log } as unknown as ProxyContext;
   const server = new RelayServer(context, (id) => instances.localPool(id), 'run');
-  tell('b', 2);
+  updateInstance('b', 2);
   const outcomeFor = async (instanceIncarnation: number): Promise<string> => {
     const command = encodeRelayCommand({ kind: 'status' });
     const times = { waitMs: WAIT_MS, timeoutMs: WAIT_MS };
@@ -171,7 +184,7 @@
   t.match(await outcomeFor(3), /NOT_RUN_HERE another incarnation/);
   t.notMatch(await outcomeFor(2), /another incarnation/);
   t.notMatch(await outcomeFor(0), /another incarnation/, 'a proxy of an older program names none');
-  tell('a', 1);
+  updateInstance('a', 1);
   const command = encodeRelayCommand({ kind: 'status' });
   const request = { instance: 'a', command, waitMs: WAIT_MS, timeoutMs: WAIT_MS, anyTenant: true };
   const { outcome, cause } = await server.handle(request, false);
--- a/test/unit/instance_administrator.test.ts
+++ b/test/unit/instance_administrator.test.ts
@@ -23,10 +23,10 @@
   administrator: InstanceAdministrator;
 } {
   const sent: string[] = [];
-  const connection = (isStanding: boolean): InstanceConnection => ({
+  const connection = (isPersistent: boolean): InstanceConnection => ({
     run: ({ kind }) => {
       sent.push(kind);
-      return isStanding && sent.length === 1 ? answer : Promise.resolve(ANSWER);
+      return isPersistent && sent.length === 1 ? answer : Promise.resolve(ANSWER);
     },
     close: () => undefined,
     closed: false,
@@ -35,38 +35,38 @@
   const connector: InstanceConnector = {
     connect: () => Promise.resolve({ connection: connection(false) }),
   };
-  const standing = { of: () => ({ connection: connection(true), openedAt: 0 }) };
-  return { sent, administrator: new InstanceAdministrator(connector, standing) };
+  const persistent = { of: () => ({ connection: connection(true), openedAt: 0 }) };
+  return { sent, administrator: new InstanceAdministrator(connector, persistent) };
 }
 
 void t.test(
   'a release that had no answer is not sent anew once a later change began',
   async (t) => {
-    let isWanted = true;
-    let fail: (reason: Error) => void = () => undefined;
+    let isStillNeeded = true;
+    let rejectAnswer: (reason: Error) => void = () => undefined;
     const answer = new Promise<InstanceAnswer>((_resolve, reject) => {
-      fail = reject;
+      rejectAnswer = reject;
     });
     const { sent, administrator } = replica(answer);
-    const released = administrator.resume(REPLICA, () => isWanted);
-    isWanted = false;
-    fail(new Error('no answer in time'));
+    const released = administrator.resume(REPLICA, () => isStillNeeded);
+    isStillNeeded = false;
+    rejectAnswer(new Error('no answer in time'));
     t.equal(await released, undefined);
     t.same(sent, ['resume'], 'not on a second connection');
   },
 );
 
 void t.test('a replica is held only after a release that is under way has ended', async (t) => {
-  let end: (answer: InstanceAnswer) => void = () => undefined;
+  let resolveAnswer: (answer: InstanceAnswer) => void = () => undefined;
   const answer = new Promise<InstanceAnswer>((resolve) => {
-    end = resolve;
+    resolveAnswer = resolve;
   });
   const { sent, administrator } = replica(answer);
   const released = administrator.resume(REPLICA, () => true);
-  const held = administrator.pause(REPLICA, 5);
+  const paused = administrator.pause(REPLICA, 5);
   await new Promise(setImmediate);
   t.same(sent, ['resume'], 'a release that arrives later would end the hold');
-  end(ANSWER);
-  await Promise.all([released, held]);
+  resolveAnswer(ANSWER);
+  await Promise.all([released, paused]);
   t.same(sent, ['resume', 'pause']);
 });
