--- a/test/unit/primary_homes.test.ts
+++ b/test/unit/primary_homes.test.ts
@@ -6,8 +6,8 @@
 import { type ChoiceInput, chooseCandidate } from '../../src/appointed/failover/candidate.js';
 import { FailoverController } from '../../src/appointed/failover/failover_controller.js';
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
-import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
-import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
+import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
 import { servedRoutes } from '../../src/appointed/placement/primary_homes.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { tableNaming } from '../tools/route_table.js';
@@ -47,7 +47,13 @@
     position,
     position,
     fc.tuple(fc.boolean(), fc.boolean(), fc.boolean()),
-    (drawn, missing, old, acknowledged, [isConfirmedByAll, isHistoryWhole, isMembershipWhole]) => {
+    (
+      drawn,
+      missing,
+      old,
+      acknowledged,
+      [isConfirmedByAll, isProxyHistoryComplete, isMembershipUnchanged],
+    ) => {
       const reports = drawn.map(({ sequence, isEligible }, index) => {
         return { instance: `${index}`, status: status(sequence), isEligible };
       });
@@ -60,9 +66,9 @@
           acknowledged:
             acknowledged === undefined ? undefined : { term: 3, sequence: acknowledged },
         },
-        isHistoryWhole,
-        isMembershipWhole,
-        term: 3,
+        isProxyHistoryComplete,
+        isMembershipUnchanged,
+        oldTerm: 3,
       };
       const routesOf = (instance: string): number => drawn[Number(instance)]!.routes;
       const choice = chooseCandidate({ ...input, servedRoutes: routesOf });
@@ -73,9 +79,9 @@
       });
       if (proven.length > 1) chosenOfSeveral++;
       if (!choice) return proven.length === 0;
-      const most = Math.max(...proven.map(({ instance }) => routesOf(instance)));
+      const maxRoutes = Math.max(...proven.map(({ instance }) => routesOf(instance)));
       const isProven = proven.some(({ instance }) => instance === choice.instance);
-      return isProven && routesOf(choice.instance) === most;
+      return isProven && routesOf(choice.instance) === maxRoutes;
     },
   );
   fc.assert(property, { seed: 36, numRuns: 2000 });
@@ -84,7 +90,7 @@
 });
 
 /** Commands that a leader proposes which knows a primary in the north and a replica in the south. */
-function leaderOf(table: RouteTable): {
+function createLeader(table: RouteTable): {
   controller: FailoverController;
   proposed: whinyoke.ICatalogCommand[];
   setNow: (time: number) => void;
@@ -118,45 +124,50 @@
     isLeading: () => proposed.length === 0,
     document,
     regionByZone: REGIONS,
-  } as unknown as ChangerContext;
+  } as unknown as PrimaryChangerContext;
   const monitor = new InstanceMonitor();
-  const hear = (id: string): void => monitor.note({ instance: { id, sequence: now } }, now);
-  const controller = new FailoverController(context, monitor, new PrimaryHealthOpinions());
+  const hear = (id: string): void =>
+    monitor.recordHeartbeat({ instance: { id, sequence: now } }, now);
+  const controller = new FailoverController(context, monitor, new PrimaryHealthReports());
   const setTable = (next: RouteTable): void => void (document.table = next);
   return { controller, proposed, setNow: (time) => (now = time), setTable, apply, hear };
 }
 
 void t.test('a primary that is well is moved, as planned, to where more routes may go', (t) => {
-  const bound = leaderOf(tableNaming('g', SOUTH, undefined));
-  bound.controller.tick();
+  const bound = createLeader(tableNaming('g', SOUTH, undefined));
+  bound.controller.checkAll();
   t.match(bound.proposed, [{ putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: true } }]);
-  for (const homes of [undefined, new Set(['north']), new Set(['nowhere'])]) {
-    const other = leaderOf(tableNaming('g', homes));
-    other.controller.tick();
-    t.equal(other.proposed.length, 0, `not for ${homes ? [...homes].join() : 'no homes'}`);
+  for (const allowedRegions of [undefined, new Set(['north']), new Set(['nowhere'])]) {
+    const other = createLeader(tableNaming('g', allowedRegions));
+    other.controller.checkAll();
+    t.equal(
+      other.proposed.length,
+      0,
+      `not for ${allowedRegions ? [...allowedRegions].join() : 'no homes'}`,
+    );
   }
   t.end();
 });
 
 void t.test('a move that ended outside the homes again is not tried anew at once', (t) => {
-  const leader = leaderOf(tableNaming('g', undefined));
+  const leader = createLeader(tableNaming('g', undefined));
   const { controller, proposed, setNow, setTable, apply, hear } = leader;
-  controller.tick();
+  controller.checkAll();
   const { CHANGING, STEADY } = GroupPhase;
   apply({ putGroup: { group: 'g', epoch: 2, phase: CHANGING, primary: 'p', term: 1 } });
   apply({ putGroup: { group: 'g', epoch: 3, phase: STEADY, primary: 'p', term: 2 } });
-  controller.tick();
+  controller.checkAll();
   setTable(tableNaming('g', SOUTH));
   setNow(4900);
   hear('r');
-  controller.tick();
+  controller.checkAll();
   t.equal(proposed.length, 0);
   setNow(30_100);
   hear('p');
-  controller.tick();
+  controller.checkAll();
   t.equal(proposed.length, 0, 'not to an instance of which nothing was heard for long');
   hear('r');
-  controller.tick();
+  controller.checkAll();
   t.match(proposed, [{ putGroup: { epoch: 4, phase: CHANGING, planned: true } }]);
   t.end();
 });
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -101,17 +101,17 @@
 
 void t.test('a primary is silent when statements stay without any answer', (t) => {
   const tracker = new PrimaryHealthTracker();
-  t.equal(tracker.opinion(0), undefined);
-  const first = tracker.started(false, 0);
-  const commit = tracker.started(true, 100);
-  t.equal(tracker.opinion(340), undefined);
-  t.equal(tracker.opinion(600)?.health, PrimaryHealth.SILENT);
+  t.equal(tracker.healthReport(0), undefined);
+  const first = tracker.onStatementSent(false, 0);
+  const commit = tracker.onStatementSent(true, 100);
+  t.equal(tracker.healthReport(340), undefined);
+  t.equal(tracker.healthReport(600)?.health, PrimaryHealth.SILENT);
   first(true, 610);
-  t.equal(tracker.opinion(620)?.health, PrimaryHealth.SILENT, 'reads answer, commits hang');
+  t.equal(tracker.healthReport(620)?.health, PrimaryHealth.SILENT, 'reads answer, commits hang');
   commit(true, 700);
-  t.equal(tracker.opinion(710)?.health, PrimaryHealth.HEALTHY);
-  tracker.failed(PrimaryHealth.REFUSING, 800);
-  t.match(tracker.opinion(900), { health: PrimaryHealth.REFUSING, sinceMs: 100 });
+  t.equal(tracker.healthReport(710)?.health, PrimaryHealth.HEALTHY);
+  tracker.onFailure(PrimaryHealth.REFUSING, 800);
+  t.match(tracker.healthReport(900), { health: PrimaryHealth.REFUSING, sinceMs: 100 });
   t.end();
 });
 
@@ -120,14 +120,18 @@
   (t) => {
     const tracker = new PrimaryHealthTracker();
     const giveUpAfter = (sentAt: number): void =>
-      tracker.started(true, sentAt)(false, sentAt + 800);
+      tracker.onStatementSent(true, sentAt)(false, sentAt + 800);
     for (const sentAt of [0, 900, 1800]) giveUpAfter(sentAt);
-    tracker.started(true, 2700);
-    t.match(tracker.opinion(3100), { health: PrimaryHealth.SILENT, sinceMs: 3100 });
-    tracker.started(true, 3110)(true, 3120);
+    tracker.onStatementSent(true, 2700);
+    t.match(tracker.healthReport(3100), { health: PrimaryHealth.SILENT, sinceMs: 3100 });
+    tracker.onStatementSent(true, 3110)(true, 3120);
     giveUpAfter(3200);
-    tracker.started(true, 9000);
-    t.match(tracker.opinion(9400), { health: PrimaryHealth.SILENT, sinceMs: 400 }, 'none asked');
+    tracker.onStatementSent(true, 9000);
+    t.match(
+      tracker.healthReport(9400),
+      { health: PrimaryHealth.SILENT, sinceMs: 400 },
+      'none asked',
+    );
     t.end();
   },
 );
