--- a/src/appointed/control/primary_position_cache.ts
+++ b/src/appointed/control/primary_position_cache.ts
@@ -9,7 +9,7 @@
 import type { Catalog, GroupEntry } from '../catalog/catalog.js';
 import { targetOf } from '../failover/instance_target.js';
 import { isPrimaryStuck } from '../failover/primary_evacuation.js';
-import { isOfLaterIncarnation } from '../leases/epoch_primary.js';
+import { isOfLaterIncarnation } from '../leases/epoch_incarnation.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { InstanceConnector } from '../instance/instance_connection.js';
 import type { Clock } from '../../runtime/runtime.js';
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -8,7 +8,7 @@
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 import type { LeaseLedger } from '../failover/lease_ledger.js';
-import type { PrimaryHealthReports } from '../failover/primary_health_opinions.js';
+import type { PrimaryHealthReports } from '../failover/primary_health_reports.js';
 import { LEASE_MS } from '../leases/lease_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
--- a/src/appointed/failover/caught_up_members.ts
+++ b/src/appointed/failover/caught_up_instances.ts
@@ -11,7 +11,7 @@
  * answer: the instance then goes on counting as missing.
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { coversEpochMinimum } from '../leases/epoch_primary.js';
+import { coversEpochMinimum } from '../leases/epoch_incarnation.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import { Events } from '../../observability/events.js';
 import { type Position, covers } from '../../positions/position.js';
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -22,13 +22,13 @@
 import { servedRoutes } from '../placement/primary_homes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Timer } from '../../runtime/runtime.js';
-import { PrimaryProber } from './direct_questions.js';
+import { PrimaryProber } from './primary_prober.js';
 import { targetOf } from './instance_target.js';
 import type { InstanceMonitor } from './instance_monitor.js';
 import { type PrimaryChangerContext, PrimaryChanger } from './primary_changer.js';
 import { PrimaryEvacuation, hasRecentHeartbeat } from './primary_evacuation.js';
-import type { PrimaryHealthReports } from './primary_health_opinions.js';
-import { primaryFailureReason, shouldProbePrimary } from './primary_trouble.js';
+import type { PrimaryHealthReports } from './primary_health_reports.js';
+import { primaryFailureReason, shouldProbePrimary } from './primary_failure.js';
 
 const { GroupPhase, InstanceRole, InstanceState } = whinyoke;
 
--- a/src/appointed/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -13,7 +13,7 @@
   type InstanceTarget,
 } from '../instance/instance_connection.js';
 import type { InstanceCommand } from '../instance/statement.js';
-import type { PersistentConnections } from './standing_connections.js';
+import type { PersistentConnections } from './persistent_connections.js';
 
 /** Time to connect, and for an answer, in milliseconds. A guess, not measured. */
 const COMMAND_TIMEOUT_MS = 500;
--- a/src/appointed/failover/primary_change_log.ts
+++ b/src/appointed/failover/primary_change_log.ts
@@ -4,7 +4,7 @@
 import { Events } from '../../observability/events.js';
 import { formatPosition } from '../../positions/position.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { CandidateReport, CandidateChoice } from './candidate.js';
+import type { CandidateReport, CandidateChoice } from './candidate_choice.js';
 import type { RevocationState } from './lease_ledger.js';
 
 /** Log of one change. */
--- a/src/appointed/failover/primary_trouble.ts
+++ b/src/appointed/failover/primary_failure.ts
@@ -14,8 +14,8 @@
  *   - with no good opinion, a heartbeat that is missing for long is enough.
  * Constants: below. Tests: test/unit/primary_trouble.test.ts. Pure.
  */
-import type { ProbeEvidence } from './direct_questions.js';
-import type { PrimaryHealthSummary } from './primary_health_opinions.js';
+import type { ProbeEvidence } from './primary_prober.js';
+import type { PrimaryHealthSummary } from './primary_health_reports.js';
 
 /** Without any opinion of a proxy, heartbeats must be missing for this long, in milliseconds. A guess, not measured. */
 const MISSING_HEARTBEAT_MS = 5000;
--- a/src/appointed/failover/replica_evidence.ts
+++ b/src/appointed/failover/replica_evidence.ts
@@ -15,10 +15,10 @@
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
-import { coversEpochMinimum } from '../leases/epoch_primary.js';
+import { coversEpochMinimum } from '../leases/epoch_incarnation.js';
 import { START, covers } from '../../positions/position.js';
-import type { CandidateReport } from './candidate.js';
-import type { CaughtUpInstances } from './caught_up_members.js';
+import type { CandidateReport } from './candidate_choice.js';
+import type { CaughtUpInstances } from './caught_up_instances.js';
 import type { InstanceMonitor } from './instance_monitor.js';
 
 /**
--- a/src/appointed/failover/replica_hold.ts
+++ b/src/appointed/failover/replica_fence.ts
@@ -10,8 +10,8 @@
 import { replicaLeaseObjection } from '../leases/replica_lease.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
-import type { CandidateReport } from './candidate.js';
-import { incarnationName } from './caught_up_members.js';
+import type { CandidateReport } from './candidate_choice.js';
+import { incarnationName } from './caught_up_instances.js';
 import type { InstanceAdministrator } from './instance_administrator.js';
 import { targetOf } from './instance_target.js';
 
--- a/src/appointed/proxy/primary_positions.ts
+++ b/src/appointed/proxy/primary_positions.ts
@@ -3,7 +3,7 @@
  * with other proxies. Relies on control for positions of primaries that this proxy does not hear from; without control
  * reads go to primaries until these have answered.
  */
-import { isOfLaterIncarnation } from '../leases/epoch_primary.js';
+import { isOfLaterIncarnation } from '../leases/epoch_incarnation.js';
 import type { Position } from '../../positions/position.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
--- a/src/appointed/trust/primary_incarnation.ts
+++ b/src/appointed/trust/primary_incarnation.ts
@@ -11,7 +11,7 @@
  *
  * Owns nothing. An answer that names no position tells nothing.
  */
-import { isOfLaterIncarnation } from '../leases/epoch_primary.js';
+import { isOfLaterIncarnation } from '../leases/epoch_incarnation.js';
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import { type Position, formatPosition } from '../../positions/position.js';
--- a/test/tools/changed_group.ts
+++ b/test/tools/primary_change_scenario.ts
@@ -9,7 +9,7 @@
   type PrimaryChangerContext,
   PrimaryChanger,
 } from '../../src/appointed/failover/primary_changer.js';
-import type { PersistentConnection } from '../../src/appointed/failover/standing_connections.js';
+import type { PersistentConnection } from '../../src/appointed/failover/persistent_connections.js';
 import type {
   InstanceAnswer,
   InstanceConnection,
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -5,7 +5,10 @@
 import { documentOf, inflateSource } from '../../src/appointed/catalog/document_source.js';
 import { nextMembership } from '../../src/consensus/elastic_membership.js';
 import { Membership } from '../../src/consensus/membership.js';
-import { type ChoiceInput, chooseCandidate } from '../../src/appointed/failover/candidate.js';
+import {
+  type ChoiceInput,
+  chooseCandidate,
+} from '../../src/appointed/failover/candidate_choice.js';
 import { FailoverController } from '../../src/appointed/failover/failover_controller.js';
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import {
@@ -14,7 +17,7 @@
 } from '../../src/appointed/failover/appointment_fence.js';
 import { LeaseLedger, type RevocationState } from '../../src/appointed/failover/lease_ledger.js';
 import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
-import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_reports.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { InstanceStatus } from '../../src/appointed/instance/instance_connection.js';
 import {
--- a/test/unit/fenced_replicas.test.ts
+++ b/test/unit/fenced_replicas.test.ts
@@ -2,7 +2,7 @@
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { PrimaryChangeScenario, statusUpTo } from '../tools/changed_group.js';
+import { PrimaryChangeScenario, statusUpTo } from '../tools/primary_change_scenario.js';
 
 const { InstanceState } = whinyoke;
 
--- a/test/unit/incarnations.test.ts
+++ b/test/unit/incarnations.test.ts
@@ -4,10 +4,10 @@
 import { orderOf } from '../../src/appointed/catalog/incarnation_order.js';
 import { AddressClaims } from '../../src/appointed/control/address_claim.js';
 import { CatalogService } from '../../src/appointed/control/catalog_service.js';
-import { CaughtUpInstances } from '../../src/appointed/failover/caught_up_members.js';
+import { CaughtUpInstances } from '../../src/appointed/failover/caught_up_instances.js';
 import type { RaftNode } from '../../src/consensus/raft_node.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { PrimaryChangeScenario, statusUpTo } from '../tools/changed_group.js';
+import { PrimaryChangeScenario, statusUpTo } from '../tools/primary_change_scenario.js';
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
--- a/test/unit/incarnations_at_proxies.test.ts
+++ b/test/unit/incarnations_at_proxies.test.ts
@@ -20,7 +20,7 @@
 import type { Clock, Runtime } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { FakeConnection } from '../tools/fake_connection.js';
-import { statusUpTo } from '../tools/changed_group.js';
+import { statusUpTo } from '../tools/primary_change_scenario.js';
 
 const { GroupPhase, PrimaryHealth, RelayOutcome } = whinyoke;
 const ANY_TENANT_REQUEST = { tenant: '', values: new Map<string, string>(), priority: 0 };
--- a/test/unit/primary_homes.test.ts
+++ b/test/unit/primary_allowed_regions.test.ts
@@ -3,11 +3,14 @@
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import type { RouteTable } from '../../src/appointed/catalog/route_table.js';
-import { type ChoiceInput, chooseCandidate } from '../../src/appointed/failover/candidate.js';
+import {
+  type ChoiceInput,
+  chooseCandidate,
+} from '../../src/appointed/failover/candidate_choice.js';
 import { FailoverController } from '../../src/appointed/failover/failover_controller.js';
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
-import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_reports.js';
 import { servedRoutes } from '../../src/appointed/placement/primary_homes.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { tableNaming } from '../tools/route_table.js';
--- a/test/unit/evacuation_primaries.test.ts
+++ b/test/unit/primary_evacuation.test.ts
@@ -9,7 +9,7 @@
 import { LeaseLedger } from '../../src/appointed/failover/lease_ledger.js';
 import type { PrimaryChangerContext } from '../../src/appointed/failover/primary_changer.js';
 import { evacuatedPrimaries } from '../../src/appointed/failover/primary_evacuation.js';
-import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_reports.js';
 import type {
   InstanceStatus,
   InstanceTarget,
--- a/test/unit/primary_trouble.test.ts
+++ b/test/unit/primary_failure.test.ts
@@ -1,22 +1,19 @@
 /** When a primary that some proxies can't use has failed, and what control finds out itself. */
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
-import {
-  type ProbeEvidence,
-  PrimaryProber,
-} from '../../src/appointed/failover/direct_questions.js';
+import { type ProbeEvidence, PrimaryProber } from '../../src/appointed/failover/primary_prober.js';
 import type { ProbeResult } from '../../src/appointed/failover/instance_administrator.js';
 import { LeaseLedger } from '../../src/appointed/failover/lease_ledger.js';
 import {
   type PrimaryChangerContext,
   PrimaryChanger,
 } from '../../src/appointed/failover/primary_changer.js';
-import type { PrimaryHealthSummary } from '../../src/appointed/failover/primary_health_opinions.js';
-import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_opinions.js';
+import type { PrimaryHealthSummary } from '../../src/appointed/failover/primary_health_reports.js';
+import { PrimaryHealthReports } from '../../src/appointed/failover/primary_health_reports.js';
 import {
   type PrimaryFailureInput,
   primaryFailureReason,
-} from '../../src/appointed/failover/primary_trouble.js';
+} from '../../src/appointed/failover/primary_failure.js';
 import type { InstanceStatus } from '../../src/appointed/instance/instance_connection.js';
 import { PrimaryHealthTracker } from '../../src/appointed/trust/primary_health_tracker.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
