--- a/lab/appointed/appointed_judge.ts
+++ b/lab/appointed/appointed_judge.ts
@@ -6,7 +6,7 @@
 import type { PreparedShape } from '../../src/appointed/instance/statement.js';
 import type { ResidencyOfDeployment } from './appointed_deployment.js';
 import { MILLISECONDS_PER_SECOND } from '../../src/runtime/duration.js';
-import { mostRequests } from '../../src/appointed/placement/slow_start_budget.js';
+import { maxColdInstanceRequests } from '../../src/appointed/placement/slow_start_budget.js';
 import type { AppointedDeployment } from './appointed_deployment.js';
 import type { SimulatedTenancy } from './simulated_tenancy.js';
 import type {
@@ -155,7 +155,7 @@
     const oldest = Math.max(now - MILLISECONDS_PER_SECOND, coldFrom);
     const recent = [...(this.arrivals.get(id) ?? []), sentAt].filter((time) => time > oldest);
     this.arrivals.set(id, recent);
-    const most = mostRequests(this.slowStart, this.slowStart);
+    const most = maxColdInstanceRequests(this.slowStart, this.slowStart);
     if (recent.length > most) this.add('slow-start', `${id} got ${recent.length} of ${most}`);
   }
 
--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -107,7 +107,7 @@
 
 /** Makes a proxy go on sending to zones that are evacuated. */
 export function disableEvacuatedZones(core: AppointedProxy): void {
-  core.evacuatedZones.adopt = () => undefined;
+  core.evacuatedZones.applyUpdate = () => undefined;
 }
 
 /** Makes a proxy run every operation of a tenant, whatever its limit. */
@@ -118,7 +118,7 @@
 /** Makes a proxy send to cold instances as to warm ones. */
 export function disableSlowStart({ slowStarts }: AppointedProxy): void {
   slowStarts.routeTo = () => undefined;
-  slowStarts.enter = () => () => undefined;
+  slowStarts.reserve = () => () => undefined;
   slowStarts.admit = () => true;
 }
 
--- a/src/appointed/connections/connection_source.ts
+++ b/src/appointed/connections/connection_source.ts
@@ -1,6 +1,6 @@
 /** Where statements get their connections to one instance: from a pool of this process, or from connection owners. */
 import type { InstanceLoad } from './instance_load.js';
-import type { Homes } from '../placement/data_residency.js';
+import type { AllowedRegions } from '../placement/data_residency.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
 /** Source of connections to one instance. */
@@ -12,7 +12,7 @@
   /** @throws AcquireError when none could be had within `timeoutMs` */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection>;
   /** Whether the next statement on a connection may have these homes: another proxy may keep it, which gets its body. */
-  mayCarry(pooled: PooledConnection, homes: Homes): boolean;
+  mayCarry(pooled: PooledConnection, homes: AllowedRegions): boolean;
   /** Gives a connection back; it has no transaction and no answer outstanding. */
   release(pooled: PooledConnection): void;
   /** Closes a connection whose state is unknown. */
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -22,7 +22,11 @@
   InstanceConnector,
   InstanceTarget,
 } from '../instance/instance_connection.js';
-import type { ColdRoute, EndWait, SlowStartGate } from '../placement/slow_start_gate.js';
+import type {
+  ColdInstanceRoute,
+  CancelReservation,
+  SlowStartGate,
+} from '../placement/slow_start_gate.js';
 import { InstanceLoad } from './instance_load.js';
 import { InstancePool } from './instance_pool.js';
 import type { PoolListener, PoolOptions } from './pool_options.js';
@@ -31,7 +35,7 @@
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { ConfirmingReplica } from '../trust/replica_lease_confirmer.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
-import { isWithinHomes } from '../placement/data_residency.js';
+import { isWithinAllowedRegions } from '../placement/data_residency.js';
 
 const { InstanceState } = whinyoke;
 
@@ -164,7 +168,7 @@
       const access = this.accesses.get(id);
       if (!access || !this.takesNew(instance, group)) continue;
       const coldRoute = this.surroundings.slowStarts.routeTo(instance, false);
-      if (coldRoute && !coldRoute.isOpen) continue;
+      if (coldRoute && !coldRoute.canSend) continue;
       const { load } = access;
       const zone = instance.zone ?? '';
       const isCold = coldRoute !== undefined;
@@ -180,9 +184,9 @@
   }
 
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(id: string, isUrgent: boolean): EndWait | undefined {
+  enter(id: string, isUrgent: boolean): CancelReservation | undefined {
     const instance = this.entries.get(id);
-    return this.surroundings.slowStarts.enter(instance ?? {}, isUrgent);
+    return this.surroundings.slowStarts.reserve(instance ?? {}, isUrgent);
   }
 
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
@@ -250,21 +254,22 @@
     const { ownAddress, regionByZone } = this.surroundings;
     const ways: InstanceWays = {
       ownersFor: (tenant) => this.owners.of(this.ownedInstance(instance), tenant),
-      maySee: (address, homes) => isWithinHomes(homes, this.owners.zoneOf(address), regionByZone),
+      maySee: (address, homes) =>
+        isWithinAllowedRegions(homes, this.owners.zoneOf(address), regionByZone),
       coldRoute: (isUrgent) => this.coldRoute(pool.target.id, isUrgent),
       noteRefused: () => this.noteRefused(pool.target.id),
     };
     return new InstanceAccess(pool, ownAddress, this.relaying, ways);
   }
 
-  private coldRoute(id: string, isUrgent: boolean): ColdRoute | undefined {
+  private coldRoute(id: string, isUrgent: boolean): ColdInstanceRoute | undefined {
     const instance = this.entries.get(id);
     return instance && this.surroundings.slowStarts.routeTo(instance, isUrgent);
   }
 
   private noteRefused(id: string): void {
     const instance = this.entries.get(id);
-    if (instance) this.surroundings.slowStarts.noteRefused(instance);
+    if (instance) this.surroundings.slowStarts.recordRefusal(instance);
   }
 
   private ownedInstance({ id, zone, group }: InstanceEntry): OwnedInstance {
--- a/src/appointed/connections/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -126,7 +126,7 @@
       const { usefulMs = Infinity } = request;
       // The time of a statement is not taken off `startBy`: the one that is known is a mean of all kinds, which may be
       // longer than the objective of a short one.
-      const times = { arrivedAt: now, startBy: now + usefulMs, giveUpAt: now + timeoutMs };
+      const times = { arrivedAt: now, latestStartAt: now + usefulMs, expiresAt: now + timeoutMs };
       this.enqueue({ ...request, resolve, reject, ...times }, timeoutMs, now);
     });
   }
@@ -272,7 +272,7 @@
     this.inUse.add(pooled);
     const now = this.clock.now();
     if (request.tenant !== undefined) this.lastStatementAt = now;
-    this.order.noteStart(request, this.load.latency, now);
+    this.order.recordStart(request, this.load.latency, now);
     return pooled;
   }
 
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -2,7 +2,7 @@
  * One connection of a pool or of a connection owner, and what is known of it: the session values and prepared shapes that it
  * has loaded. Owns that knowledge; its pool and the session loader keep it true.
  */
-import type { Homes } from '../placement/data_residency.js';
+import type { AllowedRegions } from '../placement/data_residency.js';
 import type { InstanceConnection } from '../instance/instance_connection.js';
 
 /** Steps that a reset counts as (a count), more than a single value. Guess, not measured. */
@@ -52,5 +52,5 @@
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
   readonly usefulMs?: number;
   /** Regions to which the request is bound; undefined where it is bound to none. */
-  readonly homes?: Homes;
+  readonly homes?: AllowedRegions;
 }
--- a/src/appointed/connections/waiter_queue.ts
+++ b/src/appointed/connections/waiter_queue.ts
@@ -52,7 +52,7 @@
 
   /** Adds a request; when it gives up, it is taken out and rejected with `timeoutError`. */
   add(request: WaitingRequest, timeoutError: () => Error): void {
-    const timer = this.clock.setTimer(request.giveUpAt - this.clock.now(), () =>
+    const timer = this.clock.setTimer(request.expiresAt - this.clock.now(), () =>
       this.reject(request, timeoutError()),
     );
     this.timers.set(request, timer);
--- a/src/appointed/control/slow_start_holders.ts
+++ b/src/appointed/control/slow_start_holders.ts
@@ -14,7 +14,7 @@
 import { LEASE_MS, STALE_LEADER_MS } from '../leases/lease_times.js';
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
-import { type RunContact, successorFrom } from '../placement/slow_start_budget.js';
+import { type IncarnationContact, earliestSuccessorAt } from '../placement/slow_start_budget.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 
@@ -36,7 +36,7 @@
 
 /** Holders, as one leader names them. */
 export class SlowStartHolders {
-  private readonly contacts = new Map<string, RunContact>();
+  private readonly contacts = new Map<string, IncarnationContact>();
   /** Runs that get no lease, by the instance for which another is being named. */
   private readonly withheld = new Map<string, string>();
   /** Instances whose new holder is proposed now. */
@@ -59,7 +59,7 @@
 
   /** A run of a proxy sent a request. */
   noteContact({ incarnation }: ProxyEntry, hasLeft: boolean): void {
-    this.contacts.set(incarnation ?? '', { at: this.surroundings.clock.now(), hasLeft });
+    this.contacts.set(incarnation ?? '', { lastRequestAt: this.surroundings.clock.now(), hasLeft });
   }
 
   /** Lease that an answer grants to a run, in milliseconds from when its request was sent; 0 for none. */
@@ -111,18 +111,21 @@
     if (this.proposing.has(id ?? '')) return false;
     const run = holderIncarnation ?? '';
     if (run === '' || this.withheld.get(id ?? '') === run) return true;
-    return this.surroundings.clock.now() >= successorFrom(this.contactOf(run));
+    return this.surroundings.clock.now() >= earliestSuccessorAt(this.contactOf(run));
   }
 
   /**
    * A former leader may have heard a run as long as it could answer, and later than this one did: a run whose answer is lost asks
    * another machine. One that leaves says so to nobody before it stops sending.
    */
-  private contactOf(run: string): RunContact {
+  private contactOf(run: string): IncarnationContact {
     const contact = this.contacts.get(run);
     if (contact?.hasLeft) return contact;
     const formerUntil = this.begunAt + STALE_LEADER_MS;
-    return { at: Math.max(contact?.at ?? -Infinity, formerUntil), hasLeft: false };
+    return {
+      lastRequestAt: Math.max(contact?.lastRequestAt ?? -Infinity, formerUntil),
+      hasLeft: false,
+    };
   }
 
   private nameHolder(instance: InstanceEntry): void {
@@ -133,7 +136,7 @@
     if (!next) return;
     this.withheld.set(id, former);
     this.proposing.add(id);
-    const silentMs = former === '' ? 0 : clock.now() - this.contactOf(former).at;
+    const silentMs = former === '' ? 0 : clock.now() - this.contactOf(former).lastRequestAt;
     const { id: holder, incarnation, address } = next;
     const command = { instance: id, holder, incarnation, address, formerIncarnation: former };
     this.surroundings
@@ -180,6 +183,6 @@
     const run = incarnation ?? '';
     const contact = this.contacts.get(run);
     if (!contact || contact.hasLeft || [...this.withheld.values()].includes(run)) return false;
-    return this.surroundings.clock.now() - contact.at < LEASE_MS;
+    return this.surroundings.clock.now() - contact.lastRequestAt < LEASE_MS;
   }
 }
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -19,7 +19,7 @@
 import type { Position } from '../../positions/position.js';
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
-import { servedRoutes } from '../placement/primary_homes.js';
+import { countServableRoutes } from '../placement/primary_homes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Timer } from '../../runtime/runtime.js';
 import { DirectQuestions } from './direct_questions.js';
@@ -222,9 +222,9 @@
     const { catalog, clock } = this.context;
     const now = clock.now();
     if (this.steadyAge(entry, now) < HOMES_RETRY_MS) return undefined;
-    const own = servedRoutes(primary, this.context);
+    const own = countServableRoutes(primary, this.context);
     const isBetter = (other: InstanceEntry): boolean =>
-      servedRoutes(other, this.context) > own &&
+      countServableRoutes(other, this.context) > own &&
       !catalog.isEvacuated(other.zone ?? '') &&
       isHeard(this.monitor, other.id ?? '', now);
     if (!this.replacementsFor(entry).some(isBetter)) return undefined;
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -15,7 +15,7 @@
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
-import { type PrimaryPlacement, servedRoutes } from '../placement/primary_homes.js';
+import { type PrimaryPlacement, countServableRoutes } from '../placement/primary_homes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
 import { appointmentObjection } from './appointment_fence.js';
@@ -308,7 +308,8 @@
       isHistoryWhole: this.isHistoryWhole(),
       isMembershipWhole: this.isMembershipWhole(),
       term: this.oldTerm,
-      servedRoutes: (id: string) => servedRoutes(this.context.catalog.instance(id), this.context),
+      servedRoutes: (id: string) =>
+        countServableRoutes(this.context.catalog.instance(id), this.context),
     };
     const ofReplicas = chooseCandidate({ ...input, reports: [...replicas] });
     // Where no replica provably holds everything, the old primary does, and may lead again.
--- a/src/appointed/placement/data_residency.ts
+++ b/src/appointed/placement/data_residency.ts
@@ -10,24 +10,28 @@
  */
 
 /** Regions to which something is bound; undefined where it is bound to none. */
-export type Homes = ReadonlySet<string> | undefined;
+export type AllowedRegions = ReadonlySet<string> | undefined;
 
 /** Homes of a request on a route, of a tenant: both bind. */
-export function commonHomes(ofRoute: Homes, ofTenant: Homes): Homes {
-  if (ofRoute === undefined || ofTenant === undefined) return ofRoute ?? ofTenant;
-  return new Set([...ofRoute].filter((region) => ofTenant.has(region)));
+export function intersectAllowedRegions(
+  routeRegions: AllowedRegions,
+  tenantRegions: AllowedRegions,
+): AllowedRegions {
+  if (routeRegions === undefined || tenantRegions === undefined)
+    return routeRegions ?? tenantRegions;
+  return new Set([...routeRegions].filter((region) => tenantRegions.has(region)));
 }
 
 /**
  * Whether an instance in a zone may run a request with these homes, and another proxy in it may get its body.
  * @param zone - undefined where it is not known
  */
-export function isWithinHomes(
-  homes: Homes,
+export function isWithinAllowedRegions(
+  allowedRegions: AllowedRegions,
   zone: string | undefined,
   regionByZone: ReadonlyMap<string, string>,
 ): boolean {
-  if (homes === undefined) return true;
+  if (allowedRegions === undefined) return true;
   const region = zone === undefined ? undefined : regionByZone.get(zone);
-  return region !== undefined && homes.has(region);
+  return region !== undefined && allowedRegions.has(region);
 }
--- a/src/appointed/placement/evacuated_zones.ts
+++ b/src/appointed/placement/evacuated_zones.ts
@@ -31,14 +31,14 @@
  */
 const CLOSED_MARGIN_MS = 2000;
 /** Part of the time until then (a ratio) after which transactions that rest are ended. Guess, not measured. */
-const RESTED_FRACTION = 0.5;
+const IDLE_TRANSACTION_FRACTION = 0.5;
 
 /** Evacuated zones of one proxy. */
 export class EvacuatedZones {
   /** Time by which no order on the zone was acknowledged yet. */
-  private readonly notBefore = new Map<string, number>();
+  private readonly orderNotBeforeByZone = new Map<string, number>();
   /** Age of an order from which on nothing is sent, in milliseconds. */
-  private readonly closedMs: number;
+  private readonly closedAfterMs: number;
 
   /**
    * @param evacuationMs - from the acknowledgement until nothing may reach the zone, in milliseconds
@@ -47,25 +47,25 @@
     evacuationMs: number,
     private readonly log: DecisionLog,
   ) {
-    const longestMs = Math.max(0, evacuationMs - CLOSED_MARGIN_MS);
-    this.closedMs = Math.min(evacuationMs * CLOSED_FRACTION, longestMs);
+    const maxMs = Math.max(0, evacuationMs - CLOSED_MARGIN_MS);
+    this.closedAfterMs = Math.min(evacuationMs * CLOSED_FRACTION, maxMs);
   }
 
   /** Names of the evacuated zones. */
   get names(): readonly string[] {
-    return [...this.notBefore.keys()];
+    return [...this.orderNotBeforeByZone.keys()];
   }
 
   /** Whether any zone is evacuated. */
-  get isAny(): boolean {
-    return this.notBefore.size > 0;
+  get hasAny(): boolean {
+    return this.orderNotBeforeByZone.size > 0;
   }
 
   /**
    * Takes over orders of an update.
-   * @param provenAt - when the newest request was sent whose reply did not tell of these orders; -Infinity without one
+   * @param notBefore - when the newest request was sent whose reply did not tell of these orders; -Infinity without one
    */
-  adopt(update: whinyoke.ICatalogUpdate, provenAt: number): void {
+  applyUpdate(update: whinyoke.ICatalogUpdate, notBefore: number): void {
     const evacuated = new Set<string>();
     for (const { zone, begunAt } of update.evacuations ?? []) {
       if ((begunAt ?? 0) > 0) evacuated.add(zone ?? '');
@@ -74,26 +74,26 @@
     if (update.isWhole) {
       for (const zone of this.names) if (!evacuated.has(zone)) this.readmit(zone);
     }
-    for (const zone of evacuated) this.evacuate(zone, provenAt);
+    for (const zone of evacuated) this.evacuate(zone, notBefore);
   }
 
   /** Stage of a zone; undefined when it is not evacuated. */
   stageOf(zone: string, now: number): EvacuationStage | undefined {
-    const notBefore = this.notBefore.get(zone);
+    const notBefore = this.orderNotBeforeByZone.get(zone);
     if (notBefore === undefined) return undefined;
     const ageMs = now - notBefore;
-    if (ageMs >= this.closedMs) return 'closed';
-    return ageMs >= this.closedMs * RESTED_FRACTION ? 'rested' : 'begun';
+    if (ageMs >= this.closedAfterMs) return 'closed';
+    return ageMs >= this.closedAfterMs * IDLE_TRANSACTION_FRACTION ? 'rested' : 'begun';
   }
 
   /** A zone that is evacuated already stays in its stage. */
-  private evacuate(zone: string, provenAt: number): void {
-    if (this.notBefore.has(zone)) return;
-    this.notBefore.set(zone, provenAt);
+  private evacuate(zone: string, notBefore: number): void {
+    if (this.orderNotBeforeByZone.has(zone)) return;
+    this.orderNotBeforeByZone.set(zone, notBefore);
     this.log(Events.zoneEvacuated, { zone });
   }
 
   private readmit(zone: string): void {
-    if (this.notBefore.delete(zone)) this.log(Events.zoneReadmitted, { zone });
+    if (this.orderNotBeforeByZone.delete(zone)) this.log(Events.zoneReadmitted, { zone });
   }
 }
--- a/src/appointed/placement/placement_rules.ts
+++ b/src/appointed/placement/placement_rules.ts
@@ -10,7 +10,7 @@
   /** A machine that had contact with control for this long is bound by the times below, in milliseconds. */
   readonly contactTimeoutMs: number;
   /** By how much the times below stretch at most while control is unstable, in milliseconds. */
-  readonly longestStretchMs: number;
+  readonly maxStretchMs: number;
   /** From the acknowledgement of an evacuation until no request may reach the zone, in milliseconds. */
   readonly evacuationMs: number;
   /** The rate of a cold instance may be exceeded by this factor. */
@@ -23,7 +23,7 @@
 export const DEFAULT_PLACEMENT_RULES: PlacementRules = {
   regionByZone: new Map(),
   contactTimeoutMs: 5000,
-  longestStretchMs: 15_000,
+  maxStretchMs: 15_000,
   evacuationMs: 5000,
   slowStartOverage: 1,
   slowStartTolerance: 0,
--- a/src/appointed/placement/primary_homes.ts
+++ b/src/appointed/placement/primary_homes.ts
@@ -9,7 +9,7 @@
  */
 import type { InstanceEntry } from '../catalog/instance_table.js';
 import type { RouteTable } from '../catalog/route_table.js';
-import { type Homes, isWithinHomes } from './data_residency.js';
+import { type AllowedRegions, isWithinAllowedRegions } from './data_residency.js';
 
 /** What places primaries. */
 export interface PrimaryPlacement {
@@ -20,25 +20,30 @@
 }
 
 /** Homes of the bound routes of each group, by document: control looks at all groups many times a second. */
-const boundRoutesByTable = new WeakMap<RouteTable, ReadonlyMap<string, readonly Homes[]>>();
+const restrictedRoutesByTable = new WeakMap<
+  RouteTable,
+  ReadonlyMap<string, readonly AllowedRegions[]>
+>();
 
-function boundRoutesOf(table: RouteTable): ReadonlyMap<string, readonly Homes[]> {
-  const known = boundRoutesByTable.get(table);
+function restrictedRoutesOf(table: RouteTable): ReadonlyMap<string, readonly AllowedRegions[]> {
+  const known = restrictedRoutesByTable.get(table);
   if (known) return known;
-  const bound = new Map<string, Homes[]>();
+  const restrictedRoutes = new Map<string, AllowedRegions[]>();
   for (const { group, homes } of table.routeByDatabase.values()) {
-    if (homes) bound.set(group, [...(bound.get(group) ?? []), homes]);
+    if (homes) restrictedRoutes.set(group, [...(restrictedRoutes.get(group) ?? []), homes]);
   }
-  boundRoutesByTable.set(table, bound);
-  return bound;
+  restrictedRoutesByTable.set(table, restrictedRoutes);
+  return restrictedRoutes;
 }
 
 /** Number of bound routes of its group that an instance may serve as the primary. */
-export function servedRoutes(
+export function countServableRoutes(
   instance: InstanceEntry | undefined,
   { document: { table }, regionByZone }: PrimaryPlacement,
 ): number {
-  const bound = table && boundRoutesOf(table).get(instance?.group ?? '');
-  if (!bound) return 0;
-  return bound.filter((homes) => isWithinHomes(homes, instance?.zone ?? '', regionByZone)).length;
+  const restrictedRoutes = table && restrictedRoutesOf(table).get(instance?.group ?? '');
+  if (!restrictedRoutes) return 0;
+  return restrictedRoutes.filter((homes) =>
+    isWithinAllowedRegions(homes, instance?.zone ?? '', regionByZone),
+  ).length;
 }
--- a/src/appointed/placement/request_window.ts
+++ b/src/appointed/placement/request_window.ts
@@ -8,25 +8,25 @@
   /** When each request of the window was sent, oldest first. */
   private readonly sentAt: number[] = [];
   /** Requests that wait for a connection, so that no more are let in than can be sent. */
-  waiting = 0;
+  reservedCount = 0;
 
   constructor(private readonly lengthMs: number) {}
 
   /** Whether one more keeps the window within `most`, when all that wait have been sent. */
-  hasRoom(most: number, now: number): boolean {
-    this.forget(now);
-    return this.sentAt.length + this.waiting < most;
+  hasRoom(maxRequests: number, now: number): boolean {
+    this.removeExpired(now);
+    return this.sentAt.length + this.reservedCount < maxRequests;
   }
 
   /** Counts a request that is sent now, if it keeps the window within `most`; returns whether it does. */
-  take(most: number, now: number): boolean {
-    this.forget(now);
-    const mayBeSent = this.sentAt.length < most;
+  tryAcquire(maxRequests: number, now: number): boolean {
+    this.removeExpired(now);
+    const mayBeSent = this.sentAt.length < maxRequests;
     if (mayBeSent) this.sentAt.push(now);
     return mayBeSent;
   }
 
-  private forget(now: number): void {
+  private removeExpired(now: number): void {
     while (this.sentAt.length > 0 && this.sentAt[0]! <= now - this.lengthMs) this.sentAt.shift();
   }
 }
--- a/src/appointed/placement/slow_start_gate.ts
+++ b/src/appointed/placement/slow_start_gate.ts
@@ -13,16 +13,16 @@
 import { RequestWindow } from './request_window.js';
 import {
   type SlowStartRules,
-  WINDOW_MS,
-  mostRequests,
-  usableRequests,
+  SLOW_START_WINDOW_MS,
+  maxColdInstanceRequests,
+  usableColdInstanceRequests,
 } from './slow_start_budget.js';
 
 /** Refusals at one instance are reported once in this time, in milliseconds: one line a second can be read. */
-const REPORT_SPACING_MS = 1000;
+const REFUSAL_LOG_INTERVAL_MS = 1000;
 
 /** What the gate needs of its proxy. */
-export interface GateSurroundings {
+export interface SlowStartGateDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
   /** Identifier of this run among the runs of all proxies. */
@@ -35,17 +35,17 @@
 }
 
 /** Way of the requests for a cold instance. */
-export interface ColdRoute {
+export interface ColdInstanceRoute {
   /** Address of the proxy that sends them; empty when none is known. */
-  readonly holder: string;
+  readonly holderAddress: string;
   /** Whether they may go that way now, as far as this proxy knows. */
-  readonly isOpen: boolean;
+  readonly canSend: boolean;
 }
 
 /** Ends the wait of a request for a connection. */
-export type EndWait = () => void;
+export type CancelReservation = () => void;
 
-const NO_WAIT: EndWait = () => undefined;
+const NO_RESERVATION: CancelReservation = () => undefined;
 
 /** Gate of one proxy. */
 export class SlowStartGate {
@@ -53,13 +53,13 @@
   readonly counts = { sent: 0, refused: 0 };
   private leaseUntil = -Infinity;
   private readonly windows = new Map<string, RequestWindow>();
-  private readonly reportedAt = new Map<string, number>();
+  private readonly lastLoggedAt = new Map<string, number>();
 
-  constructor(private readonly surroundings: GateSurroundings) {}
+  constructor(private readonly dependencies: SlowStartGateDependencies) {}
 
   /** Control granted the lease until then. */
-  extend(until: number): void {
-    this.leaseUntil = Math.max(this.leaseUntil, until);
+  extendLease(expiresAt: number): void {
+    this.leaseUntil = Math.max(this.leaseUntil, expiresAt);
   }
 
   private isCold(instance: InstanceEntry): boolean {
@@ -67,85 +67,91 @@
   }
 
   /** Way of a request for an instance; undefined for a warm one. */
-  routeTo(instance: InstanceEntry, isUrgent: boolean): ColdRoute | undefined {
+  routeTo(instance: InstanceEntry, isUrgent: boolean): ColdInstanceRoute | undefined {
     const slowStart = this.slowStartOf(instance);
     if (!slowStart) return undefined;
-    const holder = instance.holderAddress ?? '';
-    if (!this.isHolder(instance)) return { holder, isOpen: holder !== '' };
-    const now = this.surroundings.clock.now();
-    const most = this.usable(slowStart, isUrgent);
-    return { holder, isOpen: this.maySend(now) && this.windowOf(instance).hasRoom(most, now) };
+    const holderAddress = instance.holderAddress ?? '';
+    if (!this.isHolder(instance)) return { holderAddress, canSend: holderAddress !== '' };
+    const now = this.dependencies.clock.now();
+    const maxRequests = this.usableRequests(slowStart, isUrgent);
+    return {
+      holderAddress,
+      canSend: this.canSend(now) && this.windowOf(instance).hasRoom(maxRequests, now),
+    };
   }
 
   /**
    * Begins the wait of a request for a connection to an instance; undefined when the holder could not send it by then. Requests
    * that others have to send, or that a warm instance gets, wait here for nothing.
    */
-  enter(instance: InstanceEntry, isUrgent: boolean): EndWait | undefined {
-    const isHeldHere = this.isCold(instance) && this.isHolder(instance);
-    if (!isHeldHere) return NO_WAIT;
-    if (this.routeTo(instance, isUrgent)?.isOpen !== true) {
-      this.noteRefused(instance);
+  reserve(instance: InstanceEntry, isUrgent: boolean): CancelReservation | undefined {
+    const isSentFromHere = this.isCold(instance) && this.isHolder(instance);
+    if (!isSentFromHere) return NO_RESERVATION;
+    if (this.routeTo(instance, isUrgent)?.canSend !== true) {
+      this.recordRefusal(instance);
       return undefined;
     }
     const window = this.windowOf(instance);
-    window.waiting++;
-    return () => window.waiting--;
+    window.reservedCount++;
+    return () => window.reservedCount--;
   }
 
   /** Counts a request that is sent to an instance now; false when it must not be sent. */
   admit(instance: InstanceEntry, isUrgent: boolean): boolean {
     const slowStart = this.slowStartOf(instance);
     if (!slowStart) return true;
-    const now = this.surroundings.clock.now();
-    const mayBeSent = this.isHolder(instance) && this.maySend(now);
-    const most = this.usable(slowStart, isUrgent);
-    if (mayBeSent && this.windowOf(instance).take(most, now)) {
+    const now = this.dependencies.clock.now();
+    const mayBeSent = this.isHolder(instance) && this.canSend(now);
+    const maxRequests = this.usableRequests(slowStart, isUrgent);
+    if (mayBeSent && this.windowOf(instance).tryAcquire(maxRequests, now)) {
       this.counts.sent++;
       return true;
     }
-    this.noteRefused(instance);
+    this.recordRefusal(instance);
     return false;
   }
 
   /** Counts a request that was refused, and reports it now and then. */
-  noteRefused(instance: InstanceEntry): void {
-    const { clock, log } = this.surroundings;
+  recordRefusal(instance: InstanceEntry): void {
+    const { clock, log } = this.dependencies;
     const now = clock.now();
     const id = instance.id ?? '';
     this.counts.refused++;
-    if (now - (this.reportedAt.get(id) ?? -Infinity) < REPORT_SPACING_MS) return;
-    this.reportedAt.set(id, now);
+    if (now - (this.lastLoggedAt.get(id) ?? -Infinity) < REFUSAL_LOG_INTERVAL_MS) return;
+    this.lastLoggedAt.set(id, now);
     log(Events.coldInstanceRefused, {
       instance: id,
       group: instance.group ?? '',
       holder: instance.holder ?? '',
       is_holder: this.isHolder(instance),
-      leased: this.maySend(now),
+      leased: this.canSend(now),
       refused: this.counts.refused,
     });
   }
 
   private slowStartOf({ isCold, group }: InstanceEntry): SlowStart | undefined {
-    return isCold ? this.surroundings.slowStartOf(group ?? '') : undefined;
+    return isCold ? this.dependencies.slowStartOf(group ?? '') : undefined;
   }
 
   private isHolder({ holderIncarnation }: InstanceEntry): boolean {
-    return holderIncarnation === this.surroundings.incarnation;
+    return holderIncarnation === this.dependencies.incarnation;
   }
 
-  private maySend(now: number): boolean {
-    return now < this.leaseUntil && !this.surroundings.isLeaving();
+  private canSend(now: number): boolean {
+    return now < this.leaseUntil && !this.dependencies.isLeaving();
   }
 
-  private usable(slowStart: SlowStart, isUrgent: boolean): number {
-    return usableRequests(mostRequests(slowStart, this.surroundings.rules), isUrgent);
+  private usableRequests(slowStart: SlowStart, isUrgent: boolean): number {
+    return usableColdInstanceRequests(
+      maxColdInstanceRequests(slowStart, this.dependencies.rules),
+      isUrgent,
+    );
   }
 
   private windowOf({ id }: InstanceEntry): RequestWindow {
     let window = this.windows.get(id ?? '');
     if (!window) {
-      window = new RequestWindow(WINDOW_MS);
+      window = new RequestWindow(SLOW_START_WINDOW_MS);
       this.windows.set(id ?? '', window);
     }
     return window;
--- a/src/appointed/proxy/control_synchronisation.ts
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -155,7 +155,7 @@
     // A reply that was overtaken grants leases on epochs that may be over.
     if (version === this.catalogVersion) {
       leases.extendAll(sentAt + (reply.leaseMs ?? 0));
-      slowStarts.extend(sentAt + (reply.slowStartLeaseMs ?? 0));
+      slowStarts.extendLease(sentAt + (reply.slowStartLeaseMs ?? 0));
       positions.adopt(reply, sentAt);
     }
     if (leases.hasDueRevocation(now)) void this.client.syncNow();
@@ -181,7 +181,7 @@
     const { positions, instances, fleet, log, evacuatedZones } = this.parts;
     if (this.catalogVersion === 0) positions.expectFirst();
     this.catalogVersion = version;
-    evacuatedZones.adopt(update, provenBefore);
+    evacuatedZones.applyUpdate(update, provenBefore);
     instances.adopt(update);
     log(Events.catalogInForce, {
       version,
--- a/src/appointed/proxy/primary_positions.ts
+++ b/src/appointed/proxy/primary_positions.ts
@@ -7,7 +7,7 @@
 import type { Position } from '../../positions/position.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
-import { PositionFloor } from '../routing/position_floor.js';
+import { MinimumPosition } from '../routing/position_floor.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import { SharedPositions, sharedPositionsOf } from './shared_positions.js';
 
@@ -19,7 +19,7 @@
 
 /** Positions of one proxy. */
 export class PrimaryPositions {
-  private readonly floors = new Map<string, PositionFloor>();
+  private readonly floors = new Map<string, MinimumPosition>();
   private readonly shared = new SharedPositions();
   /** Until when the first positions of primaries are expected from control; undefined before the first catalog. */
   private expectedUntil: number | undefined;
@@ -34,10 +34,10 @@
   ) {}
 
   /** Position floor of a group. */
-  floorOf(group: string): PositionFloor {
+  floorOf(group: string): MinimumPosition {
     let floor = this.floors.get(group);
     if (!floor) {
-      floor = new PositionFloor();
+      floor = new MinimumPosition();
       this.floors.set(group, floor);
     }
     return floor;
@@ -46,7 +46,7 @@
   /** Notes a position with which the leased primary of `epoch` answered a request that was sent at `askedAt`. */
   noteFromPrimary(group: string, epoch: number, askedAt: number, position: Position): void {
     if (this.isOfLaterIncarnation(group, epoch, position)) return;
-    this.floorOf(group).note(epoch, askedAt, position);
+    this.floorOf(group).record(epoch, askedAt, position);
     this.shared.noteOwn(group, epoch, askedAt, position);
   }
 
@@ -97,7 +97,7 @@
    */
   private isOfLaterIncarnation(group: string, epoch: number, position: Position): boolean {
     const entry = this.leases.entryOf(group);
-    const known = this.floorOf(group).highestOf(epoch);
+    const known = this.floorOf(group).highestInEpoch(epoch);
     return entry !== undefined && isOfLaterIncarnation(entry, position, known);
   }
 
@@ -107,7 +107,7 @@
     for (const { group, askedAt, position } of positions) {
       const { epoch } = this.leases.entryOf(group) ?? {};
       if (this.isOfLaterIncarnation(group, epoch ?? 0, position)) continue;
-      this.floorOf(group).note(epoch ?? 0, askedAt, position);
+      this.floorOf(group).record(epoch ?? 0, askedAt, position);
     }
     if (positions.length > 0) this.resolveFirst();
   }
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -10,7 +10,7 @@
 import type { PrimaryHealthTracker } from '../trust/primary_health_tracker.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import type { EvacuationStage } from '../placement/evacuated_zones.js';
-import type { EndWait } from '../placement/slow_start_gate.js';
+import type { CancelReservation } from '../placement/slow_start_gate.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { RouteTable } from '../catalog/route_table.js';
 import type { PrimaryPositions } from './primary_positions.js';
@@ -58,7 +58,7 @@
   /** Zone of an instance; undefined when the catalog does not list it. */
   zoneOf(instance: string): string | undefined;
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(instance: string, isUrgent: boolean): EndWait | undefined;
+  enter(instance: string, isUrgent: boolean): CancelReservation | undefined;
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
   admit(instance: string, isUrgent: boolean): boolean;
 }
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -15,7 +15,7 @@
   InstanceTarget,
 } from '../instance/instance_connection.js';
 import type { EvacuatedZones, EvacuationStage } from '../placement/evacuated_zones.js';
-import type { EndWait, SlowStartGate } from '../placement/slow_start_gate.js';
+import type { CancelReservation, SlowStartGate } from '../placement/slow_start_gate.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import { distrustOtherIncarnation, distrustShorterLog } from '../trust/primary_incarnation.js';
 import type { ZoneProxies } from '../relay/connection_owners.js';
@@ -70,7 +70,7 @@
       tenantRate: (tenant) => document.table?.tenants.named(tenant)?.limit?.ratePerSecond,
       // Asked for each instance of each read: the clock is read only where it decides.
       stageOf: (zone) =>
-        evacuatedZones.isAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
+        evacuatedZones.hasAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
       liveProxies: () => fleet.liveProxies,
       onConnectFailed: (target, error) => this.onConnectFailed(target, error),
       onStartedAgain: ({ id, group }, incarnation) =>
@@ -125,7 +125,7 @@
   }
 
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(instance: string, isUrgent: boolean): EndWait | undefined {
+  enter(instance: string, isUrgent: boolean): CancelReservation | undefined {
     return this.directory.enter(instance, isUrgent);
   }
 
@@ -172,9 +172,9 @@
   }
 
   private evacuate(): void {
-    const { isAny } = this.surroundings.evacuatedZones;
-    if (!isAny && !this.wasEvacuating) return;
-    this.wasEvacuating = isAny;
+    const { hasAny } = this.surroundings.evacuatedZones;
+    if (!hasAny && !this.wasEvacuating) return;
+    this.wasEvacuating = hasAny;
     this.directory.evacuate((instance, group) => this.primaryOf(group) === instance);
   }
 
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -9,9 +9,9 @@
 import type { InstanceLoad } from '../connections/instance_load.js';
 import type { InstancePool } from '../connections/instance_pool.js';
 import { type ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
-import type { ColdRoute } from '../placement/slow_start_gate.js';
-import type { Homes } from '../placement/data_residency.js';
-import { isUrgent } from '../placement/slow_start_budget.js';
+import type { ColdInstanceRoute } from '../placement/slow_start_gate.js';
+import type { AllowedRegions } from '../placement/data_residency.js';
+import { isUrgentPriority } from '../placement/slow_start_budget.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
 import { RelayedConnection, type RelaySurroundings } from './relayed_connection.js';
 
@@ -20,9 +20,9 @@
   /** Connection owners for a tenant, in order; empty where this proxy has connections of its own. */
   ownersFor(tenant: string): readonly string[];
   /** Whether another proxy may get the body of a statement with these homes. */
-  maySee(address: string, homes: Homes): boolean;
+  maySee(address: string, homes: AllowedRegions): boolean;
   /** The way of requests for a cold instance; undefined for a warm one. */
-  coldRoute(isUrgent: boolean): ColdRoute | undefined;
+  coldRoute(isUrgent: boolean): ColdInstanceRoute | undefined;
   /** A request for the instance, which is cold, was refused. */
   noteRefused(): void;
 }
@@ -64,7 +64,7 @@
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     const isOfCaller = request.tenant !== undefined;
-    const cold = isOfCaller ? this.ways.coldRoute(isUrgent(request.priority)) : undefined;
+    const cold = isOfCaller ? this.ways.coldRoute(isUrgentPriority(request.priority)) : undefined;
     if (cold) return this.acquireCold(cold, request, timeoutMs);
     const owners = this.ways
       .ownersFor(request.tenant ?? NO_TENANT)
@@ -80,14 +80,14 @@
 
   /** Requests for a cold instance go through its holder only. Where that is this proxy, room for them was found already. */
   private acquireCold(
-    { holder, isOpen }: ColdRoute,
+    { holderAddress, canSend }: ColdInstanceRoute,
     request: ConnectionRequest,
     timeoutMs: number,
   ): Promise<PooledConnection> {
-    if (holder === this.ownAddress) return this.local.acquire(request, timeoutMs);
-    const mayGo = isOpen && this.maySee(holder, request.homes);
-    if (mayGo && this.surroundings.health.mayTry(holder)) {
-      return Promise.resolve(this.relayVia([holder], request, timeoutMs));
+    if (holderAddress === this.ownAddress) return this.local.acquire(request, timeoutMs);
+    const mayGo = canSend && this.maySee(holderAddress, request.homes);
+    if (mayGo && this.surroundings.health.mayTry(holderAddress)) {
+      return Promise.resolve(this.relayVia([holderAddress], request, timeoutMs));
     }
     this.ways.noteRefused();
     return Promise.reject(new AcquireError('slowStart'));
@@ -116,7 +116,7 @@
   }
 
   /** Whether the next statement on a connection may have these homes. */
-  mayCarry(pooled: PooledConnection, homes: Homes): boolean {
+  mayCarry(pooled: PooledConnection, homes: AllowedRegions): boolean {
     const { connection } = pooled;
     const keeper = connection instanceof RelayedConnection ? connection.keeper : undefined;
     return keeper === undefined || this.maySee(keeper, homes);
@@ -160,7 +160,7 @@
     for (const { connection } of [...this.relayed]) connection.close();
   }
 
-  private maySee(address: string, homes: Homes): boolean {
+  private maySee(address: string, homes: AllowedRegions): boolean {
     return homes === undefined || address === this.ownAddress || this.ways.maySee(address, homes);
   }
 }
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -15,13 +15,13 @@
 import type { SessionContent } from '../sessions/session_loader.js';
 import {
   type Attempt,
-  type HeldConnection,
+  type PinnedConnection,
   StatementRunner,
   slowStartAnswer,
 } from '../sessions/statement_runner.js';
-import { isWithinHomes } from '../placement/data_residency.js';
-import { textOf } from '../routing/refusal_cause.js';
-import { mayServe } from '../routing/request_homes.js';
+import { isWithinAllowedRegions } from '../placement/data_residency.js';
+import { causeText } from '../routing/refusal_cause.js';
+import { isInstanceAllowed } from '../routing/request_homes.js';
 import { type Target } from '../routing/target_planner.js';
 import { durationOf } from '../../runtime/duration.js';
 import { type RelayedCommand, decodeRelayCommand, encodeRelayAnswer } from './relay_codec.js';
@@ -33,7 +33,7 @@
 
 /** A connection that another proxy's transaction keeps. */
 interface KeptConnection {
-  readonly held: HeldConnection;
+  readonly held: PinnedConnection;
   usedAt: number;
 }
 
@@ -126,8 +126,8 @@
   private isWithin({ homes, instance }: whinyoke.IRelayRequest): boolean {
     const { zone, regionByZone } = this.context;
     const regions = homes ? new Set(homes.regions ?? []) : undefined;
-    const isHere = isWithinHomes(regions, zone, regionByZone);
-    return isHere && mayServe(this.context, regions, instance ?? '');
+    const isHere = isWithinAllowedRegions(regions, zone, regionByZone);
+    return isHere && isInstanceAllowed(this.context, regions, instance ?? '');
   }
 
   private refuseOutside({ instance, homes }: whinyoke.IRelayRequest): whinyoke.IRelayReply {
@@ -135,7 +135,7 @@
       instance: instance ?? '',
       homes: (homes?.regions ?? []).join(),
     });
-    return notRun(textOf({ kind: 'outsideHomes' }));
+    return notRun(causeText({ kind: 'outsideHomes' }));
   }
 
   private closeKept(connection: string): whinyoke.IRelayReply {
@@ -172,9 +172,9 @@
       priority: request.priority ?? 0,
       usefulMs: request.usefulMs ?? 0,
     };
-    let held: HeldConnection;
+    let held: PinnedConnection;
     try {
-      held = await this.runner.hold(target, needed, waitMs);
+      held = await this.runner.acquire(target, needed, waitMs);
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart') {
         return replyTo({ outcome: 'answered', answer: slowStartAnswer(target, false) }, '');
@@ -202,7 +202,7 @@
   }
 
   private async run(
-    held: HeldConnection,
+    held: PinnedConnection,
     connection: string,
     content: SessionContent,
     command: RelayedCommand,
@@ -226,7 +226,7 @@
     return replyTo(attempt, '');
   }
 
-  private keep(held: HeldConnection, known: string): string {
+  private keep(held: PinnedConnection, known: string): string {
     const connection = known || `${this.incarnation}.${this.nextConnection++}`;
     this.kept.set(connection, { held, usedAt: this.context.clock.now() });
     held.target.pool.rest(held.pooled);
@@ -262,8 +262,8 @@
         answer: encodeRelayAnswer(attempt.answer),
       };
     case 'notRun':
-      return notRun(textOf(attempt.cause));
+      return notRun(causeText(attempt.cause));
     case 'lost':
-      return { outcome: RelayOutcome.LOST, cause: textOf(attempt.cause) };
+      return { outcome: RelayOutcome.LOST, cause: causeText(attempt.cause) };
   }
 }
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -16,7 +16,7 @@
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { InstanceAnswer, InstanceConnection } from '../instance/instance_connection.js';
 import type { InstanceCommand } from '../instance/statement.js';
-import type { Homes } from '../placement/data_residency.js';
+import type { AllowedRegions } from '../placement/data_residency.js';
 import type { Messenger } from '../../runtime/runtime.js';
 import type { OwnerHealth } from './owner_health.js';
 import { type RelayedCommand, decodeRelayAnswer, encodeRelayCommand } from './relay_codec.js';
@@ -40,7 +40,7 @@
   /** Connection owners in the order in which they are tried. */
   readonly owners: readonly string[];
   /** Regions to which its statements are bound, which owners check too; undefined where they are bound to none. */
-  readonly homes?: Homes;
+  readonly homes?: AllowedRegions;
 }
 
 /** What all relayed connections of a process use. */
--- a/src/appointed/routing/evacuated_primary.ts
+++ b/src/appointed/routing/evacuated_primary.ts
@@ -5,26 +5,26 @@
  * proxy, which answer from memory.
  */
 import type { ProxyContext } from '../proxy/proxy_context.js';
-import { changeAge } from './refusal.js';
+import { primaryChangeAgeMs } from './refusal.js';
 import type { RefusalCause } from './refusal_cause.js';
-import { USUAL_CHANGE_MS } from './retry_after.js';
+import { EXPECTED_PRIMARY_CHANGE_MS } from './retry_after.js';
 
 /**
  * Whether the primary of a group is in a zone to which nothing is sent, and no change that should end soon is under way: a
  * wait would be in vain.
  */
-export function isPrimaryEvacuated(context: ProxyContext, group: string): boolean {
+export function isPrimaryBlockedByEvacuation(context: ProxyContext, group: string): boolean {
   const primary = context.leases.entryOf(group)?.primary ?? '';
   if (context.instances.evacuationStageOf(primary) !== 'closed') return false;
-  const ageMs = changeAge(context, group);
-  return ageMs === undefined || ageMs > USUAL_CHANGE_MS;
+  const ageMs = primaryChangeAgeMs(context, group);
+  return ageMs === undefined || ageMs > EXPECTED_PRIMARY_CHANGE_MS;
 }
 
 /** Cause of a refusal for want of a primary: the evacuation where it is to blame, another one otherwise. */
-export function causeWithoutPrimary(
+export function noPrimaryCause(
   context: ProxyContext,
   group: string,
-  otherwise: RefusalCause,
+  fallback: RefusalCause,
 ): RefusalCause {
-  return isPrimaryEvacuated(context, group) ? { kind: 'primaryEvacuated' } : otherwise;
+  return isPrimaryBlockedByEvacuation(context, group) ? { kind: 'primaryEvacuated' } : fallback;
 }
--- a/src/appointed/routing/position_floor.ts
+++ b/src/appointed/routing/position_floor.ts
@@ -16,36 +16,36 @@
 }
 
 /** Positions closer together than this are left out, in milliseconds; it bounds memory. Guess, not measured. */
-const SAMPLE_SPACING_MS = 25;
+const MIN_SAMPLE_SPACING_MS = 25;
 /** Positions are kept for this long, in milliseconds; wider staleness bounds get no older floor. Guess, not measured. */
 const HISTORY_MS = 10_000;
 
 /** History of one group in one epoch. */
-export class PositionFloor {
+export class MinimumPosition {
   private samples: Sample[] = [];
   private epoch = 0;
   private highest: Position | undefined;
 
   /** Adds a position that the primary of `epoch` answered to a request sent at `sentAt`. */
-  note(epoch: number, sentAt: number, position: Position): void {
+  record(epoch: number, sentAt: number, position: Position): void {
     if (epoch < this.epoch) return;
     if (epoch > this.epoch) this.reset(epoch);
     this.highest = this.highest ? latest(this.highest, position) : position;
     const newest = this.samples.at(-1);
-    if (newest && sentAt < newest.sentAt + SAMPLE_SPACING_MS) return;
+    if (newest && sentAt < newest.sentAt + MIN_SAMPLE_SPACING_MS) return;
     this.samples.push({ sentAt, position });
-    const oldest = sentAt - HISTORY_MS;
-    while (this.samples[0]!.sentAt < oldest) this.samples.shift();
+    const oldestKeptSentAt = sentAt - HISTORY_MS;
+    while (this.samples[0]!.sentAt < oldestKeptSentAt) this.samples.shift();
   }
 
   /** Newest position that the primary of an epoch told; undefined when there is none. */
-  highestOf(epoch: number | undefined): Position | undefined {
+  highestInEpoch(epoch: number | undefined): Position | undefined {
     return epoch === this.epoch ? this.highest : undefined;
   }
 
   /** Oldest position whose request was sent at `time` or later; undefined when there is none. */
-  oldestSince(time: number): Position | undefined {
-    return this.samples.find((sample) => sample.sentAt >= time)?.position;
+  oldestSentSince(sentSince: number): Position | undefined {
+    return this.samples.find((sample) => sample.sentAt >= sentSince)?.position;
   }
 
   /** When the newest request was sent. */
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -9,8 +9,8 @@
 import {
   type CallerErrorKind,
   type CallerReply,
-  type PromiseKind,
-  refused,
+  type NotRunErrorKind,
+  errorReply,
   verdictOf,
 } from '../sessions/caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
@@ -19,8 +19,8 @@
 import type { Target } from './target_planner.js';
 import { formatPosition } from '../../positions/position.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
-import { type RefusalCause, type RetryCause, textOf } from './refusal_cause.js';
-import { type GroupSituation, retryAfterMs } from './retry_after.js';
+import { type RefusalCause, type RetryCause, causeText } from './refusal_cause.js';
+import { type PrimaryStatus, retryAfterMs } from './retry_after.js';
 
 /** A request that is answered with an error. */
 export interface RefusedRequest {
@@ -32,21 +32,21 @@
 }
 
 /** Age of the document that log lines tell at most, in milliseconds: it may never have been confirmed. */
-const LONGEST_LOGGED_AGE_MS = 1_000_000;
+const MAX_LOGGED_AGE_MS = 1_000_000;
 
-function isChanging(context: ProxyContext, group: string): boolean {
+function isPrimaryChanging(context: ProxyContext, group: string): boolean {
   return context.leases.entryOf(group)?.phase === whinyoke.GroupPhase.CHANGING;
 }
 
 /** How long a change of the group's primary has been under way, in milliseconds; undefined when there is none. */
-export function changeAge(context: ProxyContext, group: string): number | undefined {
-  if (!isChanging(context, group)) return undefined;
+export function primaryChangeAgeMs(context: ProxyContext, group: string): number | undefined {
+  if (!isPrimaryChanging(context, group)) return undefined;
   return context.leases.phaseAge(group, context.clock.now());
 }
 
-function situationOf(context: ProxyContext, group: string): GroupSituation {
+function primaryStatusOf(context: ProxyContext, group: string): PrimaryStatus {
   return {
-    changeAgeMs: changeAge(context, group),
+    changeAgeMs: primaryChangeAgeMs(context, group),
     hasTrustedPrimary: context.leases.primaryOf(group, context.clock.now()) !== undefined,
   };
 }
@@ -60,22 +60,22 @@
   const { group, name } = request.deadline.route;
   const now = context.clock.now();
   const entry = context.leases.entryOf(group);
-  const floorAt = context.positions.floorOf(group).newestSentAt;
+  const newestPositionSentAt = context.positions.floorOf(group).newestSentAt;
   const event = verdictOf(kind) === 'not_run' ? Events.requestRefused : Events.requestInDoubt;
   context.log(event, {
     request: request.id,
     route: name,
     group,
     outcome: kind,
-    cause: textOf(cause),
-    elapsed_ms: Math.round(request.deadline.elapsed),
+    cause: causeText(cause),
+    elapsed_ms: Math.round(request.deadline.elapsedMs),
     epoch: entry?.epoch ?? 0,
-    phase: isChanging(context, group) ? 'changing' : 'steady',
+    phase: isPrimaryChanging(context, group) ? 'changing' : 'steady',
     phase_age_ms: Math.round(context.leases.phaseAge(group, now)),
     leased: context.leases.primaryOf(group, now) !== undefined,
-    floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
+    floor_age_ms: newestPositionSentAt === undefined ? -1 : Math.round(now - newestPositionSentAt),
     document: context.table?.version ?? 0,
-    document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_LOGGED_AGE_MS)),
+    document_age_ms: Math.round(Math.min(context.admission.documentAge, MAX_LOGGED_AGE_MS)),
     tenant: request.tenant,
   });
 }
@@ -84,14 +84,14 @@
 export function refuse(
   context: ProxyContext,
   request: RefusedRequest,
-  kind: PromiseKind,
+  kind: NotRunErrorKind,
   cause: RefusalCause,
 ): CallerReply {
   logRefusal(context, request, kind, cause);
   if (cause.kind === 'outsideHomes') context.counters.refusedByHomes(request.deadline.route.name);
-  const retryMs = retryAfterMs(cause, situationOf(context, request.deadline.route.group));
-  const text = `${textOf(cause)}; retry after ${Math.round(retryMs)} ms`;
-  return refused(kind, text, request.state);
+  const retryMs = retryAfterMs(cause, primaryStatusOf(context, request.deadline.route.group));
+  const text = `${causeText(cause)}; retry after ${Math.round(retryMs)} ms`;
+  return errorReply(kind, text, request.state);
 }
 
 /** Answer to a request whose credential does not allow it, or can't be checked now. */
@@ -106,7 +106,7 @@
   // Coming back with the same credential makes no sense, so no time is told.
   const cause = { kind: 'credentialUnknown' as const };
   logRefusal(context, request, 'unauthenticated', cause);
-  return refused('unauthenticated', textOf(cause), request.state);
+  return errorReply('unauthenticated', causeText(cause), request.state);
 }
 
 /** Counts and logs an attempt that brought nothing, after which the request may be tried again. */
@@ -116,8 +116,8 @@
   target: Target,
   retryCause: RetryCause,
 ): void {
-  const { route, elapsed } = request.deadline;
-  const cause = textOf(retryCause);
+  const { route, elapsedMs } = request.deadline;
+  const cause = causeText(retryCause);
   context.counters.retried(route.name, cause);
   context.log(Events.requestRetried, {
     request: request.id,
@@ -125,18 +125,18 @@
     group: route.group,
     instance: target.instance,
     as_primary: target.primaryEpoch !== undefined,
-    after: target.after ? formatPosition(target.after) : undefined,
+    after: target.minimumPosition ? formatPosition(target.minimumPosition) : undefined,
     cause,
-    elapsed_ms: Math.round(elapsed),
+    elapsed_ms: Math.round(elapsedMs),
   });
 }
 
 /** Answer to a request whose outcome is unknown. */
-export function inDoubt(
+export function replyInDoubt(
   context: ProxyContext,
   request: RefusedRequest,
   cause: RefusalCause,
 ): CallerReply {
   logRefusal(context, request, 'inDoubt', cause);
-  return refused('inDoubt', textOf(cause), request.state);
+  return errorReply('inDoubt', causeText(cause), request.state);
 }
--- a/src/appointed/routing/refusal_cause.ts
+++ b/src/appointed/routing/refusal_cause.ts
@@ -74,13 +74,13 @@
   | { readonly kind: 'readAttempt'; readonly ending: 'notRun' | 'lost' | InstanceErrorKind };
 
 /** Whether a cold instance could be sent no more. */
-export function isSlowStart(cause: RefusalCause): boolean {
+export function isSlowStartCause(cause: RefusalCause): boolean {
   if (cause.kind === 'attemptFailed') return cause.failure.kind === 'slowStart';
   return cause.kind === 'slowStart';
 }
 
 /** Text of a cause on the wire, in log lines and in metrics. */
-export function textOf(cause: RetryCause): string {
+export function causeText(cause: RetryCause): string {
   switch (cause.kind) {
     case 'noConnection':
       return cause.failure === undefined ? 'no connection' : `no connection: ${cause.failure}`;
@@ -97,7 +97,7 @@
     case 'beginAnswered':
       return `answered ${cause.error}`;
     case 'attemptFailed':
-      return `${cause.instance}: ${textOf(cause.failure)}`;
+      return `${cause.instance}: ${causeText(cause.failure)}`;
     case 'instanceAnswered':
       return `${cause.instance} answered ${cause.error}`;
     case 'transactionAnswered':
--- a/src/appointed/routing/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -29,18 +29,18 @@
  * Reads on a primary compete with its writes, so a replica of another zone is preferred. Guess, not measured by itself: set
  * in the round "reads stay in their zone more" (docs/measurements/platform.md).
  */
-const PRIMARY_FACTOR = 6;
+const PRIMARY_COST_FACTOR = 6;
 /** Traffic to another zone costs latency and bytes. Guess, not measured by itself: set in the same round. */
-const OTHER_ZONE_FACTOR = 4;
+const OTHER_ZONE_COST_FACTOR = 4;
 /** A cold instance comes after all warm ones that are not avoided. Guess, not measured. */
-const COLD_FACTOR = 500;
+const COLD_COST_FACTOR = 500;
 /** An instance that is avoided after a broken connection or a missing answer comes last. Guess, not measured. */
-const AVOIDED_FACTOR = 1000;
+const EJECTED_COST_FACTOR = 1000;
 /**
  * An instance that fails all requests costs 1 + this many times as much; one that fails a fraction of them, that fraction of
  * it. Guess, not measured.
  */
-const FAILING_FACTOR = 30;
+const FAILURE_COST_FACTOR = 30;
 
 /** Circumstances of one read. */
 export interface ReadContext {
@@ -49,34 +49,34 @@
   /** Time on the clock of this process, in milliseconds. */
   readonly now: number;
   /** Position that a replica must have applied. */
-  readonly after: Position | undefined;
+  readonly minimumPosition: Position | undefined;
 }
 
-function cost(candidate: ReadCandidate, context: ReadContext): number {
+function costOf(candidate: ReadCandidate, context: ReadContext): number {
   const { load } = candidate;
   let result = load.latency * (load.outstanding + 1);
-  result *= 1 + FAILING_FACTOR * load.failingFraction(context.now);
-  if (candidate.isPrimary) result *= PRIMARY_FACTOR;
-  if (candidate.zone !== context.zone) result *= OTHER_ZONE_FACTOR;
-  if (candidate.isCold) result *= COLD_FACTOR;
-  if (load.isEjected(context.now)) result *= AVOIDED_FACTOR;
+  result *= 1 + FAILURE_COST_FACTOR * load.failingFraction(context.now);
+  if (candidate.isPrimary) result *= PRIMARY_COST_FACTOR;
+  if (candidate.zone !== context.zone) result *= OTHER_ZONE_COST_FACTOR;
+  if (candidate.isCold) result *= COLD_COST_FACTOR;
+  if (load.isEjected(context.now)) result *= EJECTED_COST_FACTOR;
   return result;
 }
 
 /** Whether a replica lacked the wanted position a moment ago: asked now it would most likely refuse again. */
 function isKnownBehind(candidate: ReadCandidate, context: ReadContext): boolean {
-  if (candidate.isPrimary || !context.after) return false;
-  return candidate.load.isBehind(context.after, context.now);
+  if (candidate.isPrimary || !context.minimumPosition) return false;
+  return candidate.load.isBehind(context.minimumPosition, context.now);
 }
 
 /** Candidates that may have the wanted position, cheapest first. */
-export function orderCandidates(
+export function orderReadCandidates(
   candidates: readonly ReadCandidate[],
   context: ReadContext,
 ): ReadCandidate[] {
-  const weighted = candidates
+  const candidatesWithCost = candidates
     .filter((candidate) => !isKnownBehind(candidate, context))
-    .map((candidate) => ({ candidate, cost: cost(candidate, context) }));
-  weighted.sort((left, right) => left.cost - right.cost);
-  return weighted.map(({ candidate }) => candidate);
+    .map((candidate) => ({ candidate, cost: costOf(candidate, context) }));
+  candidatesWithCost.sort((left, right) => left.cost - right.cost);
+  return candidatesWithCost.map(({ candidate }) => candidate);
 }
--- a/src/appointed/routing/request_deadline.ts
+++ b/src/appointed/routing/request_deadline.ts
@@ -19,33 +19,33 @@
  */
 import type { Clock } from '../../runtime/runtime.js';
 import type { Route } from '../catalog/route_table.js';
-import { USUAL_CHANGE_MS } from './retry_after.js';
+import { EXPECTED_PRIMARY_CHANGE_MS } from './retry_after.js';
 
 /**
  * Fraction of the target latency that a request waits without being offered to an instance. 0.7 was tried: 0.720 → 0.714
  * over four days (docs/measurements/pieraksts.md).
  */
-const OFFER_FRACTION = 0.4;
+const FIRST_ATTEMPT_WAIT_FRACTION = 0.4;
 /**
  * Fraction of the target latency that a request waits for a lease: a proxy without one has been cut off from control for
  * seconds, and hardly regains it just then; refused early, the caller can try elsewhere. Set together with two other
  * changes: score of a day with faults 0.618 → 0.632 (docs/measurements/pieraksts.md).
  */
-const TRUST_FRACTION = 0.2;
+const LEASE_WAIT_FRACTION = 0.2;
 /** Both waits above last so long at least, in milliseconds. Guess, not measured. */
-const MINIMUM_OFFER_MS = 20;
+const MIN_FIRST_ATTEMPT_WAIT_MS = 20;
 /**
  * Fraction of the time-out after which a request that could come back later is refused. Guess, not measured by itself; as
  * the limit of the wait at connection owners it was played against OFFER_FRACTION at different load
  * (docs/design/shifted-work.md).
  */
-const GIVE_UP_FRACTION = 0.6;
+const RETRY_TIMEOUT_FRACTION = 0.6;
 /** An attempt for which less time is left is not begun, in milliseconds. Guess, not measured. */
-const MINIMUM_ATTEMPT_MS = 5;
+const MIN_ATTEMPT_MS = 5;
 /** Fraction of the target latency that each attempt of a read gets at least. Guess, not measured. */
-const ATTEMPT_FRACTION = 0.4;
+const MIN_READ_TIMEOUT_FRACTION = 0.4;
 /** Fraction of the target latency that each statement of a transaction gets at least. Guess, not measured. */
-const STATEMENT_FRACTION = 0.6;
+const MIN_STATEMENT_TIMEOUT_FRACTION = 0.6;
 /**
  * Time for the answer to a ROLLBACK, in milliseconds; its caller does not wait for it. After it the connection is closed.
  * Guess, not measured.
@@ -65,36 +65,36 @@
   }
 
   /** Milliseconds since the request arrived. */
-  get elapsed(): number {
+  get elapsedMs(): number {
     return this.clock.now() - this.arrivedAt;
   }
 
   /** Milliseconds until the statement must be over. */
-  get remaining(): number {
-    return this.route.timeoutMs - this.elapsed;
+  get remainingMs(): number {
+    return this.route.timeoutMs - this.elapsedMs;
   }
 
   /** Milliseconds within which an answer meets the objective; negative when it is missed. */
-  get usefulRemaining(): number {
-    return this.route.targetLatencyMs - this.elapsed;
+  get objectiveRemainingMs(): number {
+    return this.route.targetLatencyMs - this.elapsedMs;
   }
 
   /** Milliseconds that the request may still wait for a grant or for a first instance. */
-  get offerRemaining(): number {
-    return this.remainingOf(OFFER_FRACTION);
+  get firstAttemptRemainingMs(): number {
+    return this.remainingOfTargetMs(FIRST_ATTEMPT_WAIT_FRACTION);
   }
 
   /** Whether enough time is left to begin an attempt. */
   get allowsAttempt(): boolean {
-    return this.remaining > MINIMUM_ATTEMPT_MS;
+    return this.remainingMs > MIN_ATTEMPT_MS;
   }
 
   /**
    * Whether another attempt is worth while. A request that no instance was offered is refused early, so that
    * its caller can go elsewhere.
    */
-  allowsRetry(wasOffered: boolean): boolean {
-    return wasOffered ? this.retryRemaining > 0 : this.offerRemaining > 0;
+  allowsRetry(wasSent: boolean): boolean {
+    return wasSent ? this.retryRemainingMs > 0 : this.firstAttemptRemainingMs > 0;
   }
 
   /**
@@ -102,20 +102,20 @@
    * is given up is waited for.
    * @param changeAgeMs - how long a change of primary has been under way; undefined when there is none
    */
-  primaryWait(changeAgeMs: number | undefined): number {
-    if (changeAgeMs === undefined) return this.remainingOf(TRUST_FRACTION);
-    const isSoonOver = USUAL_CHANGE_MS - changeAgeMs < this.retryRemaining;
-    return isSoonOver ? this.retryRemaining : this.offerRemaining;
+  primaryWaitMs(changeAgeMs: number | undefined): number {
+    if (changeAgeMs === undefined) return this.remainingOfTargetMs(LEASE_WAIT_FRACTION);
+    const endsBeforeRetryLimit = EXPECTED_PRIMARY_CHANGE_MS - changeAgeMs < this.retryRemainingMs;
+    return endsBeforeRetryLimit ? this.retryRemainingMs : this.firstAttemptRemainingMs;
   }
 
   /**
    * Milliseconds that a statement may wait for a connection to one instance. A connection owner knows its queue and refuses
    * at once a statement that it would serve too late, so at the only instance that is left the wait there may be long.
    * @param queuesAtOwner - whether statements of all proxies queue at few connection owners
-   * @param targetsLeft - instances that are left to try, this one included
+   * @param remainingTargets - instances that are left to try, this one included
    */
-  connectionWait(queuesAtOwner: boolean, targetsLeft = 1): number {
-    return Math.max(MINIMUM_ATTEMPT_MS, this.connectionLimit(queuesAtOwner, targetsLeft));
+  connectionWaitMs(queuesAtOwner: boolean, remainingTargets = 1): number {
+    return Math.max(MIN_ATTEMPT_MS, this.connectionWaitLimitMs(queuesAtOwner, remainingTargets));
   }
 
   /**
@@ -123,10 +123,10 @@
    * Where there is none, it is waited for until the request is given up.
    * @param slowAnswerMs - slow-answer threshold of the instance
    */
-  readAnswerTimeout(slowAnswerMs: number, isLast: boolean): number {
-    const usualMs = Math.max(slowAnswerMs, this.route.targetLatencyMs * ATTEMPT_FRACTION);
-    const limitMs = isLast ? Math.max(usualMs, this.retryRemaining) : usualMs;
-    return Math.min(this.remaining, limitMs);
+  readAnswerTimeoutMs(slowAnswerMs: number, isLastTarget: boolean): number {
+    const usualMs = Math.max(slowAnswerMs, this.route.targetLatencyMs * MIN_READ_TIMEOUT_FRACTION);
+    const limitMs = isLastTarget ? Math.max(usualMs, this.retryRemainingMs) : usualMs;
+    return Math.min(this.remainingMs, limitMs);
   }
 
   /**
@@ -134,22 +134,22 @@
    * likely lost; nothing is kept then, so the caller may begin again at once.
    * @param slowAnswerMs - slow-answer threshold of the instance
    */
-  statementTimeout(slowAnswerMs: number): number {
-    return Math.max(slowAnswerMs, this.route.targetLatencyMs * STATEMENT_FRACTION);
+  statementTimeoutMs(slowAnswerMs: number): number {
+    return Math.max(slowAnswerMs, this.route.targetLatencyMs * MIN_STATEMENT_TIMEOUT_FRACTION);
   }
 
-  private connectionLimit(queuesAtOwner: boolean, targetsLeft: number): number {
-    if (targetsLeft > 1) return this.offerRemaining / targetsLeft;
-    return queuesAtOwner ? this.retryRemaining : this.offerRemaining;
+  private connectionWaitLimitMs(queuesAtOwner: boolean, remainingTargets: number): number {
+    if (remainingTargets > 1) return this.firstAttemptRemainingMs / remainingTargets;
+    return queuesAtOwner ? this.retryRemainingMs : this.firstAttemptRemainingMs;
   }
 
   /** Milliseconds in which another attempt is worth while. */
-  private get retryRemaining(): number {
-    return this.route.timeoutMs * GIVE_UP_FRACTION - this.elapsed;
+  private get retryRemainingMs(): number {
+    return this.route.timeoutMs * RETRY_TIMEOUT_FRACTION - this.elapsedMs;
   }
 
-  private remainingOf(fraction: number): number {
-    const limit = Math.max(MINIMUM_OFFER_MS, this.route.targetLatencyMs * fraction);
-    return Math.min(limit, this.route.timeoutMs) - this.elapsed;
+  private remainingOfTargetMs(fraction: number): number {
+    const limitMs = Math.max(MIN_FIRST_ATTEMPT_WAIT_MS, this.route.targetLatencyMs * fraction);
+    return Math.min(limitMs, this.route.timeoutMs) - this.elapsedMs;
   }
 }
--- a/src/appointed/routing/retry_after.ts
+++ b/src/appointed/routing/retry_after.ts
@@ -9,7 +9,7 @@
  * election while this proxy has no lease.
  * Relies on nothing: pure functions.
  */
-import { type RefusalCause, isSlowStart } from './refusal_cause.js';
+import { type RefusalCause, isSlowStartCause } from './refusal_cause.js';
 
 /**
  * The request may be served at once, by another proxy or after a short queue; milliseconds. Guess, not measured;
@@ -29,15 +29,15 @@
 /** A cold instance may be sent more after a part of its window of 1.1 s, in milliseconds. Guess, not measured. */
 const SLOW_START_RETRY_MS = 400;
 /** Usual duration of a change of primary, in milliseconds. Guess, not measured. */
-export const USUAL_CHANGE_MS = 800;
+export const EXPECTED_PRIMARY_CHANGE_MS = 800;
 /**
  * Callers of a tenant over its limit come back spread over this many times the wait, not all at once; without unit.
  * Guess, not measured.
  */
-const RETRY_SPREAD = 1.5;
+const RETRY_JITTER_FACTOR = 1.5;
 
 /** What decides when callers of a group should come back. */
-export interface GroupSituation {
+export interface PrimaryStatus {
   /** How long the change of primary has been under way, in milliseconds; undefined when there is none. */
   readonly changeAgeMs: number | undefined;
   /** Whether this proxy trusts a primary now. */
@@ -46,10 +46,10 @@
 
 /**
  * Time after which a caller should come back, in milliseconds.
- * @param situation - left out where nothing is known of a group
+ * @param primaryStatus - left out where nothing is known of a group
  */
-export function retryAfterMs(cause: RefusalCause, situation?: GroupSituation): number {
-  if (isSlowStart(cause)) return SLOW_START_RETRY_MS;
+export function retryAfterMs(cause: RefusalCause, primaryStatus?: PrimaryStatus): number {
+  if (isSlowStartCause(cause)) return SLOW_START_RETRY_MS;
   switch (cause.kind) {
     case 'tenantOverLimit':
       return cause.retryAfterMs;
@@ -61,20 +61,21 @@
     case 'noConfiguration':
       return CONTROL_RETRY_MS;
     default:
-      return situation ? groupRetryMs(situation) : CONTROL_RETRY_MS;
+      return primaryStatus ? groupRetryMs(primaryStatus) : CONTROL_RETRY_MS;
   }
 }
 
-function groupRetryMs({ changeAgeMs, hasTrustedPrimary }: GroupSituation): number {
-  if (changeAgeMs !== undefined) return Math.max(SHORT_RETRY_MS, USUAL_CHANGE_MS - changeAgeMs);
+function groupRetryMs({ changeAgeMs, hasTrustedPrimary }: PrimaryStatus): number {
+  if (changeAgeMs !== undefined)
+    return Math.max(SHORT_RETRY_MS, EXPECTED_PRIMARY_CHANGE_MS - changeAgeMs);
   return hasTrustedPrimary ? SHORT_RETRY_MS : CONTROL_RETRY_MS;
 }
 
 /**
  * Time told to a caller of a tenant that is over its limit, in milliseconds.
  * @param waitMs - time until the leader may have an operation again
- * @param drawn - a random number from 0 to 1, so that callers come back at different times
+ * @param random - a random number from 0 to 1, so that callers come back at different times
  */
-export function overLimitRetryMs(waitMs: number, drawn: number): number {
-  return Math.ceil(waitMs * (1 + RETRY_SPREAD * drawn));
+export function overLimitRetryMs(waitMs: number, random: number): number {
+  return Math.ceil(waitMs * (1 + RETRY_JITTER_FACTOR * random));
 }
--- a/src/appointed/routing/retry_pause.ts
+++ b/src/appointed/routing/retry_pause.ts
@@ -14,20 +14,20 @@
  * turned away for 1,057 that ran (docs/design/overload.md, test/simulation/overload.test.ts); the first pause by itself is
  * a guess, not measured.
  */
-const FIRST_PAUSE_MS = 10;
+const INITIAL_PAUSE_MS = 10;
 /** Longest pause, in milliseconds. Guess, not measured. */
-const LONGEST_PAUSE_MS = 80;
+const MAX_PAUSE_MS = 80;
 
 /** Pauses of one request. */
-export class RetryPause {
-  private nextMs = FIRST_PAUSE_MS;
+export class RetryBackoff {
+  private nextPauseMs = INITIAL_PAUSE_MS;
 
   constructor(private readonly clock: Clock) {}
 
   /** Waits for the next pause. */
   wait(): Promise<void> {
-    const pauseMs = this.nextMs;
-    this.nextMs = Math.min(LONGEST_PAUSE_MS, pauseMs * 2);
+    const pauseMs = this.nextPauseMs;
+    this.nextPauseMs = Math.min(MAX_PAUSE_MS, pauseMs * 2);
     return delay(this.clock, pauseMs);
   }
 }
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -14,10 +14,10 @@
  */
 import { type Position, latest } from '../../positions/position.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
-import { orderCandidates } from './replica_selector.js';
-import { homesOf, mayServe } from './request_homes.js';
+import { orderReadCandidates } from './replica_selector.js';
+import { allowedRegionsOf, isInstanceAllowed } from './request_homes.js';
 import type { Route } from '../catalog/route_table.js';
-import type { Homes } from '../placement/data_residency.js';
+import type { AllowedRegions } from '../placement/data_residency.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { Tenant } from '../tenancy/tenant.js';
 
@@ -25,7 +25,7 @@
  * Position floors are taken this much younger than the staleness bound, in milliseconds: for clocks that run at different
  * speeds, and for answers that were read late. Guess, not measured.
  */
-const FLOOR_MARGIN_MS = 100;
+const STALENESS_MARGIN_MS = 100;
 
 /** An instance that may run a statement. */
 export interface Target {
@@ -38,9 +38,9 @@
   /** Epoch under which the instance is used as the primary; undefined for a replica. */
   readonly primaryEpoch?: number;
   /** Position that a replica must have applied. */
-  readonly after?: Position;
+  readonly minimumPosition?: Position;
   /** Regions to which the statement is bound; they bind its way to the instance too. */
-  readonly homes?: Homes;
+  readonly homes?: AllowedRegions;
 }
 
 /** A read to be planned. */
@@ -65,14 +65,14 @@
 }
 
 /** The trusted primary, if a statement with these homes may go there. */
-export function primaryWithin(
+export function primaryWithinRegions(
   context: ProxyContext,
   group: string,
-  homes: Homes,
+  homes: AllowedRegions,
 ): Target | undefined {
   const primary = primaryTarget(context, group);
   if (!primary || homes === undefined) return primary;
-  return mayServe(context, homes, primary.instance) ? { ...primary, homes } : undefined;
+  return isInstanceAllowed(context, homes, primary.instance) ? { ...primary, homes } : undefined;
 }
 
 /** Whether answers of a target count now: those of replicas always, those of a primary under its lease. */
@@ -83,39 +83,45 @@
 }
 
 /** Position that a replica must have applied for a read; undefined when only the primary may serve it. */
-function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
+function minimumReadPosition(
+  context: ProxyContext,
+  request: ReadPlanRequest,
+): Position | undefined {
   const { policy, group } = request.route;
   if (policy.kind === 'primary') return undefined;
   context.positions.noteReplicaRead(group);
-  const oldest = request.firstByteAt - policy.maximumStalenessMs + FLOOR_MARGIN_MS;
-  const floor = context.positions.floorOf(group).oldestSince(oldest);
-  if (!floor || policy.kind === 'boundedStaleness' || !request.ownPosition) return floor;
-  return latest(floor, request.ownPosition);
+  const sentSince = request.firstByteAt - policy.maximumStalenessMs + STALENESS_MARGIN_MS;
+  const minimum = context.positions.floorOf(group).oldestSentSince(sentSince);
+  if (!minimum || policy.kind === 'boundedStaleness' || !request.ownPosition) return minimum;
+  return latest(minimum, request.ownPosition);
 }
 
 /** Targets of a read, best first. */
 export function planRead(
   context: ProxyContext,
   request: ReadPlanRequest,
-  tried: ReadonlySet<string>,
+  triedInstances: ReadonlySet<string>,
 ): Target[] {
   const { group } = request.route;
-  const homes = homesOf(context, request.route, request.tenant);
-  const primary = primaryWithin(context, group, homes);
-  const after = readFloor(context, request);
-  if (!after) {
+  const homes = allowedRegionsOf(context, request.route, request.tenant);
+  const primary = primaryWithinRegions(context, group, homes);
+  const minimumPosition = minimumReadPosition(context, request);
+  if (!minimumPosition) {
     context.leaseConfirmer.noteWanted(group);
-    return primary && !tried.has(primary.instance) ? [primary] : [];
+    return primary && !triedInstances.has(primary.instance) ? [primary] : [];
   }
   const primaryInstance = context.leases.entryOf(group)?.primary;
   const candidates = context.instances
     .readCandidates(group)
-    .filter((candidate) => !tried.has(candidate.id) && mayServe(context, homes, candidate.id))
+    .filter(
+      (candidate) =>
+        !triedInstances.has(candidate.id) && isInstanceAllowed(context, homes, candidate.id),
+    )
     .filter((candidate) => candidate.id !== primaryInstance || primary !== undefined);
-  const ordered = orderCandidates(candidates, {
+  const ordered = orderReadCandidates(candidates, {
     zone: context.zone,
     now: context.clock.now(),
-    after,
+    minimumPosition,
   });
   const targets: Target[] = [];
   for (const { id } of ordered) {
@@ -124,10 +130,10 @@
       continue;
     }
     const pool = context.instances.connectionsTo(id);
-    if (pool) targets.push({ instance: id, pool, group, after, homes });
+    if (pool) targets.push({ instance: id, pool, group, minimumPosition, homes });
   }
   const isPrimaryListed = targets.some((target) => target.primaryEpoch !== undefined);
-  if (!primary || isPrimaryListed || tried.has(primary.instance)) return targets;
+  if (!primary || isPrimaryListed || triedInstances.has(primary.instance)) return targets;
   const isEvacuated = context.instances.evacuationStageOf(primary.instance) !== undefined;
   if (!isEvacuated || targets.length === 0) targets.push(primary);
   return targets;
--- a/src/appointed/scheduling/service_order.ts
+++ b/src/appointed/scheduling/service_order.ts
@@ -12,7 +12,7 @@
  *
  * docs/design/scheduling.md compares it with other orders, by the replays in test/unit/scheduling.test.ts.
  */
-import { TenantUse } from './tenant_use.js';
+import { TenantUsage } from './tenant_use.js';
 
 /** A request that waits. Times are clock readings in milliseconds. */
 export interface QueuedRequest {
@@ -22,9 +22,9 @@
   readonly tenant: string | undefined;
   readonly arrivedAt: number;
   /** If it is started later, its answer certainly misses its objective. */
-  readonly startBy: number;
+  readonly latestStartAt: number;
   /** Its caller gives it up if it is not started by then. */
-  readonly giveUpAt: number;
+  readonly expiresAt: number;
 }
 
 /**
@@ -37,19 +37,19 @@
 
 /** Order of one queue. */
 export class ServiceOrder {
-  private readonly use: TenantUse;
+  private readonly tenantUsage: TenantUsage;
   private starts = 0;
 
-  /** @param weightOf - see {@link TenantUse} */
+  /** @param weightOf - see {@link TenantUsage} */
   constructor(weightOf: (tenant: string) => number = () => 1) {
-    this.use = new TenantUse(weightOf);
+    this.tenantUsage = new TenantUsage(weightOf);
   }
 
   /** Counts a request that is started; the instance is expected to be busy with it for `expectedMs`. */
-  noteStart(request: Pick<QueuedRequest, 'tenant'>, expectedMs: number, now: number): void {
+  recordStart(request: Pick<QueuedRequest, 'tenant'>, expectedMs: number, now: number): void {
     this.starts++;
-    this.use.add(request.tenant ?? '', expectedMs, now);
-    if (this.starts % STARTS_PER_LONGEST_WAIT === 0) this.use.forgetIdle(now);
+    this.tenantUsage.add(request.tenant ?? '', expectedMs, now);
+    if (this.starts % STARTS_PER_LONGEST_WAIT === 0) this.tenantUsage.removeIdle(now);
   }
 
   /**
@@ -58,20 +58,20 @@
    * come after them, since a late answer is worth less to a caller than one in time to another.
    */
   rank<Request extends QueuedRequest>(requests: readonly Request[], now: number): Request[] {
-    const isTurnOfLongestWait =
-      this.starts % STARTS_PER_LONGEST_WAIT === STARTS_PER_LONGEST_WAIT - 1;
-    const used = new Map<string, number>();
+    const servesLongestWait = this.starts % STARTS_PER_LONGEST_WAIT === STARTS_PER_LONGEST_WAIT - 1;
+    const usageByTenant = new Map<string, number>();
     for (const { tenant = '' } of requests) {
-      if (!used.has(tenant)) used.set(tenant, this.use.of(tenant, now));
+      if (!usageByTenant.has(tenant))
+        usageByTenant.set(tenant, this.tenantUsage.weightedUsage(tenant, now));
     }
-    const usedBy = ({ tenant = '' }: QueuedRequest): number => used.get(tenant) ?? 0;
+    const usageOf = ({ tenant = '' }: QueuedRequest): number => usageByTenant.get(tenant) ?? 0;
     return requests.toSorted((left, right) => {
-      const isLate = Number(left.startBy < now) - Number(right.startBy < now);
-      if (isLate !== 0) return isLate;
-      const earlier = left.arrivedAt - right.arrivedAt;
-      if (isTurnOfLongestWait) return earlier;
-      const byClaim = left.priority - right.priority || usedBy(left) - usedBy(right);
-      return byClaim || left.startBy - right.startBy || earlier;
+      const byLateness = Number(left.latestStartAt < now) - Number(right.latestStartAt < now);
+      if (byLateness !== 0) return byLateness;
+      const byArrival = left.arrivedAt - right.arrivedAt;
+      if (servesLongestWait) return byArrival;
+      const byPriorityAndUsage = left.priority - right.priority || usageOf(left) - usageOf(right);
+      return byPriorityAndUsage || left.latestStartAt - right.latestStartAt || byArrival;
     });
   }
 
@@ -86,6 +86,6 @@
     spacingMs: number,
     now: number,
   ): Request[] {
-    return ranked.filter(({ giveUpAt }, place) => now + place * spacingMs > giveUpAt);
+    return ranked.filter(({ expiresAt }, position) => now + position * spacingMs > expiresAt);
   }
 }
--- a/src/appointed/scheduling/tenant_use.ts
+++ b/src/appointed/scheduling/tenant_use.ts
@@ -17,17 +17,17 @@
  * Time constant of the fading, in milliseconds: longer than a queue that callers can wait for. Guess, not measured; the
  * replays in docs/design/scheduling.md were made with it.
  */
-const MEMORY_MS = 1000;
+const DECAY_TIME_CONSTANT_MS = 1000;
 /** A tenant without work for so many time constants (a count) is forgotten: e^-10 of its work is left. */
-const FORGOTTEN_AFTER = 10;
+const REMOVE_AFTER_TIME_CONSTANTS = 10;
 
 interface TenantWork {
   workMs: number;
-  notedAt: number;
+  updatedAt: number;
 }
 
 /** Recent use of one instance by all tenants. */
-export class TenantUse {
+export class TenantUsage {
   private readonly workByTenant = new Map<string, TenantWork>();
 
   /** @param weightOf - part of the instance that a tenant may claim, relative to that of others; above 0 */
@@ -35,24 +35,25 @@
 
   /** Adds work that begins now, in milliseconds of the instance's time. */
   add(tenant: string, workMs: number, now: number): void {
-    const present = this.workOf(tenant, now);
-    this.workByTenant.set(tenant, { workMs: present + workMs, notedAt: now });
+    const currentMs = this.workOf(tenant, now);
+    this.workByTenant.set(tenant, { workMs: currentMs + workMs, updatedAt: now });
   }
 
   /** Recent use of a tenant by its weight, in milliseconds; the one with the least comes first. */
-  of(tenant: string, now: number): number {
+  weightedUsage(tenant: string, now: number): number {
     return this.workOf(tenant, now) / this.weightOf(tenant);
   }
 
   /** Forgets tenants whose work has faded. */
-  forgetIdle(now: number): void {
-    for (const [tenant, { notedAt }] of this.workByTenant) {
-      if (now - notedAt > MEMORY_MS * FORGOTTEN_AFTER) this.workByTenant.delete(tenant);
+  removeIdle(now: number): void {
+    for (const [tenant, { updatedAt }] of this.workByTenant) {
+      if (now - updatedAt > DECAY_TIME_CONSTANT_MS * REMOVE_AFTER_TIME_CONSTANTS)
+        this.workByTenant.delete(tenant);
     }
   }
 
   private workOf(tenant: string, now: number): number {
     const work = this.workByTenant.get(tenant);
-    return work ? work.workMs * Math.exp(-(now - work.notedAt) / MEMORY_MS) : 0;
+    return work ? work.workMs * Math.exp(-(now - work.updatedAt) / DECAY_TIME_CONSTANT_MS) : 0;
   }
 }
--- a/src/appointed/sessions/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -29,7 +29,7 @@
 export type CallerErrorKind = keyof typeof VERDICT_OF_KIND;
 
 /** Kinds that promise that nothing of the caller's operation is kept. */
-export type PromiseKind = {
+export type NotRunErrorKind = {
   [Kind in CallerErrorKind]: (typeof VERDICT_OF_KIND)[Kind] extends 'not_run' ? Kind : never;
 }[CallerErrorKind];
 
@@ -61,22 +61,26 @@
 }
 
 /** Answer to the caller of a write or commit. */
-export interface CommittedReply {
+export interface WriteReply {
   /** The answer itself. */
   readonly reply: CallerReply;
   /** Position of the commit, when there was one. */
-  readonly committedAt?: Position;
+  readonly commitPosition?: Position;
 }
 
 /** Signature of answers that no instance gave. */
-const OWN_SIGNATURE = '-';
+const PROXY_SIGNATURE = '-';
 
 /** A success that the proxy answers by itself. */
-export function completed(state: TransactionState): CallerReply {
-  return { rows: [], signature: OWN_SIGNATURE, state };
+export function successReply(state: TransactionState): CallerReply {
+  return { rows: [], signature: PROXY_SIGNATURE, state };
 }
 
 /** An answer of the proxy that tells an error. */
-export function refused(kind: CallerErrorKind, text: string, state: TransactionState): CallerReply {
-  return { rows: [], signature: OWN_SIGNATURE, error: { kind, text }, state };
+export function errorReply(
+  kind: CallerErrorKind,
+  text: string,
+  state: TransactionState,
+): CallerReply {
+  return { rows: [], signature: PROXY_SIGNATURE, error: { kind, text }, state };
 }
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -8,24 +8,24 @@
  * end: an answer then counts no more).
  */
 import type { Position } from '../../positions/position.js';
-import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
+import { type CallerReply, type WriteReply, errorReply } from './caller_reply.js';
 import type {
   InstanceAnswer,
   InstanceError,
   InstanceErrorKind,
 } from '../instance/instance_connection.js';
-import { causeWithoutPrimary } from '../routing/evacuated_primary.js';
-import { type RefusedRequest, inDoubt, logRetry, refuse } from '../routing/refusal.js';
+import { noPrimaryCause } from '../routing/evacuated_primary.js';
+import { type RefusedRequest, replyInDoubt, logRetry, refuse } from '../routing/refusal.js';
 import type { AttemptFailure, RefusalCause } from '../routing/refusal_cause.js';
 import { AcquireError } from '../connections/acquire_error.js';
 import { ROLLBACK_TIMEOUT_MS, RequestDeadline } from '../routing/request_deadline.js';
 import {
-  awaitFloorWithin,
-  causeWithoutInstance,
-  homesOf,
-  mayServe,
+  awaitPrimaryPosition,
+  noInstanceCause,
+  allowedRegionsOf,
+  isInstanceAllowed,
 } from '../routing/request_homes.js';
-import { RetryPause } from '../routing/retry_pause.js';
+import { RetryBackoff } from '../routing/retry_pause.js';
 import type { EvacuationStage } from '../placement/evacuated_zones.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
@@ -34,7 +34,7 @@
 import { type DataStatement, type InstanceCommand, accessOf } from '../instance/statement.js';
 import {
   type Attempt,
-  type HeldConnection,
+  type PinnedConnection,
   type StatementRunner,
   isNotRun,
 } from './statement_runner.js';
@@ -42,15 +42,15 @@
 import { awaitPrimary } from '../trust/primary_waiter.js';
 
 /** Identifier of the system's own statements. */
-const OWN_REQUEST = '-';
+const INTERNAL_REQUEST_ID = '-';
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
 export class CallerTransaction {
-  private held: HeldConnection | undefined;
+  private pinned: PinnedConnection | undefined;
   private hasWritten = false;
-  private isEnded = false;
+  private isRolledBack = false;
   /** The BEGIN that is under way; resolves with the cause when it failed. */
-  private binding: Promise<RefusalCause | undefined> | undefined;
+  private pendingBegin: Promise<RefusalCause | undefined> | undefined;
 
   constructor(
     private readonly context: ProxyContext,
@@ -66,35 +66,39 @@
   ) {}
 
   /** Begins at an instance ahead of the first statement, which tries again when this fails. */
-  prepare(content: SessionContent): void {
-    void this.bind(OWN_REQUEST, new RequestDeadline(this.context.clock, this.route), content);
+  beginEarly(content: SessionContent): void {
+    void this.ensureBegun(
+      INTERNAL_REQUEST_ID,
+      new RequestDeadline(this.context.clock, this.route),
+      content,
+    );
   }
 
   /** Runs a statement; after an error the transaction has failed and holds nothing any more. */
   async run(id: string, statement: DataStatement, content: SessionContent): Promise<CallerReply> {
     const deadline = new RequestDeadline(this.context.clock, this.route);
     const refusal = { id, deadline, state: 'failed' as const };
-    const problem = await this.bind(id, deadline, content);
-    if (problem !== undefined) return refuse(this.context, refusal, 'busy', problem);
-    if (this.isZoneClosed) return this.endEvacuated(refusal);
-    if (!this.isWithinHomes()) {
-      this.drop();
+    const beginFailure = await this.ensureBegun(id, deadline, content);
+    if (beginFailure !== undefined) return refuse(this.context, refusal, 'busy', beginFailure);
+    if (this.isZoneClosed) return this.abortEvacuated(refusal);
+    if (!this.isWithinAllowedRegions()) {
+      this.discard();
       return refuse(this.context, refusal, 'aborted', { kind: 'outsideHomes' });
     }
     this.operation.noteRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
-    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThreshold);
+    const limitMs = deadline.statementTimeoutMs(this.pinned!.target.pool.load.slowAnswerThreshold);
     const attempt = await this.attempt(command, content, deadline, limitMs);
     if (attempt.outcome !== 'answered') {
-      const cause = this.causeOfFailure(attempt);
-      this.drop();
+      const cause = this.failureCause(attempt);
+      this.discard();
       return refuse(this.context, refusal, 'aborted', cause);
     }
     const { answer } = attempt;
     if (answer.error) return this.failStatement(answer.error, refusal);
-    if (!this.isTrusted()) {
-      this.drop();
+    if (!this.isPinnedTargetTrusted()) {
+      this.discard();
       return refuse(this.context, refusal, 'aborted', { kind: 'leaseEnded' });
     }
     this.countServed();
@@ -107,23 +111,23 @@
   }
 
   /** Commits. */
-  async commit(id: string, content: SessionContent): Promise<CommittedReply> {
+  async commit(id: string, content: SessionContent): Promise<WriteReply> {
     const deadline = new RequestDeadline(this.context.clock, this.route);
     const refusal = { id, deadline, state: 'idle' as const };
-    const problem = await this.bind(id, deadline, content);
-    if (problem !== undefined) {
-      return { reply: refuse(this.context, refusal, 'aborted', problem) };
+    const beginFailure = await this.ensureBegun(id, deadline, content);
+    if (beginFailure !== undefined) {
+      return { reply: refuse(this.context, refusal, 'aborted', beginFailure) };
     }
-    if (this.isZoneClosed) return { reply: this.endEvacuated(refusal) };
-    const obstacle = this.obstacleToCommit();
-    if (obstacle) {
-      this.drop();
-      return { reply: refuse(this.context, refusal, 'aborted', obstacle) };
+    if (this.isZoneClosed) return { reply: this.abortEvacuated(refusal) };
+    const refusalCause = this.commitRefusalCause();
+    if (refusalCause) {
+      this.discard();
+      return { reply: refuse(this.context, refusal, 'aborted', refusalCause) };
     }
     this.context.leases.commitStarted(this.route.group);
     try {
       const attempt = await this.attempt({ kind: 'commit', id }, content, deadline);
-      return this.judgeCommit(attempt, refusal);
+      return this.evaluateCommit(attempt, refusal);
     } finally {
       this.context.leases.commitEnded(this.route.group);
     }
@@ -131,50 +135,50 @@
 
   /** Rolls back; the connection is cleaned up in the background. */
   rollback(id: string): void {
-    this.isEnded = true;
+    this.isRolledBack = true;
     // Not even ROLLBACK goes to a closed zone, or to an instance that a newer document puts out of reach; closing rolls back too.
-    if (this.isZoneClosed || !this.isWithinHomes()) this.drop();
-    const { held } = this;
-    this.held = undefined;
-    if (!held) return;
-    this.runner.exchange(held, { kind: 'rollback', id }, ROLLBACK_TIMEOUT_MS).then(
-      (answer) => this.runner.release(held, answer),
+    if (this.isZoneClosed || !this.isWithinAllowedRegions()) this.discard();
+    const { pinned } = this;
+    this.pinned = undefined;
+    if (!pinned) return;
+    this.runner.exchange(pinned, { kind: 'rollback', id }, ROLLBACK_TIMEOUT_MS).then(
+      (answer) => this.runner.release(pinned, answer),
       // Nothing is lost: the instance rolls back when the connection closes.
-      () => this.runner.discard(held),
+      () => this.runner.discard(pinned),
     );
   }
 
   /** Ends the transaction by closing its connection, which rolls back. */
-  drop(): void {
-    const { held } = this;
-    this.held = undefined;
-    if (held) this.runner.discard(held);
+  discard(): void {
+    const { pinned } = this;
+    this.pinned = undefined;
+    if (pinned) this.runner.discard(pinned);
   }
 
   /** Decides whether a commit is kept, certainly not kept, or in doubt. */
-  private judgeCommit(attempt: Attempt, refusal: RefusedRequest): CommittedReply {
-    const held = this.held!;
-    const cause = this.causeOfFailure(attempt);
-    this.held = undefined;
+  private evaluateCommit(attempt: Attempt, refusal: RefusedRequest): WriteReply {
+    const pinned = this.pinned!;
+    const cause = this.failureCause(attempt);
+    this.pinned = undefined;
     const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
-    this.runner.release(held, answer?.state === 'idle' ? answer : UNKNOWN_ANSWER);
+    this.runner.release(pinned, answer?.state === 'idle' ? answer : UNKNOWN_ANSWER);
     if (attempt.outcome === 'notRun' || (answer?.error && isNotRun(answer.error.kind))) {
       return { reply: refuse(this.context, refusal, 'aborted', cause) };
     }
     if (!answer || answer.error) return { reply: this.commitFailed(refusal, cause) };
-    if (this.hasWritten && !isTargetTrusted(this.context, held.target)) {
+    if (this.hasWritten && !isTargetTrusted(this.context, pinned.target)) {
       return { reply: this.commitFailed(refusal, { kind: 'leaseEnded' }) };
     }
     const { rows, signature, position } = answer;
     const reply: CallerReply = { rows, signature, state: 'idle', position };
     if (!this.hasWritten || !position) return { reply };
     this.context.leases.noteAcknowledged(this.route.group, position);
-    return { reply, committedAt: position };
+    return { reply, commitPosition: position };
   }
 
   /** A commit without a trusted answer is in doubt, unless there was nothing to commit. */
   private commitFailed(refusal: RefusedRequest, cause: RefusalCause): CallerReply {
-    if (this.hasWritten) return inDoubt(this.context, refusal, cause);
+    if (this.hasWritten) return replyInDoubt(this.context, refusal, cause);
     return refuse(this.context, refusal, 'aborted', cause);
   }
 
@@ -185,41 +189,41 @@
     deadline: RequestDeadline,
     limitMs = Infinity,
   ): Promise<Attempt> {
-    const pause = new RetryPause(this.context.clock);
-    const { pooled, target } = this.held!;
+    const backoff = new RetryBackoff(this.context.clock);
+    const { pooled, target } = this.pinned!;
     for (;;) {
-      const timeoutMs = Math.min(deadline.remaining, limitMs);
+      const timeoutMs = Math.min(deadline.remainingMs, limitMs);
       target.pool.wake(pooled);
-      const attempt = await this.runner.attempt(this.held!, content, command, timeoutMs);
+      const attempt = await this.runner.attempt(this.pinned!, content, command, timeoutMs);
       target.pool.rest(pooled);
       const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
       const isBusy = answer?.error?.kind === 'busy' && answer.state === 'open';
       if (!isBusy || !deadline.allowsRetry(true)) return attempt;
-      await pause.wait();
+      await backoff.wait();
     }
   }
 
   /** Ends the transaction after an error of the instance. */
   private failStatement(error: InstanceError, refusal: RefusedRequest): CallerReply {
-    this.drop();
+    this.discard();
     if (error.kind === 'malformed' || error.kind === 'unknownName') {
-      return refused(error.kind, error.text, 'failed');
+      return errorReply(error.kind, error.text, 'failed');
     }
     return refuse(this.context, refusal, 'aborted', transactionAnswered(error.kind));
   }
 
   /** Begins at an instance, unless done already; returns the cause when none could begin. Nothing ran then. */
-  private async bind(
+  private async ensureBegun(
     id: string,
     deadline: RequestDeadline,
     content: SessionContent,
   ): Promise<RefusalCause | undefined> {
-    await this.binding;
-    if (this.held) return undefined;
-    this.binding = this.tryTargets(id, deadline, content);
-    const problem = await this.binding;
-    if (this.isEnded) this.rollback(OWN_REQUEST);
-    return problem;
+    await this.pendingBegin;
+    if (this.pinned) return undefined;
+    this.pendingBegin = this.tryTargets(id, deadline, content);
+    const beginFailure = await this.pendingBegin;
+    if (this.isRolledBack) this.rollback(INTERNAL_REQUEST_ID);
+    return beginFailure;
   }
 
   /** Begins at one instance after another, until one has begun or the time is up. */
@@ -228,14 +232,14 @@
     deadline: RequestDeadline,
     content: SessionContent,
   ): Promise<RefusalCause | undefined> {
-    const tried = new Set<string>();
-    const pause = new RetryPause(this.context.clock);
+    const triedInstances = new Set<string>();
+    const backoff = new RetryBackoff(this.context.clock);
     let cause: RefusalCause | undefined;
-    if (this.mayUseReplicas) await this.context.positions.awaitFloor(this.route.group);
+    if (this.canUseReplicas) await this.context.positions.awaitFloor(this.route.group);
     while (deadline.allowsAttempt) {
-      const target = await this.nextTarget(deadline, tried, pause);
+      const target = await this.nextTarget(deadline, triedInstances, backoff);
       if (!target) break;
-      tried.add(target.instance);
+      triedInstances.add(target.instance);
       const failure = await this.beginAt(target, deadline, content);
       if (failure === undefined) return undefined;
       cause = { kind: 'attemptFailed', instance: target.instance, failure };
@@ -244,31 +248,31 @@
       if (failure.kind === 'slowStart' && target.primaryEpoch !== undefined) break;
     }
     const { route, operation } = this;
-    const otherwise = causeWithoutPrimary(this.context, route.group, { kind: 'noTrustedPrimary' });
-    return cause ?? causeWithoutInstance(this.context, route, operation.tenant, otherwise);
+    const fallback = noPrimaryCause(this.context, route.group, { kind: 'noTrustedPrimary' });
+    return cause ?? noInstanceCause(this.context, route, operation.tenant, fallback);
   }
 
   /** The instance to try next; after a round over all of them, pauses and waits for the primary. */
   private async nextTarget(
     deadline: RequestDeadline,
-    tried: Set<string>,
-    pause: RetryPause,
+    triedInstances: Set<string>,
+    backoff: RetryBackoff,
   ): Promise<Target | undefined> {
     const { route, ownPosition, operation } = this;
     const { tenant } = operation;
-    if (this.mayUseReplicas) {
+    if (this.canUseReplicas) {
       const plan = { route, tenant, firstByteAt: this.beganAt, ownPosition };
       for (;;) {
-        const [target] = planRead(this.context, plan, tried);
+        const [target] = planRead(this.context, plan, triedInstances);
         if (target) return target;
-        if (tried.size > 0) break;
-        if (!(await awaitFloorWithin(this.context, deadline, tenant, pause))) break;
+        if (triedInstances.size > 0) break;
+        if (!(await awaitPrimaryPosition(this.context, deadline, tenant, backoff))) break;
       }
     }
-    if (tried.size > 0) {
+    if (triedInstances.size > 0) {
       if (!deadline.allowsRetry(false)) return undefined;
-      tried.clear();
-      await pause.wait();
+      triedInstances.clear();
+      await backoff.wait();
     }
     return awaitPrimary(this.context, deadline, tenant);
   }
@@ -280,29 +284,42 @@
     content: SessionContent,
   ): Promise<AttemptFailure | undefined> {
     const { priority } = this.route;
-    let held: HeldConnection;
+    let pinned: PinnedConnection;
     try {
       const { name: tenant } = this.operation.tenant;
-      const usefulMs = deadline.usefulRemaining;
+      const usefulMs = deadline.objectiveRemainingMs;
       const { homes } = target;
-      const needed = { tenant, values: content.values, priority, usefulMs, homes };
-      held = await this.runner.hold(target, needed, deadline.connectionWait(false));
+      const connectionRequest = { tenant, values: content.values, priority, usefulMs, homes };
+      pinned = await this.runner.acquire(
+        target,
+        connectionRequest,
+        deadline.connectionWaitMs(false),
+      );
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart')
         return { kind: 'slowStart' };
       // Nothing ran. The pool counts its refusals by reason; the text of this cause names none.
       return { kind: 'noConnection' };
     }
-    const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
-    const limitMs = deadline.statementTimeout(target.pool.load.slowAnswerThreshold);
-    const timeoutMs = Math.min(deadline.remaining, limitMs);
-    const attempt = await this.runner.attempt(held, { values: content.values }, command, timeoutMs);
+    const command = {
+      kind: 'begin' as const,
+      readOnly: this.readOnly,
+      after: target.minimumPosition,
+    };
+    const limitMs = deadline.statementTimeoutMs(target.pool.load.slowAnswerThreshold);
+    const timeoutMs = Math.min(deadline.remainingMs, limitMs);
+    const attempt = await this.runner.attempt(
+      pinned,
+      { values: content.values },
+      command,
+      timeoutMs,
+    );
     if (attempt.outcome === 'answered' && !attempt.answer.error) {
-      this.held = held;
-      target.pool.rest(held.pooled);
+      this.pinned = pinned;
+      target.pool.rest(pinned.pooled);
       return undefined;
     }
-    this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
+    this.runner.release(pinned, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome !== 'answered') return attempt.cause;
     const { kind: error } = attempt.answer.error!;
     return error === 'slowStart' ? { kind: 'slowStart' } : { kind: 'beginAnswered', error };
@@ -314,52 +331,52 @@
   }
 
   private get evacuationStage(): EvacuationStage | undefined {
-    const instance = this.held?.target.instance;
+    const instance = this.pinned?.target.instance;
     return instance === undefined ? undefined : this.context.instances.evacuationStageOf(instance);
   }
 
   /** Ends the transaction before its next statement is sent: nothing of it is kept. */
-  private endEvacuated(refusal: RefusedRequest): CallerReply {
-    this.drop();
+  private abortEvacuated(refusal: RefusedRequest): CallerReply {
+    this.discard();
     return refuse(this.context, refusal, 'aborted', { kind: 'zoneEvacuated' });
   }
 
   /** Cause of an attempt that was not answered, or was answered with an error. Pools of evacuated zones end what rests. */
-  private causeOfFailure(attempt: Attempt): RefusalCause {
+  private failureCause(attempt: Attempt): RefusalCause {
     if (attempt.outcome === 'answered') {
       return transactionAnswered(attempt.answer.error?.kind);
     }
-    const isEnded = attempt.outcome === 'notRun' && this.evacuationStage !== undefined;
-    return isEnded ? { kind: 'zoneEvacuated' } : attempt.cause;
+    const isEndedByEvacuation = attempt.outcome === 'notRun' && this.evacuationStage !== undefined;
+    return isEndedByEvacuation ? { kind: 'zoneEvacuated' } : attempt.cause;
   }
 
-  private isTrusted(): boolean {
-    return this.held !== undefined && isTargetTrusted(this.context, this.held.target);
+  private isPinnedTargetTrusted(): boolean {
+    return this.pinned !== undefined && isTargetTrusted(this.context, this.pinned.target);
   }
 
   /** Whether the homes of now leave the instance, and the way to it, to the transaction. */
-  private isWithinHomes(): boolean {
-    const { context, held, route, operation } = this;
-    if (!held) return true;
-    const homes = homesOf(context, route, operation.tenant);
-    const { instance, pool } = held.target;
-    return mayServe(context, homes, instance) && pool.mayCarry(held.pooled, homes);
+  private isWithinAllowedRegions(): boolean {
+    const { context, pinned, route, operation } = this;
+    if (!pinned) return true;
+    const homes = allowedRegionsOf(context, route, operation.tenant);
+    const { instance, pool } = pinned.target;
+    return isInstanceAllowed(context, homes, instance) && pool.mayCarry(pinned.pooled, homes);
   }
 
   /** Why COMMIT may not be sent; undefined when it may. */
-  private obstacleToCommit(): RefusalCause | undefined {
-    if (!this.isWithinHomes()) return { kind: 'outsideHomes' };
-    return this.isTrusted() ? undefined : { kind: 'leaseEnded' };
+  private commitRefusalCause(): RefusalCause | undefined {
+    if (!this.isWithinAllowedRegions()) return { kind: 'outsideHomes' };
+    return this.isPinnedTargetTrusted() ? undefined : { kind: 'leaseEnded' };
   }
 
   private countServed(): void {
-    const { target } = this.held!;
+    const { target } = this.pinned!;
     const isPrimary = target.primaryEpoch !== undefined;
-    const { route, mayUseReplicas } = this;
-    this.context.counters.served(route.name, target.instance, isPrimary, mayUseReplicas);
+    const { route, canUseReplicas } = this;
+    this.context.counters.served(route.name, target.instance, isPrimary, canUseReplicas);
   }
 
-  private get mayUseReplicas(): boolean {
+  private get canUseReplicas(): boolean {
     return this.readOnly && this.route.policy.kind !== 'primary';
   }
 }
--- a/src/appointed/sessions/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -9,13 +9,13 @@
 import type { Timer } from '../../runtime/runtime.js';
 import type { Position } from '../../positions/position.js';
 import { AdmittedOperation } from '../tenancy/admitted_operation.js';
-import { type CallerReply, completed, refused } from './caller_reply.js';
+import { type CallerReply, successReply, errorReply } from './caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 import { refuse, refuseCredential } from '../routing/refusal.js';
 import { RequestDeadline } from '../routing/request_deadline.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
-import { type SingleRequest, SingleStatements } from './single_statement.js';
+import { type SingleStatementRequest, SingleStatementRunner } from './single_statement.js';
 import {
   type CallerStatement,
   type DataStatement,
@@ -27,20 +27,20 @@
 import { CallerTransaction } from './caller_transaction.js';
 
 /** Text for a statement in a transaction that has failed. */
-const FAILED_TEXT = 'the transaction has failed; roll back';
+const FAILED_TRANSACTION_TEXT = 'the transaction has failed; roll back';
 
 /** An operation that may begin. */
-interface AdmittedEntry {
+interface AdmittedRequest {
   readonly route: Route;
   readonly deadline: RequestDeadline;
   readonly operation: AdmittedOperation;
 }
 
 /** An operation that may begin, or the answer to its caller. */
-type OperationEntry = AdmittedEntry | { readonly refusal: CallerReply };
+type AdmissionResult = AdmittedRequest | { readonly refusal: CallerReply };
 
 /** Newest commit of a session and the group whose log it is in. */
-interface OwnCommit {
+interface SessionCommit {
   readonly group: string;
   readonly position: Position;
 }
@@ -50,10 +50,10 @@
   private readonly values = new Map<string, string>();
   private readonly preparedByName = new Map<string, PreparedShape>();
   private readonly runner: StatementRunner;
-  private readonly singles: SingleStatements;
+  private readonly singleStatements: SingleStatementRunner;
   private transaction: CallerTransaction | undefined;
   private transactionState: TransactionState = 'idle';
-  private ownCommit: OwnCommit | undefined;
+  private lastCommit: SessionCommit | undefined;
   private idleTimer: Timer | undefined;
   private isRunning = false;
   private isClosed = false;
@@ -64,7 +64,7 @@
     private readonly credential: string,
   ) {
     this.runner = new StatementRunner(context);
-    this.singles = new SingleStatements(context, this.runner);
+    this.singleStatements = new SingleStatementRunner(context, this.runner);
   }
 
   /** State of the transaction as the caller sees it. */
@@ -82,7 +82,7 @@
     this.transactionState = reply.state;
     this.isRunning = false;
     if (this.isClosed) this.endTransaction('-');
-    else this.watchIdleTransaction();
+    else this.startIdleTimer();
     const outcome = reply.error?.kind ?? 'ok';
     this.context.counters.answered(
       route?.name ?? '',
@@ -107,14 +107,14 @@
     switch (statement.kind) {
       case 'rollback':
         this.endTransaction(id);
-        return completed('idle');
+        return successReply('idle');
       case 'commit':
         return this.commit(id);
       case 'malformed':
         return this.refuseMalformed(statement.problem);
       default:
         if (this.transactionState !== 'failed') return this.run(id, statement);
-        return refused('malformed', FAILED_TEXT, 'failed');
+        return errorReply('malformed', FAILED_TRANSACTION_TEXT, 'failed');
     }
   }
 
@@ -128,13 +128,13 @@
         return this.begin(id, statement.readOnly);
       case 'set':
         this.values.set(statement.name, statement.value);
-        return completed(state);
+        return successReply(state);
       case 'prepare':
         this.preparedByName.set(statement.name, statement.prepared);
-        return completed(state);
+        return successReply(state);
       case 'deallocate':
         this.preparedByName.delete(statement.name);
-        return completed(state);
+        return successReply(state);
       case 'execute': {
         const prepared = this.preparedByName.get(statement.name);
         if (!prepared) return this.failStatement('unknownName', statement.name);
@@ -149,9 +149,9 @@
   private async begin(id: string, readOnly: boolean): Promise<CallerReply> {
     if (this.transaction) return this.refuseMalformed('a transaction is open');
     const beganAt = this.context.clock.now();
-    const entry = await this.enter(id);
-    if ('refusal' in entry) return entry.refusal;
-    const { route, operation } = entry;
+    const admission = await this.admit(id);
+    if ('refusal' in admission) return admission.refusal;
+    const { route, operation } = admission;
     this.transaction = new CallerTransaction(
       this.context,
       this.runner,
@@ -161,8 +161,8 @@
       beganAt,
       this.ownPositionIn(route.group),
     );
-    this.transaction.prepare({ values: this.values });
-    return completed('open');
+    this.transaction.beginEarly({ values: this.values });
+    return successReply('open');
   }
 
   private async runData(
@@ -172,9 +172,9 @@
   ): Promise<CallerReply> {
     const content: SessionContent = { values: this.values, prepared };
     if (this.transaction) return this.runInTransaction(this.transaction, id, statement, content);
-    const entry = await this.enter(id);
-    if ('refusal' in entry) return entry.refusal;
-    return this.runSingle(entry, id, statement, content);
+    const admission = await this.admit(id);
+    if ('refusal' in admission) return admission.refusal;
+    return this.runSingle(admission, id, statement, content);
   }
 
   private async runInTransaction(
@@ -183,7 +183,7 @@
     statement: DataStatement,
     content: SessionContent,
   ): Promise<CallerReply> {
-    if (!this.mayGoOn(transaction)) return this.endForCredential(id, 'failed');
+    if (!this.isStillAuthorized(transaction)) return this.abortUnauthorized(id, 'failed');
     if (transaction.readOnly && accessOf(statement) === 'write') {
       return this.failStatement('readOnly', 'the transaction is read-only');
     }
@@ -196,53 +196,62 @@
   }
 
   private async runSingle(
-    { route, deadline, operation }: AdmittedEntry,
+    { route, deadline, operation }: AdmittedRequest,
     id: string,
     statement: DataStatement,
     content: SessionContent,
   ): Promise<CallerReply> {
     const ownPosition = this.ownPositionIn(route.group);
-    const request: SingleRequest = { id, statement, content, deadline, operation, ownPosition };
+    const request: SingleStatementRequest = {
+      id,
+      statement,
+      content,
+      deadline,
+      operation,
+      ownPosition,
+    };
     if (accessOf(statement) === 'read') {
-      const reply = await this.singles.read(request);
+      const reply = await this.singleStatements.read(request);
       this.context.allowances.giveBack(operation);
       return reply;
     }
-    const { reply, committedAt } = await this.singles.write(request);
+    const { reply, commitPosition } = await this.singleStatements.write(request);
     this.context.allowances.giveBack(operation);
-    this.recordCommit(route.group, committedAt);
+    this.recordCommit(route.group, commitPosition);
     return reply;
   }
 
   /** Lets an operation begin: the credential allows it, and the tenant is within its limit. */
-  private async enter(id: string): Promise<OperationEntry> {
+  private async admit(id: string): Promise<AdmissionResult> {
     const { context, route, credential } = this;
-    if (!route) return { refusal: refused('noDatabase', this.database, 'idle') };
+    if (!route) return { refusal: errorReply('noDatabase', this.database, 'idle') };
     const deadline = new RequestDeadline(context.clock, route);
     const request = { id, deadline, state: 'idle' as const };
-    const known = context.admission.check(credential, route);
-    const verdict =
-      known.outcome === 'unknown' ? await context.admission.checkNewest(credential, route) : known;
-    if (verdict.outcome !== 'admitted') {
-      return { refusal: refuseCredential(context, request, verdict.outcome) };
+    const cachedCheck = context.admission.check(credential, route);
+    const check =
+      cachedCheck.outcome === 'unknown'
+        ? await context.admission.checkNewest(credential, route)
+        : cachedCheck;
+    if (check.outcome !== 'admitted') {
+      return { refusal: refuseCredential(context, request, check.outcome) };
     }
-    const { tenant } = verdict;
-    const allowance = await context.allowances.take(tenant, deadline.offerRemaining);
+    const { tenant } = check;
+    const allowance = await context.allowances.take(tenant, deadline.firstAttemptRemainingMs);
     if (allowance.isGranted) {
       return { route, deadline, operation: new AdmittedOperation(tenant, context.clock.now()) };
     }
-    const named = { ...request, tenant: tenant.name };
-    return { refusal: refuse(context, named, 'busy', allowance.cause) };
+    const tenantRequest = { ...request, tenant: tenant.name };
+    return { refusal: refuse(context, tenantRequest, 'busy', allowance.cause) };
   }
 
   /** Whether the open transaction may go on: its tenant still holds the caller's credential. */
-  private mayGoOn({ route, operation }: CallerTransaction): boolean {
-    const verdict = this.context.admission.check(this.credential, route);
-    return verdict.outcome === 'admitted' && verdict.tenant.name === operation.tenant.name;
+  private isStillAuthorized({ route, operation }: CallerTransaction): boolean {
+    const check = this.context.admission.check(this.credential, route);
+    return check.outcome === 'admitted' && check.tenant.name === operation.tenant.name;
   }
 
   /** Rolls the transaction back, since the credential does not allow it any more or can't be checked. */
-  private endForCredential(id: string, state: TransactionState): CallerReply {
+  private abortUnauthorized(id: string, state: TransactionState): CallerReply {
     const { route } = this.transaction!;
     this.endTransaction('-');
     const request = { id, deadline: new RequestDeadline(this.context.clock, route), state };
@@ -252,14 +261,14 @@
   private async commit(id: string): Promise<CallerReply> {
     if (this.transactionState === 'failed') {
       this.endTransaction(id);
-      return refused('aborted', 'the transaction had failed and was rolled back', 'idle');
+      return errorReply('aborted', 'the transaction had failed and was rolled back', 'idle');
     }
     const { transaction } = this;
     if (!transaction) return this.refuseMalformed('no transaction is open');
-    if (!this.mayGoOn(transaction)) return this.endForCredential(id, 'idle');
-    const { reply, committedAt } = await transaction.commit(id, { values: this.values });
+    if (!this.isStillAuthorized(transaction)) return this.abortUnauthorized(id, 'idle');
+    const { reply, commitPosition } = await transaction.commit(id, { values: this.values });
     this.transaction = undefined;
-    this.recordCommit(transaction.route.group, committedAt);
+    this.recordCommit(transaction.route.group, commitPosition);
     return reply;
   }
 
@@ -267,11 +276,11 @@
   private failStatement(kind: 'unknownName' | 'readOnly', text: string): CallerReply {
     const isInTransaction = this.transaction !== undefined;
     this.endTransaction('-');
-    return refused(kind, text, isInTransaction ? 'failed' : 'idle');
+    return errorReply(kind, text, isInTransaction ? 'failed' : 'idle');
   }
 
   private refuseMalformed(problem: string): CallerReply {
-    return refused('malformed', problem, this.transactionState);
+    return errorReply('malformed', problem, this.transactionState);
   }
 
   private endTransaction(id: string): void {
@@ -282,19 +291,19 @@
   }
 
   private ownPositionIn(group: string): Position | undefined {
-    return this.ownCommit?.group === group ? this.ownCommit.position : undefined;
+    return this.lastCommit?.group === group ? this.lastCommit.position : undefined;
   }
 
   /** Keeps the position of the session's newest commit. */
   private recordCommit(group: string, position: Position | undefined): void {
-    if (position) this.ownCommit = { group, position };
+    if (position) this.lastCommit = { group, position };
   }
 
   /** Ends the transaction when its caller sends nothing for too long; the caller's next statement gets the error. */
-  private watchIdleTransaction(): void {
-    const limit = this.context.table?.transactionIdleMs ?? 0;
-    if (!this.transaction || limit === 0) return;
-    this.idleTimer = this.context.clock.setTimer(limit, () => {
+  private startIdleTimer(): void {
+    const limitMs = this.context.table?.transactionIdleMs ?? 0;
+    if (!this.transaction || limitMs === 0) return;
+    this.idleTimer = this.context.clock.setTimer(limitMs, () => {
       this.endTransaction('-');
       this.transactionState = 'failed';
     });
--- a/src/appointed/sessions/session_listener.ts
+++ b/src/appointed/sessions/session_listener.ts
@@ -10,7 +10,7 @@
 import type { CallerErrorKind, CallerReply } from './caller_reply.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 import type { RoutedSession } from './routed_session.js';
-import { textOf } from '../routing/refusal_cause.js';
+import { causeText } from '../routing/refusal_cause.js';
 import { retryAfterMs } from '../routing/retry_after.js';
 import type { CallerStatement } from '../instance/statement.js';
 
@@ -22,7 +22,7 @@
   | { readonly kind: 'broken'; readonly problem: string };
 
 /** Decoder of one caller's bytes. */
-export interface CallerReader {
+export interface CallerMessageReader {
   /** Messages that are now complete. Input that can't be read ends with one `broken` message. */
   push(chunk: Buffer): CallerMessage[];
 }
@@ -30,7 +30,7 @@
 /** The protocol towards callers, without I/O. */
 export interface CallerCodec {
   /** Decoder for a new connection. */
-  newReader(): CallerReader;
+  newReader(): CallerMessageReader;
   /** Answer that a session has started. */
   encodeReady(state: TransactionState): string;
   /** Error after which the connection is closed. */
@@ -55,7 +55,7 @@
  * Longest time that a caller waits for the first configuration of a process that starts, in milliseconds. Together with the
  * time before callers are read (600 ms, proxy_daemon.ts) less than the 2 s after which callers close their session.
  */
-const START_WAIT_MS = 1200;
+const CONFIGURATION_WAIT_MS = 1200;
 
 /** Connection of one caller. */
 class CallerConnection {
@@ -115,7 +115,7 @@
   }
 
   private closeIfDrained(): void {
-    if (this.isDraining && !this.isBusy) this.finish('');
+    if (this.isDraining && !this.isBusy) this.endWith('');
   }
 
   private async handle(message: CallerMessage): Promise<void> {
@@ -127,37 +127,39 @@
         await this.query(message.id, message.statement);
         return;
       case 'terminate':
-        this.finish('');
+        this.endWith('');
         return;
       case 'broken':
-        this.finish(this.codec.encodeError('malformed', message.problem));
+        this.endWith(this.codec.encodeError('malformed', message.problem));
     }
   }
 
   private async start(database: string, credential: string): Promise<void> {
     if (this.session) {
-      this.finish(this.codec.encodeError('malformed', 'the session has started already'));
+      this.endWith(this.codec.encodeError('malformed', 'the session has started already'));
       return;
     }
-    if (!(await this.source.awaitTable(START_WAIT_MS))) {
+    if (!(await this.source.awaitTable(CONFIGURATION_WAIT_MS))) {
       const cause = { kind: 'noConfiguration' as const };
-      const text = `${textOf(cause)}; retry after ${retryAfterMs(cause)} ms`;
-      this.finish(this.codec.encodeError('busy', text));
+      const text = `${causeText(cause)}; retry after ${retryAfterMs(cause)} ms`;
+      this.endWith(this.codec.encodeError('busy', text));
       return;
     }
     if (!(await this.source.isCredentialKnown(database, credential))) {
-      this.finish(this.codec.encodeError('unauthenticated', textOf({ kind: 'credentialUnknown' })));
+      this.endWith(
+        this.codec.encodeError('unauthenticated', causeText({ kind: 'credentialUnknown' })),
+      );
       return;
     }
     if (this.isEnded) return;
     this.session = this.source.openSession(database, credential);
     if (this.session) this.send(this.codec.encodeReady('idle'));
-    else this.finish(this.codec.encodeError('noDatabase', database));
+    else this.endWith(this.codec.encodeError('noDatabase', database));
   }
 
   private async query(id: string, statement: CallerStatement): Promise<void> {
     if (!this.session) {
-      this.finish(this.codec.encodeError('malformed', 'the session has not started'));
+      this.endWith(this.codec.encodeError('malformed', 'the session has not started'));
       return;
     }
     const reply = await this.session.execute(id, statement);
@@ -169,7 +171,7 @@
   }
 
   /** Sends a last text and closes. */
-  private finish(text: string): void {
+  private endWith(text: string): void {
     if (this.isEnded) return;
     this.socket.end(text, 'latin1');
     this.isEnded = true;
--- a/src/appointed/sessions/session_loader.ts
+++ b/src/appointed/sessions/session_loader.ts
@@ -21,28 +21,31 @@
 }
 
 /** Commands that bring the content onto the connection, in their order. */
-export function loadingSteps(pooled: PooledConnection, content: SessionContent): InstanceCommand[] {
-  const steps: InstanceCommand[] = [];
+export function loadingCommands(
+  pooled: PooledConnection,
+  content: SessionContent,
+): InstanceCommand[] {
+  const commands: InstanceCommand[] = [];
   const isReset = needsReset(pooled, content.values);
-  if (isReset) steps.push({ kind: 'reset' });
+  if (isReset) commands.push({ kind: 'reset' });
   for (const [name, value] of content.values) {
     const isLoaded = !isReset && pooled.values.get(name) === value;
-    if (!isLoaded) steps.push({ kind: 'set', name, value });
+    if (!isLoaded) commands.push({ kind: 'set', name, value });
   }
   const { prepared } = content;
   const isPrepared = prepared && !isReset && pooled.preparedNames.has(sharedName(prepared));
-  if (prepared && !isPrepared) steps.push({ kind: 'prepare', prepared });
-  return steps;
+  if (prepared && !isPrepared) commands.push({ kind: 'prepare', prepared });
+  return commands;
 }
 
 /** Records on the connection that its instance has run a step. */
-export function recordLoaded(pooled: PooledConnection, step: InstanceCommand): void {
-  if (step.kind === 'reset') {
+export function recordLoaded(pooled: PooledConnection, command: InstanceCommand): void {
+  if (command.kind === 'reset') {
     pooled.values.clear();
     pooled.preparedNames.clear();
-  } else if (step.kind === 'set') {
-    pooled.values.set(step.name, step.value);
-  } else if (step.kind === 'prepare') {
-    pooled.preparedNames.add(sharedName(step.prepared));
+  } else if (command.kind === 'set') {
+    pooled.values.set(command.name, command.value);
+  } else if (command.kind === 'prepare') {
+    pooled.preparedNames.add(sharedName(command.prepared));
   }
 }
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -7,25 +7,29 @@
  * may have run counts as an operation, which may be refused).
  */
 import { type Position } from '../../positions/position.js';
-import { type CallerReply, type CommittedReply, refused } from './caller_reply.js';
+import { type CallerReply, type WriteReply, errorReply } from './caller_reply.js';
 import type {
   InstanceAnswer,
   InstanceError,
   InstanceErrorKind,
 } from '../instance/instance_connection.js';
 import { AcquireError } from '../connections/acquire_error.js';
-import { causeWithoutPrimary } from '../routing/evacuated_primary.js';
-import { inDoubt, logRetry, refuse } from '../routing/refusal.js';
-import { type AttemptFailure, type RefusalCause, isSlowStart } from '../routing/refusal_cause.js';
+import { noPrimaryCause } from '../routing/evacuated_primary.js';
+import { replyInDoubt, logRetry, refuse } from '../routing/refusal.js';
+import {
+  type AttemptFailure,
+  type RefusalCause,
+  isSlowStartCause,
+} from '../routing/refusal_cause.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
-import { awaitFloorWithin, causeWithoutInstance } from '../routing/request_homes.js';
-import { RetryPause } from '../routing/retry_pause.js';
+import { awaitPrimaryPosition, noInstanceCause } from '../routing/request_homes.js';
+import { RetryBackoff } from '../routing/retry_pause.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { SessionContent } from './session_loader.js';
 import type { DataStatement } from '../instance/statement.js';
 import {
   type Attempt,
-  type HeldConnection,
+  type PinnedConnection,
   type NotRunAttempt,
   type StatementRunner,
   isNotRun,
@@ -35,7 +39,7 @@
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
 /** A statement to run. */
-export interface SingleRequest {
+export interface SingleStatementRequest {
   /** The caller's identifier of the request. */
   readonly id: string;
   /** The statement itself. */
@@ -54,59 +58,59 @@
 interface NotRunWrite {
   readonly cause: RefusalCause;
   /** Whether an instance was asked at all. */
-  readonly wasOffered: boolean;
+  readonly wasSent: boolean;
 }
 
 /** Runs the statements of one session that are outside transactions. */
-export class SingleStatements {
+export class SingleStatementRunner {
   constructor(
     private readonly context: ProxyContext,
     private readonly runner: StatementRunner,
   ) {}
 
   /** Runs a read on any instance that is fresh enough; tries others when one fails. */
-  async read(request: SingleRequest): Promise<CallerReply> {
+  async read(request: SingleStatementRequest): Promise<CallerReply> {
     const { deadline } = request;
     const { route } = deadline;
     const { tenant } = request.operation;
     const firstByteAt = deadline.arrivedAt;
     const plan = { route, tenant, firstByteAt, ownPosition: request.ownPosition };
-    const tried = new Set<string>();
-    const pause = new RetryPause(this.context.clock);
-    let wasOffered = false;
+    const triedInstances = new Set<string>();
+    const backoff = new RetryBackoff(this.context.clock);
+    let wasSent = false;
     let cause: RefusalCause | undefined;
     if (route.policy.kind !== 'primary') await this.context.positions.awaitFloor(route.group);
     while (deadline.allowsAttempt) {
-      if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
-      const targets = planRead(this.context, plan, tried);
+      if (request.operation.hasRun && !(await this.canRetry(request))) break;
+      const targets = planRead(this.context, plan, triedInstances);
       const target = targets[0];
       if (!target) {
-        if (await this.mayTryAgain(request, tried, wasOffered, pause)) continue;
+        if (await this.shouldRetry(request, triedInstances, wasSent, backoff)) continue;
         break;
       }
-      tried.add(target.instance);
+      triedInstances.add(target.instance);
       const attempt = await this.attemptRead(request, target, targets.length);
-      const result = this.judgeRead(request, target, attempt);
+      const result = this.evaluateRead(request, target, attempt);
       if ('reply' in result) return result.reply;
       cause = result.cause;
-      if (isSlowStart(cause) && targets.length === 1) break;
-      wasOffered ||= attempt.outcome !== 'notRun';
+      if (isSlowStartCause(cause) && targets.length === 1) break;
+      wasSent ||= attempt.outcome !== 'notRun';
     }
     const refusal = { id: request.id, deadline, state: 'idle' as const };
-    const otherwise = causeWithoutPrimary(this.context, route.group, { kind: 'noInstanceForRead' });
-    cause ??= causeWithoutInstance(this.context, route, tenant, otherwise);
+    const fallback = noPrimaryCause(this.context, route.group, { kind: 'noInstanceForRead' });
+    cause ??= noInstanceCause(this.context, route, tenant, fallback);
     return refuse(this.context, refusal, 'busy', cause);
   }
 
   /** Runs a write on the trusted primary; never a second time when it may have run. */
-  async write(request: SingleRequest): Promise<CommittedReply> {
+  async write(request: SingleStatementRequest): Promise<WriteReply> {
     const { deadline } = request;
     const { tenant } = request.operation;
     const { route } = deadline;
     const { group } = route;
     const refusal = { id: request.id, deadline, state: 'idle' as const };
-    const pause = new RetryPause(this.context.clock);
-    let wasOffered = false;
+    const backoff = new RetryBackoff(this.context.clock);
+    let wasSent = false;
     let cause: RefusalCause | undefined;
     while (deadline.allowsAttempt) {
       const target = await awaitPrimary(this.context, deadline, tenant);
@@ -117,13 +121,13 @@
       );
       if ('reply' in result) return result;
       cause = result.cause;
-      wasOffered ||= result.wasOffered;
-      if (isSlowStart(cause) || !deadline.allowsRetry(wasOffered)) break;
+      wasSent ||= result.wasSent;
+      if (isSlowStartCause(cause) || !deadline.allowsRetry(wasSent)) break;
       logRetry(this.context, request, target, result.cause);
-      await pause.wait();
+      await backoff.wait();
     }
-    const otherwise = causeWithoutPrimary(this.context, group, { kind: 'noTrustedPrimary' });
-    cause ??= causeWithoutInstance(this.context, route, tenant, otherwise);
+    const fallback = noPrimaryCause(this.context, group, { kind: 'noTrustedPrimary' });
+    cause ??= noInstanceCause(this.context, route, tenant, fallback);
     return { reply: refuse(this.context, refusal, 'busy', cause) };
   }
 
@@ -132,59 +136,59 @@
    * instances tried again. Returns whether another attempt is worth while; replicas may serve it too by then, if a position
    * floor has become known.
    */
-  private async mayTryAgain(
-    { deadline, operation: { tenant } }: SingleRequest,
-    tried: Set<string>,
-    wasOffered: boolean,
-    pause: RetryPause,
+  private async shouldRetry(
+    { deadline, operation: { tenant } }: SingleStatementRequest,
+    triedInstances: Set<string>,
+    wasSent: boolean,
+    backoff: RetryBackoff,
   ): Promise<boolean> {
-    if (tried.size === 0) {
+    if (triedInstances.size === 0) {
       const primary = await awaitPrimary(this.context, deadline, tenant);
-      return primary !== undefined || awaitFloorWithin(this.context, deadline, tenant, pause);
+      return primary !== undefined || awaitPrimaryPosition(this.context, deadline, tenant, backoff);
     }
-    if (!deadline.allowsRetry(wasOffered)) return false;
-    tried.clear();
-    await pause.wait();
+    if (!deadline.allowsRetry(wasSent)) return false;
+    triedInstances.clear();
+    await backoff.wait();
     return true;
   }
 
   /** Answer to the caller, or the cause why another instance should be tried. */
-  private judgeRead(
-    request: SingleRequest,
+  private evaluateRead(
+    request: SingleStatementRequest,
     target: Target,
     attempt: Attempt,
   ): { readonly reply: CallerReply } | { readonly cause: RefusalCause } {
     if (attempt.outcome !== 'answered') {
       logRetry(this.context, request, target, { kind: 'readAttempt', ending: attempt.outcome });
-      return { cause: attemptFailed(target, attempt.cause) };
+      return { cause: attemptFailedCause(target, attempt.cause) };
     }
     const { answer } = attempt;
     if (!answer.error) return { reply: this.succeed(request, target, answer) };
     const { kind: error } = answer.error;
-    if (error === 'malformed') return { reply: fail(answer.error) };
+    if (error === 'malformed') return { reply: forwardError(answer.error) };
     logRetry(this.context, request, target, { kind: 'readAttempt', ending: error });
-    return { cause: answered(target, error) };
+    return { cause: instanceAnsweredCause(target, error) };
   }
 
   /** Tries a read at one instance, and judges whether its answer counts. */
   private async attemptRead(
-    request: SingleRequest,
+    request: SingleStatementRequest,
     target: Target,
-    targetsLeft: number,
+    remainingTargets: number,
   ): Promise<Attempt> {
     const { deadline } = request;
-    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner, targetsLeft);
-    const held = await this.hold(request, target, waitMs);
-    if (!('pooled' in held)) return held;
-    const timeoutMs = deadline.readAnswerTimeout(
+    const waitMs = deadline.connectionWaitMs(target.pool.queuesAtOwner, remainingTargets);
+    const acquired = await this.acquire(request, target, waitMs);
+    if (!('pooled' in acquired)) return acquired;
+    const timeoutMs = deadline.readAnswerTimeoutMs(
       target.pool.load.slowAnswerThreshold,
-      targetsLeft <= 1,
+      remainingTargets <= 1,
     );
     const { id, statement } = request;
-    const command = { kind: 'data' as const, id, statement, after: target.after };
-    const attempt = await this.runner.attempt(held, request.content, command, timeoutMs);
-    markRun(request.operation, attempt);
-    this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
+    const command = { kind: 'data' as const, id, statement, after: target.minimumPosition };
+    const attempt = await this.runner.attempt(acquired, request.content, command, timeoutMs);
+    markIfRun(request.operation, attempt);
+    this.runner.release(acquired, attempt.outcome === 'answered' ? attempt.answer : undefined);
     if (attempt.outcome === 'answered' && !isTargetTrusted(this.context, target)) {
       return { outcome: 'lost', cause: { kind: 'leaseEnded' } };
     }
@@ -193,70 +197,75 @@
 
   /** Answer to the caller, or the cause why the statement certainly did not run. */
   private async attemptWrite(
-    request: SingleRequest,
+    request: SingleStatementRequest,
     target: Target,
-  ): Promise<CommittedReply | NotRunWrite> {
+  ): Promise<WriteReply | NotRunWrite> {
     const { deadline, id, statement } = request;
-    const waitMs = deadline.connectionWait(target.pool.queuesAtOwner);
-    const held = await this.hold(request, target, waitMs);
-    if (!('pooled' in held)) return { cause: held.cause, wasOffered: false };
+    const waitMs = deadline.connectionWaitMs(target.pool.queuesAtOwner);
+    const acquired = await this.acquire(request, target, waitMs);
+    if (!('pooled' in acquired)) return { cause: acquired.cause, wasSent: false };
     if (!isTargetTrusted(this.context, target)) {
-      this.runner.release(held);
-      return { cause: { kind: 'leaseEnded' }, wasOffered: false };
+      this.runner.release(acquired);
+      return { cause: { kind: 'leaseEnded' }, wasSent: false };
     }
     const command = { kind: 'data' as const, id, statement };
-    const attempt = await this.runner.attempt(held, request.content, command, deadline.remaining);
-    markRun(request.operation, attempt);
-    this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
-    return this.judgeWrite(request, target, attempt);
+    const attempt = await this.runner.attempt(
+      acquired,
+      request.content,
+      command,
+      deadline.remainingMs,
+    );
+    markIfRun(request.operation, attempt);
+    this.runner.release(acquired, attempt.outcome === 'answered' ? attempt.answer : undefined);
+    return this.evaluateWrite(request, target, attempt);
   }
 
   /** Decides whether a write ran, certainly did not, or is in doubt. */
-  private judgeWrite(
-    request: SingleRequest,
+  private evaluateWrite(
+    request: SingleStatementRequest,
     target: Target,
     attempt: Attempt,
-  ): CommittedReply | NotRunWrite {
+  ): WriteReply | NotRunWrite {
     const refusal = { id: request.id, deadline: request.deadline, state: 'idle' as const };
-    if (attempt.outcome === 'notRun') return { cause: attempt.cause, wasOffered: false };
+    if (attempt.outcome === 'notRun') return { cause: attempt.cause, wasSent: false };
     if (attempt.outcome === 'lost') {
-      const cause = attemptFailed(target, attempt.cause);
-      return { reply: inDoubt(this.context, refusal, cause) };
+      const cause = attemptFailedCause(target, attempt.cause);
+      return { reply: replyInDoubt(this.context, refusal, cause) };
     }
     const { answer } = attempt;
     if (answer.error && isNotRun(answer.error.kind)) {
       const { kind: error } = answer.error;
-      return { cause: answered(target, error), wasOffered: true };
+      return { cause: instanceAnsweredCause(target, error), wasSent: true };
     }
-    if (answer.error) return { reply: fail(answer.error) };
+    if (answer.error) return { reply: forwardError(answer.error) };
     if (!isTargetTrusted(this.context, target) || !answer.position) {
-      return { reply: inDoubt(this.context, refusal, { kind: 'leaseEnded' }) };
+      return { reply: replyInDoubt(this.context, refusal, { kind: 'leaseEnded' }) };
     }
     this.context.leases.noteAcknowledged(target.group, answer.position);
-    return { reply: this.succeed(request, target, answer), committedAt: answer.position };
+    return { reply: this.succeed(request, target, answer), commitPosition: answer.position };
   }
 
   /** Takes another operation of the tenant: an instance may have run the statement, and another one is to run it. */
-  private async mayRunAgain({ operation, deadline }: SingleRequest): Promise<boolean> {
+  private async canRetry({ operation, deadline }: SingleStatementRequest): Promise<boolean> {
     const { allowances } = this.context;
-    const verdict = await allowances.take(operation.tenant, deadline.offerRemaining);
-    return verdict.isGranted;
+    const allowance = await allowances.take(operation.tenant, deadline.firstAttemptRemainingMs);
+    return allowance.isGranted;
   }
 
   /** Takes a connection, waiting for it for `waitMs` at most. */
-  private async hold(
-    request: SingleRequest,
+  private async acquire(
+    request: SingleStatementRequest,
     target: Target,
     waitMs: number,
-  ): Promise<HeldConnection | NotRunAttempt> {
+  ): Promise<PinnedConnection | NotRunAttempt> {
     const { priority } = request.deadline.route;
-    const usefulMs = request.deadline.usefulRemaining;
+    const usefulMs = request.deadline.objectiveRemainingMs;
     try {
       const { values } = request.content;
       const { homes } = target;
       const { name: tenant } = request.operation.tenant;
-      const needed = { tenant, values, priority, usefulMs, homes };
-      return await this.runner.hold(target, needed, waitMs);
+      const connectionRequest = { tenant, values, priority, usefulMs, homes };
+      return await this.runner.acquire(target, connectionRequest, waitMs);
     } catch (error) {
       // The cause of the attempt carries the reason; the pool counts its refusals.
       const failure = error instanceof AcquireError ? error.failure : 'no connection';
@@ -266,7 +275,11 @@
   }
 
   /** Counts a served statement and makes its answer. */
-  private succeed(request: SingleRequest, target: Target, answer: InstanceAnswer): CallerReply {
+  private succeed(
+    request: SingleStatementRequest,
+    target: Target,
+    answer: InstanceAnswer,
+  ): CallerReply {
     const { route } = request.deadline;
     const isPrimary = target.primaryEpoch !== undefined;
     this.context.counters.served(
@@ -281,24 +294,24 @@
 }
 
 /** Marks the operation as run if an instance may have run the statement. */
-function markRun(operation: AdmittedOperation, attempt: Attempt): void {
+function markIfRun(operation: AdmittedOperation, attempt: Attempt): void {
   const error = attempt.outcome === 'answered' ? attempt.answer.error : undefined;
   const isHarmless = attempt.outcome === 'notRun' || (error !== undefined && isNotRun(error.kind));
   if (!isHarmless) operation.noteRun();
 }
 
 /** Cause of an error that an instance answered, or the holder of a cold one in its place. */
-function answered({ instance }: Target, error: InstanceErrorKind): RefusalCause {
+function instanceAnsweredCause({ instance }: Target, error: InstanceErrorKind): RefusalCause {
   if (error === 'slowStart') return { kind: 'slowStart' };
   return { kind: 'instanceAnswered', instance, error };
 }
 
-function attemptFailed({ instance }: Target, failure: AttemptFailure): RefusalCause {
+function attemptFailedCause({ instance }: Target, failure: AttemptFailure): RefusalCause {
   return { kind: 'attemptFailed', instance, failure };
 }
 
 /** Passes an instance's error on to the caller; it promises nothing about what ran. */
-function fail(error: InstanceError): CallerReply {
+function forwardError(error: InstanceError): CallerReply {
   const kind = error.kind === 'malformed' || error.kind === 'timeout' ? error.kind : 'failed';
-  return refused(kind, error.text, 'idle');
+  return errorReply(kind, error.text, 'idle');
 }
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -13,10 +13,10 @@
 import { AcquireError, type AcquireFailure } from '../connections/acquire_error.js';
 import type { ConnectionRequest, PooledConnection } from '../connections/pooled_connection.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
-import { type SessionContent, loadingSteps, recordLoaded } from './session_loader.js';
+import { type SessionContent, loadingCommands, recordLoaded } from './session_loader.js';
 import type { InstanceCommand } from '../instance/statement.js';
-import type { EndWait } from '../placement/slow_start_gate.js';
-import { isUrgent } from '../placement/slow_start_budget.js';
+import type { CancelReservation } from '../placement/slow_start_gate.js';
+import { isUrgentPriority } from '../placement/slow_start_budget.js';
 import type { AttemptFailure } from '../routing/refusal_cause.js';
 import { distrustShorterLog } from '../trust/primary_incarnation.js';
 import type { Target } from '../routing/target_planner.js';
@@ -35,7 +35,7 @@
 ]);
 
 /** Errors that count as failures of the instance; others are due to the request or to a replica's lag. */
-const FAILING_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
+const INSTANCE_FAILURE_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
   'busy',
   'failed',
   'timeout',
@@ -57,7 +57,7 @@
 }
 
 /** A connection that is held for a session. */
-export interface HeldConnection {
+export interface PinnedConnection {
   /** Instance that it leads to. */
   readonly target: Target;
   /** The connection. */
@@ -69,10 +69,10 @@
 }
 
 /** When an instance was asked, and what was known of it then. */
-interface Asked {
+interface RequestSnapshot {
   readonly at: number;
   /** Newest position that it had told as the primary of its epoch. */
-  readonly known: Position | undefined;
+  readonly knownPosition: Position | undefined;
 }
 
 /** The statement certainly did not run. */
@@ -93,17 +93,17 @@
   constructor(private readonly context: ProxyContext) {}
 
   /** Takes a connection to a target. @throws AcquireError when none could be had in time */
-  async hold(
+  async acquire(
     target: Target,
     request: ConnectionRequest,
     timeoutMs: number,
-  ): Promise<HeldConnection> {
+  ): Promise<PinnedConnection> {
     const { load } = target.pool;
-    const endWait = this.enter(target, request);
+    const cancelReservation = this.reserveSlowStart(target, request);
     load.outstanding++;
     try {
       const pooled = await target.pool.acquire(request, timeoutMs);
-      return { target, pooled, isUrgent: isUrgent(request.priority), inTransaction: false };
+      return { target, pooled, isUrgent: isUrgentPriority(request.priority), inTransaction: false };
     } catch (error) {
       if (error instanceof AcquireError && !LOAD_FAILURES.has(error.failure)) {
         load.noteFailure(this.context.clock.now());
@@ -111,32 +111,32 @@
       throw error;
     } finally {
       load.outstanding--;
-      endWait?.();
+      cancelReservation?.();
     }
   }
 
   /** Refuses a request at once that a cold instance could not be sent; the system's own go there as to any. */
-  private enter(
+  private reserveSlowStart(
     { instance }: Target,
     { tenant, priority }: ConnectionRequest,
-  ): EndWait | undefined {
+  ): CancelReservation | undefined {
     if (tenant === undefined) return undefined;
-    const endWait = this.context.instances.enter(instance, isUrgent(priority));
-    if (!endWait) throw new AcquireError('slowStart');
-    return endWait;
+    const cancelReservation = this.context.instances.enter(instance, isUrgentPriority(priority));
+    if (!cancelReservation) throw new AcquireError('slowStart');
+    return cancelReservation;
   }
 
   /** Gives a connection back after an answer that left it idle; closes it otherwise. */
-  release(held: HeldConnection, answer?: InstanceAnswer): void {
-    const { pool } = held.target;
+  release(pinned: PinnedConnection, answer?: InstanceAnswer): void {
+    const { pool } = pinned.target;
     const isClean = answer === undefined || answer.state === 'idle';
-    if (isClean && !held.pooled.connection.closed) pool.release(held.pooled);
-    else pool.discard(held.pooled);
+    if (isClean && !pinned.pooled.connection.closed) pool.release(pinned.pooled);
+    else pool.discard(pinned.pooled);
   }
 
   /** Closes a connection in an unknown state. */
-  discard(held: HeldConnection): void {
-    held.target.pool.discard(held.pooled);
+  discard(pinned: PinnedConnection): void {
+    pinned.target.pool.discard(pinned.pooled);
   }
 
   /**
@@ -144,15 +144,15 @@
    * already.
    */
   async attempt(
-    held: HeldConnection,
+    pinned: PinnedConnection,
     content: SessionContent,
     command: InstanceCommand,
     timeoutMs: number,
   ): Promise<Attempt> {
-    const loading = loadingSteps(held.pooled, content).map((step) =>
-      this.load(held, step, timeoutMs),
+    const loading = loadingCommands(pinned.pooled, content).map((loadingCommand) =>
+      this.load(pinned, loadingCommand, timeoutMs),
     );
-    const running = this.exchange(held, command, timeoutMs);
+    const running = this.exchange(pinned, command, timeoutMs);
     const [loaded, [result]] = await Promise.all([
       Promise.all(loading),
       Promise.allSettled([running]),
@@ -161,21 +161,21 @@
     const { value: answer } = result;
     if (loaded.every((isLoaded) => isLoaded)) return { outcome: 'answered', answer };
     // The statement met a session other than the caller's.
-    held.pooled.connection.close();
+    pinned.pooled.connection.close();
     const cause = { kind: 'sessionNotLoaded' as const };
     const isHarmless = answer.error !== undefined && isNotRun(answer.error.kind);
     return { outcome: isHarmless ? 'notRun' : 'lost', cause };
   }
 
   private async load(
-    held: HeldConnection,
-    step: InstanceCommand,
+    pinned: PinnedConnection,
+    loadingCommand: InstanceCommand,
     timeoutMs: number,
   ): Promise<boolean> {
     try {
-      const answer = await this.exchange(held, step, timeoutMs);
+      const answer = await this.exchange(pinned, loadingCommand, timeoutMs);
       if (answer.error) return false;
-      recordLoaded(held.pooled, step);
+      recordLoaded(pinned.pooled, loadingCommand);
       return true;
     } catch {
       // Nothing is lost: the statement was sent on the same connection and fails with the same reason, which is reported.
@@ -185,35 +185,35 @@
 
   /** Runs one command on a held connection and reports what its answer tells of the instance. */
   async exchange(
-    held: HeldConnection,
+    pinned: PinnedConnection,
     command: InstanceCommand,
     timeoutMs: number,
   ): Promise<InstanceAnswer> {
     const { clock } = this.context;
-    const { target, pooled } = held;
+    const { target, pooled } = pinned;
     const { load } = target.pool;
     const { group, primaryEpoch: epoch } = target;
     // Nothing may be awaited between this check and the sending: the request is counted in the window of this very moment.
-    if (!this.maySend(held, command)) return slowStartAnswer(held.target, held.inTransaction);
+    if (!this.canSend(pinned, command)) return slowStartAnswer(pinned.target, pinned.inTransaction);
     const sentAt = clock.now();
-    const known = this.context.positions.floorOf(group).highestOf(epoch);
-    const asked = { at: sentAt, known };
+    const knownPosition = this.context.positions.floorOf(group).highestInEpoch(epoch);
+    const snapshot = { at: sentAt, knownPosition };
     const tracker = epoch === undefined ? undefined : this.context.primaryHealth.of(group, epoch);
     const mayCommit = command.kind === 'commit' || isWrite(command);
-    const ended = pooled.isRelayed ? undefined : tracker?.started(mayCommit, sentAt);
+    const onEnded = pooled.isRelayed ? undefined : tracker?.started(mayCommit, sentAt);
     load.outstanding++;
     try {
       const answer = await pooled.connection.run(command, timeoutMs);
       const now = clock.now();
-      ended?.(true, now);
+      onEnded?.(true, now);
       if (pooled.isRelayed) tracker?.ownerAnswered();
-      this.reportAnswer(held, answer, asked, command.kind === 'data');
-      if (command.kind === 'begin' && !answer.error) held.inTransaction = true;
+      this.reportAnswer(pinned, answer, snapshot, command.kind === 'data');
+      if (command.kind === 'begin' && !answer.error) pinned.inTransaction = true;
       return answer;
     } catch (error) {
-      ended?.(false, clock.now());
+      onEnded?.(false, clock.now());
       if (error instanceof OwnerUnreachableError) tracker?.ownersSilent(clock.now());
-      if (isInstanceFault(held, error)) load.noteFailure(clock.now());
+      if (isInstanceFault(pinned, error)) load.noteFailure(clock.now());
       throw error;
     } finally {
       load.outstanding--;
@@ -221,48 +221,49 @@
   }
 
   /** Whether a command may be sent here and now; its relay asks where it does not leave this process's own connections. */
-  private maySend(held: HeldConnection, { kind }: InstanceCommand): boolean {
+  private canSend(pinned: PinnedConnection, { kind }: InstanceCommand): boolean {
     const isCounted = kind === 'data' || kind === 'commit';
-    if (held.pooled.isRelayed || !isCounted) return true;
+    if (pinned.pooled.isRelayed || !isCounted) return true;
     // A transaction that has begun should end: it goes before requests that begin.
-    const goesFirst = held.isUrgent || held.inTransaction;
-    return this.context.instances.admit(held.target.instance, goesFirst);
+    const hasPrecedence = pinned.isUrgent || pinned.inTransaction;
+    return this.context.instances.admit(pinned.target.instance, hasPrecedence);
   }
 
   /** Reports an answer to the load of the instance, and, from a primary, to trust and positions. */
   private reportAnswer(
-    held: HeldConnection,
+    pinned: PinnedConnection,
     answer: InstanceAnswer,
-    asked: Asked,
+    snapshot: RequestSnapshot,
     isTimed: boolean,
   ): void {
-    const { primaryEpoch: epoch, pool } = held.target;
+    const { primaryEpoch: epoch, pool } = pinned.target;
     const now = this.context.clock.now();
     if (answer.position) pool.load.notePosition(answer.position);
     if (answer.error?.kind === 'lagging') pool.load.noteLagging(now);
-    if (answer.error?.kind === 'busy') pool.noteBusy(held.pooled);
+    if (answer.error?.kind === 'busy') pool.noteBusy(pinned.pooled);
     if (isTimed && !answer.error) {
-      pool.load.noteAnswer(now - asked.at, now);
-      pool.noteServed(held.pooled);
+      pool.load.noteAnswer(now - snapshot.at, now);
+      pool.noteServed(pinned.pooled);
     }
-    if (answer.error && FAILING_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
-    if (epoch !== undefined) this.reportPrimary(held, epoch, answer, asked);
+    if (answer.error && INSTANCE_FAILURE_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
+    if (epoch !== undefined) this.reportPrimaryAnswer(pinned, epoch, answer, snapshot);
   }
 
   /** Reports what an answer of the primary of an epoch tells of it. */
-  private reportPrimary(
-    { target: { group }, pooled }: HeldConnection,
+  private reportPrimaryAnswer(
+    { target: { group }, pooled }: PinnedConnection,
     epoch: number,
     { error, position }: InstanceAnswer,
-    asked: Asked,
+    snapshot: RequestSnapshot,
   ): void {
     const { clock, leases, primaryHealth, positions } = this.context;
     const now = clock.now();
     if (error?.kind === 'readOnly' && !pooled.isRelayed) {
       primaryHealth.of(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
     } else if (position && leases.accepts(group, epoch, now)) {
-      if (distrustShorterLog(this.context, { group, epoch }, position, asked.known)) return;
-      positions.noteFromPrimary(group, epoch, asked.at, position);
+      if (distrustShorterLog(this.context, { group, epoch }, position, snapshot.knownPosition))
+        return;
+      positions.noteFromPrimary(group, epoch, snapshot.at, position);
     }
   }
 }
@@ -271,10 +272,10 @@
  * Whether a failure is the instance's. On a relayed connection, a failure of the connection owner is not, nor is one before
  * the statement was sent.
  */
-function isInstanceFault({ pooled }: HeldConnection, error: unknown): boolean {
+function isInstanceFault({ pooled }: PinnedConnection, error: unknown): boolean {
   if (!pooled.isRelayed) return true;
-  const isOfOwner = error instanceof OwnerUnreachableError;
-  return !isOfOwner && error instanceof BackendConnectionLostError && error.sent;
+  const isOwnerFailure = error instanceof OwnerUnreachableError;
+  return !isOwnerFailure && error instanceof BackendConnectionLostError && error.sent;
 }
 
 /** Answer in place of a cold instance's: nothing was sent. A transaction can't go on then. */
--- a/src/appointed/trust/primary_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -3,12 +3,12 @@
  * replicas to extend the lease, which may not happen: the wait then ends by the request's deadline.
  */
 import { delay } from '../../runtime/runtime.js';
-import { isPrimaryEvacuated } from '../routing/evacuated_primary.js';
-import { changeAge } from '../routing/refusal.js';
+import { isPrimaryBlockedByEvacuation } from '../routing/evacuated_primary.js';
+import { primaryChangeAgeMs } from '../routing/refusal.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
-import { homesOf, isWaitInVain } from '../routing/request_homes.js';
+import { allowedRegionsOf, isExcludedByAllowedRegions } from '../routing/request_homes.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
-import { type Target, primaryWithin } from '../routing/target_planner.js';
+import { type Target, primaryWithinRegions } from '../routing/target_planner.js';
 import type { Tenant } from '../tenancy/tenant.js';
 
 /** The leased primary; undefined when the request may not wait longer for one, or its homes make that vain. */
@@ -19,13 +19,13 @@
 ): Promise<Target | undefined> {
   const { group } = deadline.route;
   for (;;) {
-    const homes = homesOf(context, deadline.route, tenant);
-    const target = primaryWithin(context, group, homes);
+    const homes = allowedRegionsOf(context, deadline.route, tenant);
+    const target = primaryWithinRegions(context, group, homes);
     context.leaseConfirmer.noteWanted(group);
     if (target) return target;
-    if (isWaitInVain(context, group, homes)) return undefined;
-    if (isPrimaryEvacuated(context, group)) return undefined;
-    const waitMs = deadline.primaryWait(changeAge(context, group));
+    if (isExcludedByAllowedRegions(context, group, homes)) return undefined;
+    if (isPrimaryBlockedByEvacuation(context, group)) return undefined;
+    const waitMs = deadline.primaryWaitMs(primaryChangeAgeMs(context, group));
     if (waitMs <= 0) return undefined;
     await Promise.race([context.leases.nextExtension(), delay(context.clock, waitMs)]);
   }
--- a/test/simulation/overload.test.ts
+++ b/test/simulation/overload.test.ts
@@ -15,44 +15,44 @@
 import type { EmulatedInstance } from '../../lab/appointed/emulated_instance.js';
 
 const SEED = 1;
-const OVERLOAD = 2;
+const OVERLOAD_FACTOR = 2;
 const WARM_UP_MS = 1000;
 const MEASURED_MS = 4000;
 const LAG_MS = 10_000;
 /** A write now and then, so that the replicas do lack something. */
-const WRITE_SHARE = 0.1;
+const WRITE_FRACTION = 0.1;
 const MANY_PROXIES = 40;
 /** Answers of instances that turn a statement away, for each one that is served. */
-const MOST_TURNED_AWAY = 1;
-const LEAST_USED_CAPACITY = 0.8;
+const MAX_REJECTED_PER_SERVED = 1;
+const MIN_USED_CAPACITY = 0.8;
 
 const OWN_WRITES = POLICIES.find((policy) => policy.kind === 'ownWrites')!;
 
-interface Outcome {
+interface LoadResult {
   served: number;
   refused: number;
-  slowest: number;
+  slowestMs: number;
 }
 
 /** Sends statements at fixed intervals, each in a session of its own, to all proxies in turn. */
-async function offerLoad(world: AppointedWorld, durationMs: number): Promise<Outcome> {
+async function offerLoad(world: AppointedWorld, durationMs: number): Promise<LoadResult> {
   const { slots, workMs } = world.deployment;
-  const spacing = workMs / slots / OVERLOAD;
-  const outcome: Outcome = { served: 0, refused: 0, slowest: 0 };
+  const spacingMs = workMs / slots / OVERLOAD_FACTOR;
+  const outcome: LoadResult = { served: 0, refused: 0, slowestMs: 0 };
   const group = world.groups[0]!.name;
   const until = world.scheduler.now + durationMs;
   for (let number = 0; world.scheduler.now < until; number++) {
     const core = world.routers[number % world.routers.length]!.running!.core;
     const session = core.openSession(databaseOf(group, OWN_WRITES))!;
-    const kind = world.random.next() < WRITE_SHARE ? 'write' : 'read';
+    const kind = world.random.next() < WRITE_FRACTION ? 'write' : 'read';
     const startedAt = world.scheduler.now;
     void session.execute(`load-${startedAt}`, { kind, argument: 'x' }).then((reply) => {
       if (reply.error) outcome.refused++;
       else outcome.served++;
-      outcome.slowest = Math.max(outcome.slowest, world.scheduler.now - startedAt);
+      outcome.slowestMs = Math.max(outcome.slowestMs, world.scheduler.now - startedAt);
       session.close();
     });
-    await world.run(spacing);
+    await world.run(spacingMs);
   }
   return outcome;
 }
@@ -79,19 +79,20 @@
     await offerLoad(world, WARM_UP_MS);
     const before = {
       ok: answersOf(instances, 'ok'),
-      away: answersOf(instances, 'busy') + answersOf(instances, 'lagging'),
+      rejected: answersOf(instances, 'busy') + answersOf(instances, 'lagging'),
     };
     const outcome = await offerLoad(world, MEASURED_MS);
     const ok = answersOf(instances, 'ok') - before.ok;
-    const away = answersOf(instances, 'busy') + answersOf(instances, 'lagging') - before.away;
+    const rejected =
+      answersOf(instances, 'busy') + answersOf(instances, 'lagging') - before.rejected;
     const { slots, workMs } = deployment;
     const used = (outcome.served * workMs) / slots / MEASURED_MS;
     t.ok(
-      away / ok <= MOST_TURNED_AWAY,
-      `${away} statements were turned away by instances, ${ok} ran`,
+      rejected / ok <= MAX_REJECTED_PER_SERVED,
+      `${rejected} statements were turned away by instances, ${ok} ran`,
     );
-    t.ok(used >= LEAST_USED_CAPACITY, `${used} of the capacity served callers`);
+    t.ok(used >= MIN_USED_CAPACITY, `${used} of the capacity served callers`);
     t.ok(outcome.refused > 0, `${outcome.refused} requests were refused`);
-    t.comment(`slowest answer after ${outcome.slowest} ms`);
+    t.comment(`slowest answer after ${outcome.slowestMs} ms`);
   });
 }
--- a/test/simulation/slow_start.test.ts
+++ b/test/simulation/slow_start.test.ts
@@ -15,13 +15,13 @@
 import type { CallerReply } from '../../src/appointed/sessions/caller_reply.js';
 
 const SEEDS = 4;
-const CAUGHT_WITHIN = 2;
+const SEEDS_WITHOUT_SAFEGUARD = 2;
 const SETTLED_MS = 2000;
 /** More than an instance may get in a second: 20 x 1.5 + 5. */
 const BURST = 60;
-const MOST = 35;
+const MAX_REQUESTS_PER_SECOND = 35;
 /** Far less than what a write may wait for a connection, more than some trips. */
-const AT_ONCE_MS = 100;
+const REFUSAL_TIME_MS = 100;
 
 void t.test('mixed faults while all instances are cold', async (t) => {
   for (let seed = 1; seed <= SEEDS; seed++) {
@@ -33,7 +33,7 @@
 });
 
 void t.test('without slow-start the checks report it', async (t) => {
-  for (let seed = 1; seed <= CAUGHT_WITHIN; seed++) {
+  for (let seed = 1; seed <= SEEDS_WITHOUT_SAFEGUARD; seed++) {
     const disabled = ['slow-start'] as const;
     const report = await runAppointed({ deployment: APPOINTED_SLOW_START, seed, disabled });
     t.ok(
@@ -59,11 +59,11 @@
     });
     void session.execute(id, { kind: 'write', argument: 'x' }).then((reply) => replies.push(reply));
   }
-  await world.run(AT_ONCE_MS);
+  await world.run(REFUSAL_TIME_MS);
   return replies;
 }
 
-function refusedSlow(replies: readonly CallerReply[]): readonly CallerReply[] {
+function slowStartRefusals(replies: readonly CallerReply[]): readonly CallerReply[] {
   return replies.filter(({ error }) => error?.text.includes('warming up; retry after 400 ms'));
 }
 
@@ -71,8 +71,8 @@
   const world = new AppointedWorld(APPOINTED_SLOW_START, 1);
   await world.start();
   await world.run(SETTLED_MS);
-  const refused = refusedSlow(await burst(world, 'first'));
-  t.equal(refused.length, BURST - MOST);
+  const refused = slowStartRefusals(await burst(world, 'first'));
+  t.equal(refused.length, BURST - MAX_REQUESTS_PER_SECOND);
   t.ok(
     refused.every(({ error }) => error?.kind === 'busy'),
     'which promises that they did not run',
@@ -91,8 +91,8 @@
     await world.run(SETTLED_MS);
   };
   await put(undefined);
-  t.same(refusedSlow(await burst(world, 'without')), []);
+  t.same(slowStartRefusals(await burst(world, 'without')), []);
   await put(slowStart);
-  t.equal(refusedSlow(await burst(world, 'with')).length, BURST - MOST);
+  t.equal(slowStartRefusals(await burst(world, 'with')).length, BURST - MAX_REQUESTS_PER_SECOND);
   t.same(world.judge.violations, []);
 });
--- a/test/tools/changed_group.ts
+++ b/test/tools/changed_group.ts
@@ -1,5 +1,5 @@
 /** A group of three instances on a leader that changes its primary: a catalog, instances that answer, appointments. */
-import { tableNaming } from './route_table.js';
+import { tableWithGroup } from './route_table.js';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import type { AppointmentLease } from '../../src/appointed/failover/appointment_lease.js';
 import { InstanceAdministrator } from '../../src/appointed/failover/instance_administrator.js';
@@ -118,7 +118,7 @@
       ledger,
       monitor,
       caughtUp: this.caughtUp,
-      document: { table: tableNaming('g') },
+      document: { table: tableWithGroup('g') },
       regionByZone: new Map(),
       administrator: new InstanceAdministrator(this.connector(), standing),
       appointmentLease: { appoint } as unknown as AppointmentLease,
--- a/test/tools/placed_proxy.ts
+++ b/test/tools/placed_proxy.ts
@@ -12,12 +12,12 @@
 
 const { RelayOutcome } = whinyoke;
 /** How long faked control holds a request, in milliseconds. */
-const HOLD_MS = 10;
+const LONG_POLL_MS = 10;
 const OWN_ADDRESS = 'own:1';
 const POSITION = { term: 1, sequence: 7 };
 
 /** An instance, or a proxy, in a zone. */
-interface Placed {
+interface ZoneMember {
   readonly id: string;
   readonly zone: string;
 }
@@ -26,11 +26,11 @@
 export interface Placement {
   readonly zone: string;
   /** Fields of entries that are left out are those of an instance that may be used. */
-  readonly instances: readonly (Placed & whinyoke.IInstanceEntry)[];
+  readonly instances: readonly (ZoneMember & whinyoke.IInstanceEntry)[];
   /** Identifier of the primary. */
   readonly primary: string;
   /** Other proxies; their identifiers are their addresses. */
-  readonly proxies?: readonly Placed[];
+  readonly proxies?: readonly ZoneMember[];
   readonly connectionLimit?: number;
   /** Requests a second that a cold instance may get; no bound when left out. */
   readonly coldRequestsPerSecond?: number;
@@ -38,13 +38,13 @@
 }
 
 /** Where a statement went: to an instance, by another proxy where one is named. */
-export interface Passed {
+export interface SentCommand {
   readonly instance: string;
   readonly via?: string;
 }
 
 /** Homes of a document. */
-export interface DocumentHomes {
+export interface DocumentRegions {
   readonly route?: readonly string[] | null;
   readonly tenant?: readonly string[];
   readonly routeType?: string;
@@ -53,20 +53,20 @@
 /** A document with one route to the group, and one tenant whose key is `key`. */
 export function documentWith(
   version: number,
-  homes: DocumentHomes,
+  regions: DocumentRegions,
   { connectionLimit = 30, coldRequestsPerSecond }: Partial<Placement> = {},
 ): string {
   const route = {
     name: 'r',
     hostname: 'db',
-    route_type: homes.routeType ?? 'bounded_staleness',
+    route_type: regions.routeType ?? 'bounded_staleness',
     timeout_ms: 8000,
     target_latency_ms: 4000,
     service: 'g',
     max_staleness_ms: 1500,
-    allowed_regions: homes.route,
+    allowed_regions: regions.route,
   };
-  const tenant = { name: 'ana', api_keys: ['key'], allowed_regions: homes.tenant };
+  const tenant = { name: 'ana', api_keys: ['key'], allowed_regions: regions.tenant };
   const services = [
     { name: 'g', connection_limit: connectionLimit, warmup_per_s: coldRequestsPerSecond },
   ];
@@ -76,24 +76,25 @@
 /** The proxy. */
 export class PlacedProxy {
   readonly core: AppointedProxy;
-  readonly passed: Passed[] = [];
+  readonly sentCommands: SentCommand[] = [];
   readonly clock = new RealClock();
   /** Whether control tells positions of the primary. */
-  tellsPositions = true;
+  reportsPositions = true;
   /** Evacuated zones; nothing may be sent there from the moment when the proxy hears of it. */
-  evacuated: readonly string[] = [];
+  evacuatedZones: readonly string[] = [];
   /** Address of the proxy that sends to cold instances; empty while none is named. */
-  holder = '';
+  holderAddress = '';
   private version = 1;
   private handler: RequestHandler | undefined;
   private document: string;
 
   constructor(
     private readonly placement: Placement,
-    homes: DocumentHomes,
+    regions: DocumentRegions,
   ) {
-    this.document = documentWith(1, homes, placement);
-    const request = (to: string, body: MessageBody): Promise<MessageBody> => this.answer(to, body);
+    this.document = documentWith(1, regions, placement);
+    const request = (to: string, body: MessageBody): Promise<MessageBody> =>
+      this.replyOfControl(to, body);
     const messenger = {
       request,
       serve: (handler: RequestHandler) => void (this.handler = handler),
@@ -130,45 +131,45 @@
   }
 
   /** Puts a document with other homes in force. */
-  async change(homes: DocumentHomes): Promise<void> {
+  async putDocument(regions: DocumentRegions): Promise<void> {
     this.version++;
-    this.document = documentWith(this.version, homes, this.placement);
+    this.document = documentWith(this.version, regions, this.placement);
     while (this.core.table?.version !== this.version) await this.settle();
   }
 
   /** Sends a statement of another proxy. */
-  async relayed(relayRequest: whinyoke.IRelayRequest): Promise<whinyoke.IRelayReply> {
+  async receiveRelayed(relayRequest: whinyoke.IRelayRequest): Promise<whinyoke.IRelayReply> {
     const { relayReply } = await this.handler!({ relayRequest }, 'other:1');
     return relayReply ?? {};
   }
 
   /** Takes the notes so far. */
-  takePassed(): readonly Passed[] {
-    return this.passed.splice(0);
+  takeSentCommands(): readonly SentCommand[] {
+    return this.sentCommands.splice(0);
   }
 
   private settle(): Promise<void> {
-    return new Promise((resolve) => setTimeout(resolve, 3 * HOLD_MS));
+    return new Promise((resolve) => setTimeout(resolve, 3 * LONG_POLL_MS));
   }
 
-  private async answer(address: string, body: MessageBody): Promise<MessageBody> {
+  private async replyOfControl(address: string, body: MessageBody): Promise<MessageBody> {
     if (body.relayRequest) return { relayReply: this.relay(address, body.relayRequest) };
-    await new Promise((resolve) => setTimeout(resolve, HOLD_MS));
+    await new Promise((resolve) => setTimeout(resolve, LONG_POLL_MS));
     return { syncReply: this.synchronise() };
   }
 
   private synchronise(): whinyoke.ISyncReply {
     const { instances, primary, proxies = [], zone } = this.placement;
     // Age 0 stands for a position that is not known.
-    const age = this.tellsPositions ? 1 : 0;
+    const age = this.reportsPositions ? 1 : 0;
     const group = { group: 'g', epoch: 1, primary, term: 1, version: 1 };
     const entries = instances.map((item) => ({
       group: 'g',
       address: '10.0.0.1:80',
       slots: 4,
       version: 1,
-      holderAddress: this.holder,
-      holderIncarnation: this.holder,
+      holderAddress: this.holderAddress,
+      holderIncarnation: this.holderAddress,
       ...item,
     }));
     const update = {
@@ -176,7 +177,7 @@
       isWhole: true,
       instances: entries,
       groups: [group],
-      evacuations: this.evacuated.map((item) => ({ zone: item, begunAt: 1 })),
+      evacuations: this.evacuatedZones.map((item) => ({ zone: item, begunAt: 1 })),
     };
     const fleet = [...proxies, { id: OWN_ADDRESS, zone }];
     const zones = fleet.map((proxy) => ({ zone: proxy.zone, addresses: [proxy.id] }));
@@ -193,7 +194,7 @@
 
   private relay(via: string, request: whinyoke.IRelayRequest): whinyoke.IRelayReply {
     if (request.closes) return {};
-    this.passed.push({ instance: request.instance ?? '', via });
+    this.sentCommands.push({ instance: request.instance ?? '', via });
     const isOpen = request.command?.begin !== undefined || request.connection === 'kept';
     const state = isOpen && request.command?.commit === undefined ? 'open' : 'idle';
     const answer = { rows: [], signature: 's', state, position: POSITION };
@@ -206,7 +207,7 @@
     const run: FakeConnection['run'] = (command) => {
       if (command.kind === 'begin') state = 'open';
       if (command.kind === 'commit' || command.kind === 'rollback') state = 'idle';
-      this.passed.push({ instance });
+      this.sentCommands.push({ instance });
       return Promise.resolve({ rows: [], signature: 's', state, position: POSITION });
     };
     connection.run = run;
--- a/test/tools/route_table.ts
+++ b/test/tools/route_table.ts
@@ -3,12 +3,15 @@
 import { TenantDirectory } from '../../src/appointed/tenancy/tenant.js';
 
 /** A document that names a group, with routes to it that have these homes. */
-export function tableNaming(group: string, ...homes: readonly Route['homes'][]): RouteTable {
-  const routes = homes.map((item, index): Route => {
+export function tableWithGroup(
+  group: string,
+  ...allowedRegionsByRoute: readonly Route['homes'][]
+): RouteTable {
+  const routes = allowedRegionsByRoute.map((allowedRegions, index): Route => {
     const name = `r${index}`;
     const policy = { kind: 'primary' } as const;
     const times = { timeoutMs: 800, targetLatencyMs: 150, priority: 1 };
-    return { name, database: name, group, policy, ...times, isPublic: true, homes: item };
+    return { name, database: name, group, policy, ...times, isPublic: true, homes: allowedRegions };
   });
   return {
     version: 1,
@@ -20,7 +23,7 @@
 }
 
 /** A document that names these groups, without routes. */
-export function tableNamingAll(groups: readonly string[]): RouteTable {
+export function tableWithGroups(groups: readonly string[]): RouteTable {
   const limits = groups.map((group) => [group, { group, connectionLimit: 30 }] as const);
-  return { ...tableNaming(''), limitsByGroup: new Map(limits) };
+  return { ...tableWithGroup(''), limitsByGroup: new Map(limits) };
 }
--- a/test/tools/slow_start_play.ts
+++ b/test/tools/slow_start_play.ts
@@ -5,13 +5,13 @@
 import { Catalog, type ProxyEntry } from '../../src/appointed/catalog/catalog.js';
 import { SlowStartHolders } from '../../src/appointed/control/slow_start_holders.js';
 import { LEASE_MS, STALE_LEADER_MS } from '../../src/appointed/leases/lease_times.js';
-import { WINDOW_MS } from '../../src/appointed/placement/slow_start_budget.js';
+import { SLOW_START_WINDOW_MS } from '../../src/appointed/placement/slow_start_budget.js';
 import { SlowStartGate } from '../../src/appointed/placement/slow_start_gate.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { Clock } from '../../src/runtime/runtime.js';
 
 /** What a play can do without, to show that the bound then breaks. */
-export type Omission =
+export type Safeguard =
   | 'lease-from-sending'
   | 'window-between-holders'
   | 'lease-withheld'
@@ -39,28 +39,28 @@
 }
 
 const TICK_MS = 25;
-const PROXIES = 3;
-const LONGEST_TRIP_MS = 300;
+const PROXY_COUNT = 3;
+const MAX_NETWORK_DELAY_MS = 300;
 /** Trips to the instance are shorter than this. */
-const LONGEST_INSTANCE_TRIP_MS = 100;
-const LONGEST_HOLD_MS = 2000;
+const MAX_INSTANCE_DELAY_MS = 100;
+const MAX_LONG_POLL_MS = 2000;
 const SLOW_START = { warmupMs: 10_000, requestsPerSecond: 6 };
 const RULES = { slowStartOverage: 1.5, slowStartTolerance: 2 };
 /** Requests that the instance may get in any second: 6 x 1.5 + 2. */
-export const MOST = 11;
+export const MAX_REQUESTS_PER_SECOND = 11;
 const INSTANCE = 'i';
 
-class PlayedLeader {
+class SimulatedLeader {
   readonly catalog = new Catalog();
   readonly holders: SlowStartHolders;
   deposedAt = Infinity;
 
-  constructor(play: SlowStartPlay, log: readonly Uint8Array[]) {
+  constructor(scenario: SlowStartScenario, log: readonly Uint8Array[]) {
     for (const [index, command] of log.entries()) this.catalog.apply(index + 1, command);
     this.holders = new SlowStartHolders({
-      clock: play.clock,
+      clock: scenario.clock,
       catalog: this.catalog,
-      propose: (command) => play.propose(this, command),
+      propose: (command) => scenario.propose(this, command),
       log: () => undefined,
       isLeading: () => this.deposedAt === Infinity,
       regionOf: () => undefined,
@@ -70,7 +70,7 @@
   }
 }
 
-class PlayedProxy {
+class SimulatedProxy {
   readonly self: ProxyEntry;
   readonly gate: SlowStartGate;
   version = 0;
@@ -80,36 +80,41 @@
   isLeaving = false;
   isWaiting = false;
 
-  constructor(play: SlowStartPlay, place: number, run: number) {
-    const address = `p${place}:1`;
-    this.self = { id: `p${place}`, incarnation: `p${place}.${run}`, address, zone: 'z' };
+  constructor(scenario: SlowStartScenario, proxyNumber: number, incarnationNumber: number) {
+    const address = `p${proxyNumber}:1`;
+    this.self = {
+      id: `p${proxyNumber}`,
+      incarnation: `p${proxyNumber}.${incarnationNumber}`,
+      address,
+      zone: 'z',
+    };
     this.gate = new SlowStartGate({
-      clock: play.clock,
+      clock: scenario.clock,
       log: () => undefined,
       incarnation: this.self.incarnation ?? '',
       rules: RULES,
       slowStartOf: () => SLOW_START,
-      isLeaving: () => this.isLeaving && !play.omits('leaving-stops'),
+      isLeaving: () => this.isLeaving && !scenario.isDisabled('leaving-stops'),
     });
   }
 }
 
 /** One play. */
-export class SlowStartPlay {
+export class SlowStartScenario {
   /** When each request reached the instance. */
   private readonly arrivals: number[] = [];
   readonly clock: Clock;
   private now = 0;
   private readonly timers: { at: number; run: () => void }[] = [];
   private readonly log: Uint8Array[] = [];
-  private leaders: PlayedLeader[] = [];
-  private readonly proxies: PlayedProxy[];
-  private runs = 0;
-  private isCertain = true;
+  private leaders: SimulatedLeader[] = [];
+  private readonly proxies: SimulatedProxy[];
+  private incarnationCount = 0;
+  private commitsAtOnce = true;
   /** Entries of the present leader that were told to have failed and may be committed yet, in their order. */
-  private readonly uncertain: whinyoke.ICatalogCommand[] = [];
+  private readonly uncertainEntries: whinyoke.ICatalogCommand[] = [];
 
-  constructor(private readonly omission?: Omission) {
+  constructor(private readonly disabledSafeguard?: Safeguard) {
     this.clock = {
       now: () => this.now,
       setTimer: (delayMs, run) => {
@@ -117,14 +122,16 @@
         return { cancel: () => undefined };
       },
     };
-    this.proxies = Array.from({ length: PROXIES }, (_, place) => this.newProxy(place));
-    this.leaders = [new PlayedLeader(this, [])];
+    this.proxies = Array.from({ length: PROXY_COUNT }, (_, proxyNumber) =>
+      this.newProxy(proxyNumber),
+    );
+    this.leaders = [new SimulatedLeader(this, [])];
     const instance = { id: INSTANCE, zone: 'z', isCold: true, sequence: 1 };
     this.append({ putInstance: instance });
   }
 
-  omits(omission: Omission): boolean {
-    return this.omission === omission;
+  isDisabled(safeguard: Safeguard): boolean {
+    return this.disabledSafeguard === safeguard;
   }
 
   /** Plays a schedule. */
@@ -137,47 +144,47 @@
   }
 
   /** Most requests that reached the instance in any one second. */
-  get mostInASecond(): number {
-    let most = 0;
+  get maxRequestsInASecond(): number {
+    let maxCount = 0;
     let first = 0;
     const arrivals = this.arrivals.toSorted((left, right) => left - right);
     for (const [last, time] of arrivals.entries()) {
       while (arrivals[first]! <= time - 1000) first++;
-      most = Math.max(most, last - first + 1);
+      maxCount = Math.max(maxCount, last - first + 1);
     }
-    return most;
+    return maxCount;
   }
 
   /** A leader proposes an entry: it is committed now, or later, when the leader was told that it failed. */
   propose(
-    leader: PlayedLeader,
+    leader: SimulatedLeader,
     command: whinyoke.ICatalogCommand,
   ): Promise<whinyoke.CatalogResult> {
     if (leader.deposedAt < Infinity) return Promise.reject(new Error('deposed'));
-    if (this.isCertain) {
+    if (this.commitsAtOnce) {
       this.commitUncertain();
       this.append(command);
       return Promise.resolve(whinyoke.CatalogResult.create({ changed: true }));
     }
-    this.uncertain.push(command);
-    this.clock.setTimer(LONGEST_HOLD_MS, () => {
-      if (this.uncertain.includes(command)) this.commitUncertain(command);
+    this.uncertainEntries.push(command);
+    this.clock.setTimer(MAX_LONG_POLL_MS, () => {
+      if (this.uncertainEntries.includes(command)) this.commitUncertain(command);
     });
     return Promise.reject(new Error('uncertain'));
   }
 
   /** Commits such entries, up to `last`: a log keeps the order in which its leader proposed them. */
   private commitUncertain(last?: whinyoke.ICatalogCommand): void {
-    const count = last ? this.uncertain.indexOf(last) + 1 : this.uncertain.length;
-    for (const command of this.uncertain.splice(0, count)) this.append(command);
+    const count = last ? this.uncertainEntries.indexOf(last) + 1 : this.uncertainEntries.length;
+    for (const command of this.uncertainEntries.splice(0, count)) this.append(command);
   }
 
-  private get leader(): PlayedLeader {
+  private get leader(): SimulatedLeader {
     return this.leaders.at(-1)!;
   }
 
-  private newProxy(place: number): PlayedProxy {
-    return new PlayedProxy(this, place, ++this.runs);
+  private newProxy(proxyNumber: number): SimulatedProxy {
+    return new SimulatedProxy(this, proxyNumber, ++this.incarnationCount);
   }
 
   private append(command: whinyoke.ICatalogCommand): void {
@@ -186,32 +193,32 @@
     this.leader.catalog.apply(this.log.length, bytes);
   }
 
-  private act({ action, proxy: place, durationMs }: Step): void {
-    const proxy = this.proxies[place]!;
+  private act({ action, proxy: proxyNumber, durationMs }: Step): void {
+    const proxy = this.proxies[proxyNumber]!;
     if (action === 'newLeader') this.changeLeader();
     if (action === 'cut') proxy.cutUntil = this.now + 3 * durationMs;
     if (action === 'freeze') proxy.frozenUntil = this.now + 3 * durationMs;
-    if (action === 'restart') this.proxies[place] = this.newProxy(place);
+    if (action === 'restart') this.proxies[proxyNumber] = this.newProxy(proxyNumber);
     if (action === 'leave') proxy.isLeaving = true;
-    if (action === 'uncertain') this.isCertain = false;
-    if (action === 'certain') this.isCertain = true;
-    if (action === 'warm') this.tell(false);
-    if (action === 'cool') this.tell(true);
+    if (action === 'uncertain') this.commitsAtOnce = false;
+    if (action === 'certain') this.commitsAtOnce = true;
+    if (action === 'warm') this.reportColdness(false);
+    if (action === 'cool') this.reportColdness(true);
   }
 
-  private tell(isCold: boolean): void {
+  private reportColdness(isCold: boolean): void {
     const known = this.leader.catalog.instance(INSTANCE)!;
     this.append({ putInstance: { ...known, isCold, sequence: (known.sequence ?? 0) + 1 } });
   }
 
   private changeLeader(): void {
     this.leader.deposedAt = this.now;
-    this.uncertain.length = 0;
-    const isAwaited = !this.omits('former-leader-awaited');
-    const present = this.now;
-    if (!isAwaited) this.now -= LEASE_MS + STALE_LEADER_MS + LONGEST_HOLD_MS;
-    this.leaders = [this.leader, new PlayedLeader(this, this.log)];
-    this.now = present;
+    this.uncertainEntries.length = 0;
+    const isFormerLeaderAwaited = !this.isDisabled('former-leader-awaited');
+    const currentTime = this.now;
+    if (!isFormerLeaderAwaited) this.now -= LEASE_MS + STALE_LEADER_MS + MAX_LONG_POLL_MS;
+    this.leaders = [this.leader, new SimulatedLeader(this, this.log)];
+    this.now = currentTime;
   }
 
   private async tick(step: Step): Promise<void> {
@@ -230,63 +237,72 @@
   }
 
   /** Sends all that the gate lets through, in the second half of a step only, so that it comes together. */
-  private send(proxy: PlayedProxy, { drawn }: Step): void {
-    const isTurn = Math.floor(this.now / (TICK_MS + drawn * LONGEST_HOLD_MS)) % 2 === 0;
-    if (!isTurn || !proxy.instance.isCold) return;
-    while (proxy.gate.admit(proxy.instance, true)) this.arrive();
+  private send(proxy: SimulatedProxy, { drawn }: Step): void {
+    const isBurst = Math.floor(this.now / (TICK_MS + drawn * MAX_LONG_POLL_MS)) % 2 === 0;
+    if (!isBurst || !proxy.instance.isCold) return;
+    while (proxy.gate.admit(proxy.instance, true)) this.recordArrival();
   }
 
   /** Trips differ, so that requests may come closer together than they were sent. */
-  private arrive(): void {
-    const tripMs = (this.arrivals.length * 61) % LONGEST_INSTANCE_TRIP_MS;
-    this.arrivals.push(this.now + tripMs);
+  private recordArrival(): void {
+    const delayMs = (this.arrivals.length * 61) % MAX_INSTANCE_DELAY_MS;
+    this.arrivals.push(this.now + delayMs);
   }
 
   /** A request to a leader, which may be a former one that does not know it yet. */
-  private synchronise(proxy: PlayedProxy, { drawn }: Step): void {
+  private synchronise(proxy: SimulatedProxy, { drawn }: Step): void {
     const sentAt = this.now;
-    const tripMs = drawn * LONGEST_TRIP_MS;
+    const delayMs = drawn * MAX_NETWORK_DELAY_MS;
     const leaving = proxy.isLeaving;
     proxy.isWaiting = true;
     const [former] = this.leaders;
-    this.clock.setTimer(tripMs, () => {
+    this.clock.setTimer(delayMs, () => {
       const isStale =
         former!.deposedAt < Infinity && this.now < former!.deposedAt + STALE_LEADER_MS;
       const leader = isStale && drawn < 0.5 ? former! : this.leader;
-      this.noteContact(leader, proxy, leaving);
+      this.recordContact(leader, proxy, leaving);
       this.register(proxy);
-      this.clock.setTimer(drawn * LONGEST_HOLD_MS, () =>
-        this.answer(leader, proxy, sentAt, tripMs),
+      this.clock.setTimer(drawn * MAX_LONG_POLL_MS, () =>
+        this.reply(leader, proxy, sentAt, delayMs),
       );
     });
   }
 
-  private noteContact({ holders }: PlayedLeader, { self }: PlayedProxy, leaving: boolean): void {
-    const early = this.omits('window-between-holders') ? WINDOW_MS : 0;
+  private recordContact(
+    { holders }: SimulatedLeader,
+    { self }: SimulatedProxy,
+    leaving: boolean,
+  ): void {
+    const early = this.isDisabled('window-between-holders') ? SLOW_START_WINDOW_MS : 0;
     this.now -= early;
     holders.noteContact(self, leaving);
     this.now += early;
   }
 
-  private register({ self }: PlayedProxy): void {
+  private register({ self }: SimulatedProxy): void {
     const known = this.leader.catalog.proxy(self.id ?? '');
     const isPresent = this.proxies.some((proxy) => proxy.self === self);
     if (isPresent && known?.incarnation !== self.incarnation) this.append({ putProxy: self });
   }
 
-  private answer(leader: PlayedLeader, proxy: PlayedProxy, sentAt: number, tripMs: number): void {
+  private reply(
+    leader: SimulatedLeader,
+    proxy: SimulatedProxy,
+    sentAt: number,
+    tripMs: number,
+  ): void {
     const isSilent = this.now >= leader.deposedAt + STALE_LEADER_MS;
     const { version } = leader.catalog;
     const instance = leader.catalog.instance(INSTANCE)!;
     const granted = leader.holders.leaseFor(proxy.self);
-    const leaseMs = this.omits('lease-withheld') ? LEASE_MS : granted;
+    const leaseMs = this.isDisabled('lease-withheld') ? LEASE_MS : granted;
     this.clock.setTimer(tripMs, () =>
       this.deliver(proxy, { version, instance, leaseMs, sentAt, isSilent }),
     );
   }
 
   private deliver(
-    proxy: PlayedProxy,
+    proxy: SimulatedProxy,
     reply: {
       readonly version: number;
       readonly instance: whinyoke.IInstanceEntry;
@@ -301,17 +317,22 @@
     }
     proxy.isWaiting = false;
     if (reply.isSilent) return;
-    if (reply.version > proxy.version) this.adopt(proxy, reply.version, reply.instance);
+    if (reply.version > proxy.version) this.applyEntry(proxy, reply.version, reply.instance);
     if (reply.version !== proxy.version) return;
-    const from = this.omits('lease-from-sending') ? this.now : reply.sentAt;
-    proxy.gate.extend(from + reply.leaseMs);
+    const leaseFrom = this.isDisabled('lease-from-sending') ? this.now : reply.sentAt;
+    proxy.gate.extendLease(leaseFrom + reply.leaseMs);
   }
 
-  private adopt(proxy: PlayedProxy, version: number, instance: whinyoke.IInstanceEntry): void {
-    const hasTurned = (instance.coldSince ?? 0) !== (proxy.instance.coldSince ?? 0);
+  private applyEntry(
+    proxy: SimulatedProxy,
+    version: number,
+    instance: whinyoke.IInstanceEntry,
+  ): void {
+    const hasColdnessChanged = (instance.coldSince ?? 0) !== (proxy.instance.coldSince ?? 0);
     proxy.version = version;
     proxy.instance = instance;
     // What a gate that forgets its window of a former coldness does.
-    if (hasTurned && this.omits('window-kept')) Reflect.set(proxy.gate, 'windows', new Map());
+    if (hasColdnessChanged && this.isDisabled('window-kept'))
+      Reflect.set(proxy.gate, 'windows', new Map());
   }
 }
