--- a/test/unit/data_residency.test.ts
+++ b/test/unit/data_residency.test.ts
@@ -5,7 +5,7 @@
 import type { RoutedSession } from '../../src/appointed/sessions/routed_session.js';
 import type { CallerStatement } from '../../src/appointed/instance/statement.js';
 import {
-  type DocumentHomes,
+  type DocumentRegions,
   type Placement,
   PlacedProxy,
   documentWith,
@@ -25,14 +25,14 @@
   primary: 'p',
   regionByZone: REGIONS,
 };
-const OUTSIDE = /^no instance within the homes may run it; retry after 1000 ms$/;
+const OUTSIDE_REGIONS_TEXT = /^no instance within the homes may run it; retry after 1000 ms$/;
 
 async function withProxy(
   t: { teardown(end: () => void): void },
   placement: Placement,
-  homes: DocumentHomes,
+  regions: DocumentRegions,
 ): Promise<{ proxy: PlacedProxy; session: RoutedSession }> {
-  const proxy = new PlacedProxy(placement, homes);
+  const proxy = new PlacedProxy(placement, regions);
   t.teardown(() => proxy.core.stop());
   return { proxy, session: await proxy.start() };
 }
@@ -42,10 +42,10 @@
   const startedAt = proxy.clock.now();
   const { error } = await session.execute('q', statement);
   const tookMs = proxy.clock.now() - startedAt;
-  const ways = proxy
-    .takePassed()
+  const destinations = proxy
+    .takeSentCommands()
     .map(({ instance, via }) => (via ? `${instance} by ${via}` : instance));
-  return { way: [...new Set(ways)].join(), error: error?.text ?? '', tookMs };
+  return { destination: [...new Set(destinations)].join(), error: error?.text ?? '', tookMs };
 }
 
 /** Whether a statement was refused at once, for its homes, and reached nothing. */
@@ -54,26 +54,26 @@
   session: RoutedSession,
   statement: CallerStatement,
 ): Promise<boolean> {
-  const { way, error, tookMs } = await run(proxy, session, statement);
-  return way === '' && OUTSIDE.test(error) && tookMs < 300;
+  const { destination, error, tookMs } = await run(proxy, session, statement);
+  return destination === '' && OUTSIDE_REGIONS_TEXT.test(error) && tookMs < 300;
 }
 
 void t.test('an empty list and a null bind nothing; other lists do', (t) => {
-  const homes = (route: DocumentHomes['route']): unknown =>
+  const allowedRegionsOf = (route: DocumentRegions['route']): unknown =>
     new PlatformDocumentReader().read(documentWith(1, { route })).routeByDatabase.get('db')!.homes;
-  t.equal(homes([]), undefined);
-  t.equal(homes(null), undefined);
-  t.same(homes(['north']), new Set(['north']));
+  t.equal(allowedRegionsOf([]), undefined);
+  t.equal(allowedRegionsOf(null), undefined);
+  t.same(allowedRegionsOf(['north']), new Set(['north']));
   t.end();
 });
 
 void t.test('homes bind a read whose near replicas are elsewhere', async (t) => {
   const { proxy, session } = await withProxy(t, MIXED, { route: ['south'] });
   for (let count = 0; count < 5; count++) {
-    t.equal((await run(proxy, session, READ)).way, 'far');
+    t.equal((await run(proxy, session, READ)).destination, 'far');
   }
-  await proxy.change({});
-  t.not((await run(proxy, session, READ)).way, 'far', 'without homes the near ones serve');
+  await proxy.putDocument({});
+  t.not((await run(proxy, session, READ)).destination, 'far', 'without homes the near ones serve');
 });
 
 void t.test('a primary outside the homes: writes are refused at once', async (t) => {
@@ -86,22 +86,22 @@
 void t.test('a bound read waits for a position of a primary outside its homes', async (t) => {
   const proxy = new PlacedProxy(MIXED, { route: ['south'] });
   t.teardown(() => proxy.core.stop());
-  proxy.tellsPositions = false;
+  proxy.reportsPositions = false;
   const session = await proxy.start();
   // Until then the first positions are waited for anyway.
   await new Promise((resolve) => setTimeout(resolve, 400));
-  proxy.clock.setTimer(60, () => (proxy.tellsPositions = true));
-  t.equal((await run(proxy, session, READ)).way, 'far');
+  proxy.clock.setTimer(60, () => (proxy.reportsPositions = true));
+  t.equal((await run(proxy, session, READ)).destination, 'far');
   await session.execute('b', { kind: 'begin', readOnly: true });
-  t.equal((await run(proxy, session, READ)).way, 'far', 'in a transaction for reads');
+  t.equal((await run(proxy, session, READ)).destination, 'far', 'in a transaction for reads');
 });
 
 void t.test('route and tenant with disjoint homes: nothing serves the request', async (t) => {
-  const homes = { route: ['south'], tenant: ['north'] };
-  const { proxy, session } = await withProxy(t, MIXED, homes);
+  const regions = { route: ['south'], tenant: ['north'] };
+  const { proxy, session } = await withProxy(t, MIXED, regions);
   t.ok(await isRefusedAtOnce(proxy, session, READ));
-  await proxy.change({ route: ['south'], tenant: ['north', 'south'] });
-  t.equal((await run(proxy, session, READ)).way, 'far', 'both bind');
+  await proxy.putDocument({ route: ['south'], tenant: ['north', 'south'] });
+  t.equal((await run(proxy, session, READ)).destination, 'far', 'both bind');
 });
 
 void t.test('an instance in a zone without a region is in no home', async (t) => {
@@ -113,19 +113,19 @@
 void t.test('an open session and an open transaction go by the newest homes', async (t) => {
   const { proxy, session } = await withProxy(t, MIXED, { routeType: 'primary' });
   await session.execute('b', { kind: 'begin', readOnly: false });
-  t.equal((await run(proxy, session, WRITE)).way, 'p');
-  await proxy.change({ routeType: 'primary', route: ['south'] });
+  t.equal((await run(proxy, session, WRITE)).destination, 'p');
+  await proxy.putDocument({ routeType: 'primary', route: ['south'] });
   t.ok(await isRefusedAtOnce(proxy, session, WRITE));
   t.equal(session.state, 'failed');
   await session.execute('r', { kind: 'rollback' });
   t.ok(await isRefusedAtOnce(proxy, session, READ), 'the open session');
-  await proxy.change({ routeType: 'primary', route: ['north'] });
+  await proxy.putDocument({ routeType: 'primary', route: ['north'] });
   await session.execute('b', { kind: 'begin', readOnly: false });
   await run(proxy, session, WRITE);
-  await proxy.change({ routeType: 'primary', route: ['south'] });
+  await proxy.putDocument({ routeType: 'primary', route: ['south'] });
   const { error } = await session.execute('c', { kind: 'commit' });
-  t.match(error, { kind: 'aborted', text: OUTSIDE }, 'COMMIT is not sent');
-  t.same(proxy.takePassed(), []);
+  t.match(error, { kind: 'aborted', text: OUTSIDE_REGIONS_TEXT }, 'COMMIT is not sent');
+  t.same(proxy.takeSentCommands(), []);
 });
 
 const FEW_CONNECTIONS: Placement = {
@@ -139,27 +139,31 @@
 
 void t.test('the only owners are in another region: own connections are used', async (t) => {
   const { proxy, session } = await withProxy(t, FEW_CONNECTIONS, {});
-  t.match((await run(proxy, session, WRITE)).way, /^p by o/, 'without homes an owner carries it');
-  await proxy.change({ route: ['north'] });
-  t.equal((await run(proxy, session, WRITE)).way, 'p');
+  t.match(
+    (await run(proxy, session, WRITE)).destination,
+    /^p by o/,
+    'without homes an owner carries it',
+  );
+  await proxy.putDocument({ route: ['north'] });
+  t.equal((await run(proxy, session, WRITE)).destination, 'p');
 });
 
 void t.test('a transaction whose connection is kept outside newer homes is ended', async (t) => {
   const { proxy, session } = await withProxy(t, FEW_CONNECTIONS, { routeType: 'primary' });
   await session.execute('b', { kind: 'begin', readOnly: false });
-  t.match((await run(proxy, session, WRITE)).way, /^p by o/);
-  await proxy.change({ routeType: 'primary', route: ['north'] });
+  t.match((await run(proxy, session, WRITE)).destination, /^p by o/);
+  await proxy.putDocument({ routeType: 'primary', route: ['north'] });
   t.ok(await isRefusedAtOnce(proxy, session, WRITE));
 });
 
 void t.test('not even ROLLBACK goes by an owner to a zone that is closed', async (t) => {
   const { proxy, session } = await withProxy(t, FEW_CONNECTIONS, { routeType: 'primary' });
   await session.execute('b', { kind: 'begin', readOnly: false });
-  t.match((await run(proxy, session, WRITE)).way, /^p by o/);
-  proxy.evacuated = ['n1'];
-  await proxy.change({ routeType: 'primary' });
+  t.match((await run(proxy, session, WRITE)).destination, /^p by o/);
+  proxy.evacuatedZones = ['n1'];
+  await proxy.putDocument({ routeType: 'primary' });
   await session.execute('r', { kind: 'rollback' });
-  t.same(proxy.takePassed(), []);
+  t.same(proxy.takeSentCommands(), []);
 });
 
 void t.test('a bound read waits for the only instance in its homes, which is cold', async (t) => {
@@ -170,16 +174,16 @@
   const { proxy, session } = await withProxy(t, { ...placement, proxies }, { route: ['south'] });
   const reading = run(proxy, session, READ);
   await new Promise((resolve) => setTimeout(resolve, 60));
-  proxy.holder = 'o:1';
-  await proxy.change({ route: ['south'] });
-  t.equal((await reading).way, 'far by o:1');
+  proxy.holderAddress = 'o:1';
+  await proxy.putDocument({ route: ['south'] });
+  t.equal((await reading).destination, 'far by o:1');
 });
 
 void t.test('an owner refuses a statement whose homes are elsewhere', async (t) => {
   const { proxy } = await withProxy(t, MIXED, {});
   const command = { data: { id: 'q', argument: 'k' } };
-  const ask = (instance: string, regions: string[]) =>
-    proxy.relayed({
+  const relayStatement = (instance: string, regions: string[]) =>
+    proxy.receiveRelayed({
       instance,
       tenant: 'ana',
       waitMs: 50,
@@ -188,11 +192,11 @@
       homes: { regions },
     });
   const refusal = { outcome: 1, cause: 'no instance within the homes may run it' };
-  t.match(await ask('near', ['south']), refusal, 'this proxy');
-  t.match(await ask('far', ['north']), refusal, 'the instance');
-  t.match(await ask('near', []), refusal, 'no region at all');
-  t.match(await ask('near', ['north']), { outcome: 0 });
-  t.same(proxy.takePassed(), [{ instance: 'near' }]);
+  t.match(await relayStatement('near', ['south']), refusal, 'this proxy');
+  t.match(await relayStatement('far', ['north']), refusal, 'the instance');
+  t.match(await relayStatement('near', []), refusal, 'no region at all');
+  t.match(await relayStatement('near', ['north']), { outcome: 0 });
+  t.same(proxy.takeSentCommands(), [{ instance: 'near' }]);
 });
 
 const ZONES = ['n1', 'n2', 's1', 's2', 'e1', 'unknown'];
@@ -201,7 +205,7 @@
   fc.uniqueArray(fc.constantFrom<string>('north', 'south', 'east', 'nowhere'), { maxLength: 3 }),
   { nil: undefined },
 );
-const placed = (prefix: string) =>
+const membersWithPrefix = (prefix: string) =>
   fc
     .array(fc.constantFrom(...ZONES), { minLength: 1, maxLength: 6 })
     .map((zones) => zones.map((zone, index) => ({ id: `${prefix}${index}:1`, zone })));
@@ -209,8 +213,8 @@
 void t.test('no instance and no other proxy outside the homes is ever chosen', async (t) => {
   let served = 0;
   const property = fc.asyncProperty(
-    placed('i'),
-    placed('o'),
+    membersWithPrefix('i'),
+    membersWithPrefix('o'),
     fc.constantFrom(...ZONES),
     someRegions,
     someRegions,
@@ -229,7 +233,7 @@
         const lists = [route, tenant].filter((list) => list !== undefined && list.length > 0);
         return lists.every((list) => region !== undefined && list!.includes(region));
       };
-      const passed = proxy.takePassed();
+      const passed = proxy.takeSentCommands();
       served += passed.length;
       return passed.every(({ instance, via }) => isAllowed(instance) && (!via || isAllowed(via)));
     },
--- a/test/unit/evacuation_primaries.test.ts
+++ b/test/unit/evacuation_primaries.test.ts
@@ -1,6 +1,6 @@
 /** How primaries leave evacuated zones: when a change begins, and which instance may lead at its end. */
 import t from 'tap';
-import { tableNamingAll } from '../tools/route_table.js';
+import { tableWithGroups } from '../tools/route_table.js';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
@@ -61,7 +61,7 @@
   }
 
   private get document(): ChangerContext['document'] {
-    const table = (): RouteTable => tableNamingAll(this.groups);
+    const table = (): RouteTable => tableWithGroups(this.groups);
     return {
       get table() {
         return table();
--- a/test/unit/evacuation_proxy.test.ts
+++ b/test/unit/evacuation_proxy.test.ts
@@ -12,25 +12,25 @@
 const { GroupPhase, RelayOutcome } = whinyoke;
 const HALF_MS = DEFAULT_PLACEMENT_RULES.evacuationMs / 2;
 /** Time for an order to reach the proxy. */
-const HEARD_MS = 20;
+const ORDER_DELAY_MS = 20;
 
 /** A proxy in z1 before a primary `a` and replicas `b` and `c`. */
-async function started(zones: Readonly<Record<string, string>>): Promise<LoneProxy> {
+async function startProxy(zones: Readonly<Record<string, string>>): Promise<LoneProxy> {
   const proxy = new LoneProxy(zones);
   await proxy.start();
   return proxy;
 }
 
 void t.test('no read goes to an evacuated zone, and after the finish they do', async (t) => {
-  const proxy = await started({ a: 'z3', b: 'z1', c: 'z2' });
+  const proxy = await startProxy({ a: 'z3', b: 'z1', c: 'z2' });
   const session = proxy.session('any');
   await proxy.settled(session.read());
   t.ok(proxy.reachedSince(0).includes('b'), 'the one in the zone of the proxy');
   proxy.order('z1', true);
-  await proxy.run(HEARD_MS);
-  const heardAt = proxy.now;
+  await proxy.run(ORDER_DELAY_MS);
+  const orderReceivedAt = proxy.now;
   for (let count = 0; count < 20; count++) await proxy.settled(session.read());
-  t.same(proxy.reachedSince(heardAt), ['c']);
+  t.same(proxy.reachedSince(orderReceivedAt), ['c']);
   const metrics = new ProxyMetrics();
   metrics.watch(proxy.core);
   const shown = await metrics.registry.metrics();
@@ -39,7 +39,7 @@
   await proxy.run(2000);
   t.notOk(proxy.opened.slice(openedBefore).includes('b'), 'no spare connection');
   proxy.order('z1', false);
-  await proxy.run(HEARD_MS);
+  await proxy.run(ORDER_DELAY_MS);
   const finishedAt = proxy.now;
   await proxy.settled(proxy.session('own').write());
   await proxy.settled(session.read());
@@ -67,10 +67,10 @@
   pool.maintain();
   pool.probe();
   t.equal(connector.opened, 2, 'none is opened ahead, or to see whether it is alive');
-  const question = { tenant: undefined, values: new Map(), priority: 0 };
-  const asking = await pool.acquire(question, 100);
-  pool.release(asking);
-  pool.release(await pool.acquire(question, 100));
+  const systemRequest = { tenant: undefined, values: new Map(), priority: 0 };
+  const systemConnection = await pool.acquire(systemRequest, 100);
+  pool.release(systemConnection);
+  pool.release(await pool.acquire(systemRequest, 100));
   t.equal(connector.opened, 3, 'questions of the system share one');
   pool.resume();
   pool.release(await pool.acquire(request(1), 100));
@@ -96,20 +96,20 @@
 
 void t.test('a short bound leaves no time', (t) => {
   const zones = new EvacuatedZones(2000, () => undefined);
-  zones.adopt({ evacuations: [{ zone: 'z1', begunAt: 1 }] }, 100);
+  zones.applyUpdate({ evacuations: [{ zone: 'z1', begunAt: 1 }] }, 100);
   t.equal(zones.stageOf('z1', 100), 'closed');
   t.equal(zones.stageOf('z2', 100), undefined);
-  zones.adopt({ isWhole: true }, 100);
+  zones.applyUpdate({ isWhole: true }, 100);
   t.equal(zones.stageOf('z1', 100), undefined, 'a whole list without it ends the evacuation');
   t.end();
 });
 
 void t.test('a primary in an evacuated zone is used for half of the bound at most', async (t) => {
-  const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
+  const proxy = await startProxy({ a: 'z2', b: 'z1', c: 'z1' });
   const session = proxy.session('own');
   proxy.order('z2', true);
   const orderedAt = proxy.now;
-  await proxy.run(HEARD_MS);
+  await proxy.run(ORDER_DELAY_MS);
   const early = await proxy.settled(session.write());
   t.notOk(early.error, 'it is not replaced yet');
   await proxy.run(HALF_MS);
@@ -121,7 +121,7 @@
   t.match(read.error, { kind: 'busy', text: /in an evacuated zone/ });
   t.same(proxy.reachedSince(orderedAt + HALF_MS), []);
   proxy.lead('a', 2, GroupPhase.CHANGING);
-  await proxy.run(HEARD_MS);
+  await proxy.run(ORDER_DELAY_MS);
   const waiting = session.write();
   await proxy.run(100);
   proxy.lead('c', 3);
@@ -133,13 +133,9 @@
 void t.test(
   'transactions may end, those that rest first, and are told what happened',
   async (t) => {
-    const proxy = await started({ a: 'z2', b: 'z1', c: 'z3' });
-    const [resting, busy, last] = [
-      proxy.session('any'),
-      proxy.session('any'),
-      proxy.session('any'),
-    ];
-    for (const session of [resting, busy, last]) {
+    const proxy = await startProxy({ a: 'z2', b: 'z1', c: 'z3' });
+    const [idle, busy, last] = [proxy.session('any'), proxy.session('any'), proxy.session('any')];
+    for (const session of [idle, busy, last]) {
       await proxy.settled(session.execute({ kind: 'begin', readOnly: true }));
       await proxy.settled(session.read());
     }
@@ -151,31 +147,31 @@
       await proxy.settled(last.read());
       await proxy.run(90);
     }
-    const rested = await proxy.settled(resting.read());
-    t.match(rested.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
+    const idleReply = await proxy.settled(idle.read());
+    t.match(idleReply.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
     const committed = await proxy.settled(last.execute({ kind: 'commit' }));
     t.notOk(committed.error, 'one that works may end');
     proxy.hanging.add('b');
-    const underWay = busy.read();
+    const inFlight = busy.read();
     await proxy.run(200);
     proxy.hanging.delete('b');
-    t.notOk((await proxy.settled(underWay)).error, 'a statement that was sent is answered');
+    t.notOk((await proxy.settled(inFlight)).error, 'a statement that was sent is answered');
     await proxy.run(600);
     const late = await proxy.settled(busy.execute({ kind: 'commit' }));
     t.match(late.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
-    const toZone = proxy.sent.filter(({ instance }) => instance === 'b');
-    t.ok(toZone.at(-1)!.at < beganAt + HALF_MS, 'nothing is sent there later');
+    const sentToZone = proxy.sent.filter(({ instance }) => instance === 'b');
+    t.ok(sentToZone.at(-1)!.at < beganAt + HALF_MS, 'nothing is sent there later');
     t.ok(proxy.events.includes('transactions_evacuated'));
   },
 );
 
 void t.test('a transaction that wrote in an evacuated zone is certainly not kept', async (t) => {
-  const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
+  const proxy = await startProxy({ a: 'z2', b: 'z1', c: 'z1' });
   const session = proxy.session('own');
   await proxy.settled(session.execute({ kind: 'begin', readOnly: false }));
   await proxy.settled(session.write());
   proxy.order('z2', true);
-  await proxy.run(HALF_MS + HEARD_MS);
+  await proxy.run(HALF_MS + ORDER_DELAY_MS);
   const reply = await proxy.settled(session.execute({ kind: 'commit' }));
   t.match(reply.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
   t.notOk(
@@ -199,39 +195,39 @@
 );
 
 void t.test('while all zones are evacuated everything is refused at once', async (t) => {
-  const proxy = await started({ a: 'z1', b: 'z2' });
+  const proxy = await startProxy({ a: 'z1', b: 'z2' });
   proxy.order('z1', true);
   proxy.order('z2', true);
-  await proxy.run(HALF_MS + HEARD_MS);
+  await proxy.run(HALF_MS + ORDER_DELAY_MS);
   const at = proxy.now;
   const reply = await proxy.settled(proxy.session('any').read());
   t.match(reply.error, { kind: 'busy', text: /in an evacuated zone/ });
   t.ok(proxy.now - at < 100);
-  t.same(proxy.reachedSince(at - HEARD_MS), []);
+  t.same(proxy.reachedSince(at - ORDER_DELAY_MS), []);
   proxy.order('z2', false);
-  await proxy.run(HEARD_MS);
+  await proxy.run(ORDER_DELAY_MS);
   t.match((await proxy.settled(proxy.session('own').write())).error, { kind: 'busy' });
 });
 
 void t.test('a proxy that hears nothing holds no way to a zone beyond its bounds', async (t) => {
-  const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
+  const proxy = await startProxy({ a: 'z2', b: 'z1', c: 'z1' });
   proxy.isControlSilent = true;
   await proxy.run(400);
   proxy.order('z2', true);
   const orderedAt = proxy.now;
-  const { contactTimeoutMs, longestStretchMs } = DEFAULT_PLACEMENT_RULES;
-  while (proxy.now < orderedAt + contactTimeoutMs + longestStretchMs + 5000) {
+  const { contactTimeoutMs, maxStretchMs } = DEFAULT_PLACEMENT_RULES;
+  while (proxy.now < orderedAt + contactTimeoutMs + maxStretchMs + 5000) {
     await proxy.settled(proxy.session('own').write());
     await proxy.settled(proxy.session('any').read());
     await proxy.run(50);
   }
   const last = proxy.sent.filter(({ command }) => command.kind === 'data').at(-1)!;
   t.ok(last.at - orderedAt > 10_000, 'leases that replicas confirm are used');
-  t.ok(last.at - orderedAt < contactTimeoutMs + longestStretchMs);
+  t.ok(last.at - orderedAt < contactTimeoutMs + maxStretchMs);
 });
 
 void t.test('a connection owner sends back what waits for an evacuated zone', async (t) => {
-  const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
+  const proxy = await startProxy({ a: 'z2', b: 'z1', c: 'z1' });
   const read = { data: { id: 'r', argument: 'x' } };
   const relay = async (
     command: whinyoke.IRelayCommand,
@@ -244,7 +240,7 @@
   const begun = await proxy.settled(relay({ begin: { readOnly: true } }));
   t.equal(begun.outcome, RelayOutcome.ANSWERED);
   proxy.order('z1', true);
-  await proxy.run(HEARD_MS);
+  await proxy.run(ORDER_DELAY_MS);
   const refused = await proxy.settled(relay(read));
   t.match(refused, { outcome: RelayOutcome.NOT_RUN_HERE, cause: /evacuated/ });
   const goesOn = await proxy.settled(relay(read, begun.connection!));
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -23,7 +23,7 @@
   objectionOf,
 } from '../../src/appointed/leases/replica_lease.js';
 import { PrimaryLeases } from '../../src/appointed/trust/primary_leases.js';
-import { tableNaming } from '../tools/route_table.js';
+import { tableWithGroup } from '../tools/route_table.js';
 
 const { GroupPhase, InstanceRole, InstanceState, PrimaryHealth } = whinyoke;
 
@@ -414,7 +414,7 @@
     },
     log: () => undefined,
     isLeading: () => true,
-    document: { table: tableNaming('g') },
+    document: { table: tableWithGroup('g') },
     regionByZone: new Map(),
   } as unknown as ChangerContext;
   const opinions = new PrimaryHealthOpinions();
--- a/test/unit/foreign_heartbeats.test.ts
+++ b/test/unit/foreign_heartbeats.test.ts
@@ -16,10 +16,10 @@
 import { isHeartbeatExpected, unusedReason } from '../../src/appointed/catalog/usable_instance.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { documentWith, PlacedProxy } from '../tools/placed_proxy.js';
-import { tableNaming } from '../tools/route_table.js';
+import { tableWithGroup } from '../tools/route_table.js';
 
 const { CatalogOutcome } = whinyoke;
-const TABLE = tableNaming('g');
+const TABLE = tableWithGroup('g');
 /** A state of a newer program. */
 const UNKNOWN_STATE = 7 as whinyoke.InstanceState;
 
@@ -169,7 +169,7 @@
   for (let count = 0; count < 20; count++) {
     await session.execute('q', { kind: 'read', argument: 'k' });
   }
-  const reached = new Set(proxy.takePassed().map(({ instance }) => instance));
+  const reached = new Set(proxy.takeSentCommands().map(({ instance }) => instance));
   t.ok(
     [...reached].every((id) => id === 'p' || id === 'r'),
     [...reached].join(),
--- a/test/unit/platform_codec.test.ts
+++ b/test/unit/platform_codec.test.ts
@@ -12,7 +12,7 @@
 import { LineReader } from '../../platform/line_reader.js';
 import { PlatformDocumentReader } from '../../platform/routing_document.js';
 import { readControlSettings, readProxySettings } from '../../platform/settings.js';
-import { completed, refused } from '../../src/appointed/sessions/caller_reply.js';
+import { successReply, errorReply } from '../../src/appointed/sessions/caller_reply.js';
 
 void t.test('lines are cut at any byte and keep every byte', (t) => {
   const text = 'START db who\r\nQUERY 1 WRITE k \xff\xfe x\r\n';
@@ -96,9 +96,9 @@
 });
 
 void t.test('answers to callers', (t) => {
-  t.equal(encodeReply(completed('open')), 'COMPLETE -\r\nREADY T -\r\n');
+  t.equal(encodeReply(successReply('open')), 'COMPLETE -\r\nREADY T -\r\n');
   t.equal(
-    encodeReply(refused('busy', 'no slot; retry after 50 ms', 'idle')),
+    encodeReply(errorReply('busy', 'no slot; retry after 50 ms', 'idle')),
     'ERROR BUSY no slot; retry after 50 ms\r\nREADY I -\r\n',
   );
   const position = { term: 3, sequence: 9 };
--- a/test/unit/primary_homes.test.ts
+++ b/test/unit/primary_homes.test.ts
@@ -8,9 +8,9 @@
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
 import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
-import { servedRoutes } from '../../src/appointed/placement/primary_homes.js';
+import { countServableRoutes } from '../../src/appointed/placement/primary_homes.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { tableNaming } from '../tools/route_table.js';
+import { tableWithGroup } from '../tools/route_table.js';
 
 const { GroupPhase, InstanceState } = whinyoke;
 const REGIONS = new Map([
@@ -20,9 +20,9 @@
 const SOUTH = new Set(['south']);
 
 void t.test('bound routes count for instances within their homes', (t) => {
-  const document = { table: tableNaming('g', SOUTH, undefined, new Set(['north', 'south'])) };
+  const document = { table: tableWithGroup('g', SOUTH, undefined, new Set(['north', 'south'])) };
   const served = (zone: string, group = 'g'): number =>
-    servedRoutes({ id: 'i', group, zone }, { document, regionByZone: REGIONS });
+    countServableRoutes({ id: 'i', group, zone }, { document, regionByZone: REGIONS });
   t.equal(served('s'), 2);
   t.equal(served('n'), 1);
   t.equal(served('unknown'), 0);
@@ -127,11 +127,11 @@
 }
 
 void t.test('a primary that is well is moved, as planned, to where more routes may go', (t) => {
-  const bound = leaderOf(tableNaming('g', SOUTH, undefined));
+  const bound = leaderOf(tableWithGroup('g', SOUTH, undefined));
   bound.controller.tick();
   t.match(bound.proposed, [{ putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: true } }]);
   for (const homes of [undefined, new Set(['north']), new Set(['nowhere'])]) {
-    const other = leaderOf(tableNaming('g', homes));
+    const other = leaderOf(tableWithGroup('g', homes));
     other.controller.tick();
     t.equal(other.proposed.length, 0, `not for ${homes ? [...homes].join() : 'no homes'}`);
   }
@@ -139,14 +139,14 @@
 });
 
 void t.test('a move that ended outside the homes again is not tried anew at once', (t) => {
-  const leader = leaderOf(tableNaming('g', undefined));
+  const leader = leaderOf(tableWithGroup('g', undefined));
   const { controller, proposed, setNow, setTable, apply, hear } = leader;
   controller.tick();
   const { CHANGING, STEADY } = GroupPhase;
   apply({ putGroup: { group: 'g', epoch: 2, phase: CHANGING, primary: 'p', term: 1 } });
   apply({ putGroup: { group: 'g', epoch: 3, phase: STEADY, primary: 'p', term: 2 } });
   controller.tick();
-  setTable(tableNaming('g', SOUTH));
+  setTable(tableWithGroup('g', SOUTH));
   setNow(4900);
   hear('r');
   controller.tick();
--- a/test/unit/primary_trouble.test.ts
+++ b/test/unit/primary_trouble.test.ts
@@ -18,7 +18,7 @@
 import { PrimaryHealthTracker } from '../../src/appointed/trust/primary_health_tracker.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
-import { tableNaming } from '../tools/route_table.js';
+import { tableWithGroup } from '../tools/route_table.js';
 import { delay } from '../../src/runtime/runtime.js';
 
 const { GroupPhase, InstanceState, PrimaryHealth } = whinyoke;
@@ -138,7 +138,7 @@
     clock: new RealClock(),
     catalog,
     ledger: new LeaseLedger(),
-    document: { table: tableNaming('g') },
+    document: { table: tableWithGroup('g') },
     regionByZone: new Map(),
     administrator,
     appointmentLease: {
--- a/test/unit/refusals.test.ts
+++ b/test/unit/refusals.test.ts
@@ -1,6 +1,6 @@
 /** Refusals of the appointed interface: texts, verdicts and times to come back, which callers and operators rely on. */
 import t from 'tap';
-import { type RetryCause, textOf } from '../../src/appointed/routing/refusal_cause.js';
+import { type RetryCause, causeText } from '../../src/appointed/routing/refusal_cause.js';
 import { overLimitRetryMs, retryAfterMs } from '../../src/appointed/routing/retry_after.js';
 import { type CallerErrorKind, verdictOf } from '../../src/appointed/sessions/caller_reply.js';
 
@@ -45,7 +45,7 @@
     [{ kind: 'slowStart' }, 'the instance is warming up'],
     [{ kind: 'readAttempt', ending: 'lost' }, 'lost'],
   ];
-  for (const [cause, text] of expected) t.equal(textOf(cause), text, cause.kind);
+  for (const [cause, text] of expected) t.equal(causeText(cause), text, cause.kind);
   t.end();
 });
 
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -13,9 +13,9 @@
 import { IdleTimeout } from '../../src/appointed/connections/idle_timeout.js';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
-import { PositionFloor } from '../../src/appointed/routing/position_floor.js';
+import { MinimumPosition } from '../../src/appointed/routing/position_floor.js';
 import { PrimaryHealthTracker } from '../../src/appointed/trust/primary_health_tracker.js';
-import { orderCandidates } from '../../src/appointed/routing/replica_selector.js';
+import { orderReadCandidates } from '../../src/appointed/routing/replica_selector.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
 import { FakeConnection } from '../tools/fake_connection.js';
@@ -25,17 +25,17 @@
 const { PrimaryHealth } = whinyoke;
 
 void t.test('the floor is the oldest position whose request was sent late enough', (t) => {
-  const floor = new PositionFloor();
-  t.equal(floor.oldestSince(0), undefined);
+  const history = new MinimumPosition();
+  t.equal(history.oldestSentSince(0), undefined);
   for (let time = 0; time <= 1000; time += 100) {
-    floor.note(1, time, { term: 1, sequence: time });
+    history.record(1, time, { term: 1, sequence: time });
   }
-  t.equal(floor.oldestSince(450)?.sequence, 500);
-  t.equal(floor.oldestSince(1001), undefined, 'nothing is young enough');
-  floor.note(2, 1100, { term: 2, sequence: 1100 });
-  t.equal(floor.oldestSince(0)?.term, 2, 'a new epoch begins anew');
-  floor.note(1, 1200, { term: 1, sequence: 1200 });
-  t.equal(floor.oldestSince(1150), undefined, 'an answer of an older epoch does not count');
+  t.equal(history.oldestSentSince(450)?.sequence, 500);
+  t.equal(history.oldestSentSince(1001), undefined, 'nothing is young enough');
+  history.record(2, 1100, { term: 2, sequence: 1100 });
+  t.equal(history.oldestSentSince(0)?.term, 2, 'a new epoch begins anew');
+  history.record(1, 1200, { term: 1, sequence: 1200 });
+  t.equal(history.oldestSentSince(1150), undefined, 'an answer of an older epoch does not count');
   t.end();
 });
 
@@ -51,9 +51,9 @@
     candidate('f', 'z2'),
     candidate('p', 'z1', true),
   ];
-  const after = { term: 1, sequence: 5 };
+  const minimumPosition = { term: 1, sequence: 5 };
   const order = (): string =>
-    orderCandidates([primary, far, near], { zone: 'z1', now: 100, after })
+    orderReadCandidates([primary, far, near], { zone: 'z1', now: 100, minimumPosition })
       .map((item) => item.id)
       .join('');
   t.equal(order(), 'nfp');
@@ -63,7 +63,7 @@
   near.load.notePosition({ term: 1, sequence: 4 });
   near.load.noteLagging(90);
   t.equal(order(), 'fp', 'it lacked a position a moment ago, and is not asked for it again yet');
-  near.load.notePosition(after);
+  near.load.notePosition(minimumPosition);
   t.equal(order(), 'nfp', 'it has this one');
   near.load.notePosition({ term: 1, sequence: 4 });
   near.load.noteLagging(-200);
@@ -76,24 +76,24 @@
 void t.test(
   'an instance that fails a part of its requests is asked less, and again with time',
   (t) => {
-    const [grey, well] = [new InstanceLoad(), new InstanceLoad()];
+    const [failing, healthy] = [new InstanceLoad(), new InstanceLoad()];
     const order = (now: number): string =>
-      orderCandidates(
+      orderReadCandidates(
         [
-          { id: 'grey', zone: 'z1', isPrimary: false, load: grey },
-          { id: 'well', zone: 'z2', isPrimary: false, load: well },
+          { id: 'grey', zone: 'z1', isPrimary: false, load: failing },
+          { id: 'well', zone: 'z2', isPrimary: false, load: healthy },
         ],
-        { zone: 'z1', now, after: undefined },
+        { zone: 'z1', now, minimumPosition: undefined },
       )[0]!.id;
     t.equal(order(0), 'grey', 'it is near');
     for (let count = 0; count < 5; count++) {
-      grey.noteRefusal(count);
-      grey.noteAnswer(10, count);
+      failing.noteRefusal(count);
+      failing.noteAnswer(10, count);
     }
     t.equal(order(10), 'well', 'half of its answers were refusals');
     t.equal(order(20_000), 'grey', 'it gets another chance');
-    for (let count = 0; count < 50; count++) well.noteRefusal(20_000);
-    for (let count = 0; count < 50; count++) grey.noteRefusal(20_000);
+    for (let count = 0; count < 50; count++) healthy.noteRefusal(20_000);
+    for (let count = 0; count < 50; count++) failing.noteRefusal(20_000);
     t.equal(order(20_000), 'grey', 'where all refuse, they are equal');
     t.end();
   },
@@ -119,13 +119,13 @@
   'silence lasts beyond statements that were given up, until an answer or a pause',
   (t) => {
     const tracker = new PrimaryHealthTracker();
-    const giveUpAfter = (sentAt: number): void =>
+    const timeOutStatement = (sentAt: number): void =>
       tracker.started(true, sentAt)(false, sentAt + 800);
-    for (const sentAt of [0, 900, 1800]) giveUpAfter(sentAt);
+    for (const sentAt of [0, 900, 1800]) timeOutStatement(sentAt);
     tracker.started(true, 2700);
     t.match(tracker.opinion(3100), { health: PrimaryHealth.SILENT, sinceMs: 3100 });
     tracker.started(true, 3110)(true, 3120);
-    giveUpAfter(3200);
+    timeOutStatement(3200);
     tracker.started(true, 9000);
     t.match(tracker.opinion(9400), { health: PrimaryHealth.SILENT, sinceMs: 400 }, 'none asked');
     t.end();
@@ -169,8 +169,8 @@
     const waiting = Array.from({ length: 10 }, () => pool.acquire(request(1), 1000));
     await new Promise((resolve) => setTimeout(resolve, 60));
     t.equal(connector.opened, slots + 1, 'one more than the slots, for what is on its way');
-    const resting = await waiting[0]!;
-    pool.rest(resting);
+    const idleTransaction = await waiting[0]!;
+    pool.rest(idleTransaction);
     await new Promise((resolve) => setTimeout(resolve, 60));
     t.equal(connector.opened, slots + 2, 'a transaction that rests takes no slot');
     pool.close();
@@ -183,14 +183,14 @@
   const connector: InstanceConnector = {
     connect: () => Promise.resolve({ connection: new FakeConnection(), position }),
   };
-  const told: { position: unknown; startedAt: number }[] = [];
+  const reported: { position: unknown; startedAt: number }[] = [];
   const before = new RealClock().now();
   const pool = poolOf(connector, {
-    onOpened: (opened, startedAt) => told.push({ position: opened, startedAt }),
+    onOpened: (opened, startedAt) => reported.push({ position: opened, startedAt }),
   });
   pool.release(await pool.acquire(request(1), 100));
-  t.match(told, [{ position }]);
-  t.ok(told[0]!.startedAt >= before, 'with a time before the connection was asked for');
+  t.match(reported, [{ position }]);
+  t.ok(reported[0]!.startedAt >= before, 'with a time before the connection was asked for');
   pool.close();
 });
 
@@ -233,12 +233,15 @@
 void t.test(
   'connections are kept where each proxy can have its own, else given back at once',
   (t) => {
-    const ample = connectionShare(34, 6);
-    t.match(ample, { most: 12, minimumIdle: 1 });
-    t.ok(ample.idleTimeoutMs <= 500, 'those beyond the first leave room for a proxy that starts');
-    const scarce = connectionShare(38, 66);
-    t.match(scarce, { most: 7, minimumIdle: 0 });
-    t.ok(scarce.idleTimeoutMs <= 600, 'lent for a moment');
+    const manyConnections = connectionShare(34, 6);
+    t.match(manyConnections, { most: 12, minimumIdle: 1 });
+    t.ok(
+      manyConnections.idleTimeoutMs <= 500,
+      'those beyond the first leave room for a proxy that starts',
+    );
+    const fewConnections = connectionShare(38, 66);
+    t.match(fewConnections, { most: 7, minimumIdle: 0 });
+    t.ok(fewConnections.idleTimeoutMs <= 600, 'lent for a moment');
     t.match(connectionShare(225, 68), { most: 7, minimumIdle: 1 });
     t.ok(connectionShare(0, 1).most >= 1, 'before the first document');
     t.end();
@@ -272,18 +275,18 @@
 
 void t.test('idle connections are kept for longer while the instance has some left', (t) => {
   const idleTimeout = new IdleTimeout();
-  const longestMs = 600;
-  t.equal(idleTimeout.current(longestMs), longestMs);
+  const maxIdleMs = 600;
+  t.equal(idleTimeout.current(maxIdleMs), maxIdleMs);
   for (let count = 0; count < 100; count++) idleTimeout.noteOpened();
-  idleTimeout.noteLimit(longestMs);
-  t.equal(idleTimeout.current(longestMs), longestMs / 2, 'at once, whatever was gathered before');
-  for (let count = 0; count < 10; count++) idleTimeout.noteLimit(longestMs);
-  const shortest = idleTimeout.current(longestMs);
+  idleTimeout.noteLimit(maxIdleMs);
+  t.equal(idleTimeout.current(maxIdleMs), maxIdleMs / 2, 'at once, whatever was gathered before');
+  for (let count = 0; count < 10; count++) idleTimeout.noteLimit(maxIdleMs);
+  const shortest = idleTimeout.current(maxIdleMs);
   t.ok(shortest > 0);
   t.ok(shortest <= 50);
   for (let count = 0; count < 5; count++) idleTimeout.noteOpened();
-  t.ok(idleTimeout.current(longestMs) > shortest, 'and grows again step by step');
-  t.ok(idleTimeout.current(longestMs) < longestMs);
+  t.ok(idleTimeout.current(maxIdleMs) > shortest, 'and grows again step by step');
+  t.ok(idleTimeout.current(maxIdleMs) < maxIdleMs);
   t.end();
 });
 
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -7,19 +7,19 @@
 import { type QueuedRequest, ServiceOrder } from '../../src/appointed/scheduling/service_order.js';
 
 /** One kind of request: how often it comes, how long it takes, by when it is useful. */
-interface Kind {
+interface RequestKind {
   readonly name: string;
   readonly priority: number;
   readonly perSecond: (second: number) => number;
   readonly workMs: number;
   readonly objectiveMs: number;
   /** Waiting beyond this is in vain. */
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   readonly tenant: (drawn: number) => string;
 }
 
 interface Job extends QueuedRequest {
-  readonly kind: Kind;
+  readonly kind: RequestKind;
   refusedAt?: number;
   answeredAt?: number;
 }
@@ -27,63 +27,64 @@
 /** How a queue decides; the former order is the one to compare with. */
 interface Policy {
   rank(jobs: readonly Job[], now: number): Job[];
-  noteStart(job: Job, expectedMs: number, now: number): void;
+  recordStart(job: Job, expectedMs: number, now: number): void;
   displaced(ranked: readonly Job[], spacingMs: number, now: number): readonly Job[];
 }
 
-const FORMER: Policy = {
+const PRIORITY_ORDER: Policy = {
   rank: (jobs) =>
     jobs.toSorted(
       (left, right) => left.priority - right.priority || left.arrivedAt - right.arrivedAt,
     ),
-  noteStart: () => undefined,
+  recordStart: () => undefined,
   displaced: () => [],
 };
 
-const AT_A_TIME = 5;
+const CONCURRENCY = 5;
 const STEP_MS = 1;
-const MILLISECONDS = 1000;
+const MILLISECONDS_PER_SECOND = 1000;
 
-function jobOf(kind: Kind, now: number, random: SeededRandom): Job {
+function jobOf(kind: RequestKind, now: number, random: SeededRandom): Job {
   return {
     kind,
     priority: kind.priority,
     tenant: kind.tenant(random.next()),
     arrivedAt: now,
-    startBy: now + kind.objectiveMs - kind.workMs,
-    giveUpAt: now + kind.patienceMs,
+    latestStartAt: now + kind.objectiveMs - kind.workMs,
+    expiresAt: now + kind.maxWaitMs,
   };
 }
 
 /** Plays the queue of one connection owner, which sends five statements at a time; returns all requests. */
-function play(policy: Policy, kinds: readonly Kind[], seconds: number): Job[] {
+function simulateQueue(policy: Policy, kinds: readonly RequestKind[], seconds: number): Job[] {
   const random = new SeededRandom(5);
   const all: Job[] = [];
   let waiting: Job[] = [];
   let running: Job[] = [];
-  let meanMs = 10;
-  for (let now = 0; now < seconds * MILLISECONDS; now += STEP_MS) {
+  let meanWorkMs = 10;
+  for (let now = 0; now < seconds * MILLISECONDS_PER_SECOND; now += STEP_MS) {
     running = running.filter(({ answeredAt }) => answeredAt! > now);
     for (const kind of kinds) {
-      const perStep = (kind.perSecond(now / MILLISECONDS) * STEP_MS) / MILLISECONDS;
+      const perStep =
+        (kind.perSecond(now / MILLISECONDS_PER_SECOND) * STEP_MS) / MILLISECONDS_PER_SECOND;
       if (random.next() >= perStep) continue;
       const job = jobOf(kind, now, random);
       all.push(job);
-      const place = policy.rank([...waiting, job], now).indexOf(job);
+      const position = policy.rank([...waiting, job], now).indexOf(job);
       // As it always was: who would wait for too long is refused on arrival.
-      if ((place / AT_A_TIME) * meanMs > kind.patienceMs) job.refusedAt = now;
+      if ((position / CONCURRENCY) * meanWorkMs > kind.maxWaitMs) job.refusedAt = now;
       else waiting.push(job);
     }
     const ranked = policy.rank(waiting, now);
-    for (const job of policy.displaced(ranked, meanMs / AT_A_TIME, now)) job.refusedAt = now;
-    for (const job of waiting) if (now >= job.giveUpAt) job.refusedAt ??= now;
+    for (const job of policy.displaced(ranked, meanWorkMs / CONCURRENCY, now)) job.refusedAt = now;
+    for (const job of waiting) if (now >= job.expiresAt) job.refusedAt ??= now;
     waiting = waiting.filter(({ refusedAt }) => refusedAt === undefined);
-    while (running.length < AT_A_TIME && waiting.length > 0) {
+    while (running.length < CONCURRENCY && waiting.length > 0) {
       const [job] = policy.rank(waiting, now);
       waiting.splice(waiting.indexOf(job!), 1);
       job!.answeredAt = now + job!.kind.workMs * (0.5 + random.next());
-      meanMs += 0.1 * (job!.kind.workMs - meanMs);
-      policy.noteStart(job!, meanMs, now);
+      meanWorkMs += 0.1 * (job!.kind.workMs - meanWorkMs);
+      policy.recordStart(job!, meanWorkMs, now);
       running.push(job!);
     }
   }
@@ -91,12 +92,12 @@
 }
 
 /** Fraction of the requests that were answered within their objective. */
-function inTime(jobs: readonly Job[], matches: (job: Job) => boolean = () => true): number {
-  const asked = jobs.filter(matches);
-  const served = asked.filter(
+function fractionInTime(jobs: readonly Job[], matches: (job: Job) => boolean = () => true): number {
+  const matching = jobs.filter(matches);
+  const served = matching.filter(
     ({ answeredAt = Infinity, arrivedAt, kind }) => answeredAt - arrivedAt <= kind.objectiveMs,
   );
-  return served.length / asked.length;
+  return served.length / matching.length;
 }
 
 /** Mean time until those were refused that were not served, in milliseconds. */
@@ -106,22 +107,22 @@
   return total / Math.max(1, refused.length);
 }
 
-const ONE_OF_MANY = (drawn: number): string => `t${Math.floor(drawn * 40)}`;
-const isOf =
+const drawTenant = (drawn: number): string => `t${Math.floor(drawn * 40)}`;
+const hasKind =
   (name: string) =>
   (job: Job): boolean =>
     job.kind.name === name;
 
 /** A group whose replicas can't be used: its primary serves all; statements a second of one of six groups. */
-const KINDS: readonly Kind[] = [
+const KINDS: readonly RequestKind[] = [
   {
     name: 'urgent',
     priority: 0,
     perSecond: () => 45,
     workMs: 5,
     objectiveMs: 150,
-    patienceMs: 480,
-    tenant: ONE_OF_MANY,
+    maxWaitMs: 480,
+    tenant: drawTenant,
   },
   {
     name: 'usual',
@@ -129,8 +130,8 @@
     perSecond: () => 200,
     workMs: 14,
     objectiveMs: 250,
-    patienceMs: 480,
-    tenant: ONE_OF_MANY,
+    maxWaitMs: 480,
+    tenant: drawTenant,
   },
   {
     name: 'patient',
@@ -139,36 +140,36 @@
     perSecond: (second) => (second > 2 && second < 6 ? 132 : 60),
     workMs: 22,
     objectiveMs: 800,
-    patienceMs: 900,
-    tenant: ONE_OF_MANY,
+    maxWaitMs: 900,
+    tenant: drawTenant,
   },
 ];
 
 void t.test('a burst at a full instance: more are answered in time, the urgent all', (t) => {
-  const before = play(FORMER, KINDS, 8);
-  const now = play(new ServiceOrder(), KINDS, 8);
+  const before = simulateQueue(PRIORITY_ORDER, KINDS, 8);
+  const now = simulateQueue(new ServiceOrder(), KINDS, 8);
   const text = (jobs: readonly Job[]): string =>
-    KINDS.map(({ name }) => `${name} ${inTime(jobs, isOf(name)).toFixed(3)}`).join(', ');
+    KINDS.map(({ name }) => `${name} ${fractionInTime(jobs, hasKind(name)).toFixed(3)}`).join(', ');
   t.comment(`before: ${text(before)}; refused after ${meanUntilRefused(before).toFixed(0)} ms`);
   t.comment(`now: ${text(now)}; refused after ${meanUntilRefused(now).toFixed(0)} ms`);
-  t.ok(inTime(now) >= inTime(before));
-  t.ok(inTime(now, isOf('urgent')) >= 0.98);
+  t.ok(fractionInTime(now) >= fractionInTime(before));
+  t.ok(fractionInTime(now, hasKind('urgent')) >= 0.98);
   t.ok(meanUntilRefused(now) < meanUntilRefused(before), 'callers hear sooner');
   t.end();
 });
 
 void t.test('a tenant at seven times its usual costs the others no more than a tenth', (t) => {
-  const rushing = (drawn: number): string =>
-    drawn < 0.6 ? 'rush' : ONE_OF_MANY((drawn - 0.6) / 0.4);
+  const drawRushTenant = (drawn: number): string =>
+    drawn < 0.6 ? 'rush' : drawTenant((drawn - 0.6) / 0.4);
   const kinds = KINDS.map((kind) => ({
     ...kind,
     perSecond: (second: number) =>
       kind.name === 'usual' ? (second > 1 && second < 6 ? 520 : 180) : 20,
-    tenant: kind.name === 'usual' ? rushing : kind.tenant,
+    tenant: kind.name === 'usual' ? drawRushTenant : kind.tenant,
   }));
   const isOther = ({ tenant }: Job): boolean => tenant !== 'rush';
-  const before = inTime(play(FORMER, kinds, 7), isOther);
-  const now = inTime(play(new ServiceOrder(), kinds, 7), isOther);
+  const before = fractionInTime(simulateQueue(PRIORITY_ORDER, kinds, 7), isOther);
+  const now = fractionInTime(simulateQueue(new ServiceOrder(), kinds, 7), isOther);
   t.comment(`others in time: before ${before.toFixed(3)}, now ${now.toFixed(3)}`);
   t.ok(before < 0.9, 'by priority and arrival the others lose more than a tenth');
   t.ok(now >= 0.9);
@@ -181,17 +182,19 @@
     perSecond: () => (kind.name === 'urgent' ? 900 : 15),
     workMs: kind.name === 'urgent' ? 8 : kind.workMs,
   }));
-  const before = play(FORMER, kinds, 6);
-  const now = play(new ServiceOrder(), kinds, 6);
-  t.comment(`patient: ${inTime(before, isOf('patient'))} ${inTime(now, isOf('patient'))}`);
-  t.ok(inTime(now, isOf('patient')) > inTime(before, isOf('patient')) + 0.2);
+  const before = simulateQueue(PRIORITY_ORDER, kinds, 6);
+  const now = simulateQueue(new ServiceOrder(), kinds, 6);
+  t.comment(
+    `patient: ${fractionInTime(before, hasKind('patient'))} ${fractionInTime(now, hasKind('patient'))}`,
+  );
+  t.ok(fractionInTime(now, hasKind('patient')) > fractionInTime(before, hasKind('patient')) + 0.2);
   t.end();
 });
 
 void t.test('requests that can still be answered in time come before those that can not', (t) => {
   const order = new ServiceOrder();
-  const waiting = (priority: number, startBy: number): QueuedRequest => {
-    return { priority, tenant: 'ana', arrivedAt: 0, startBy, giveUpAt: 1000 };
+  const waiting = (priority: number, latestStartAt: number): QueuedRequest => {
+    return { priority, tenant: 'ana', arrivedAt: 0, latestStartAt, expiresAt: 1000 };
   };
   const [late, later, soon] = [waiting(0, 90), waiting(1, 400), waiting(1, 200)];
   t.same(order.rank([late, later, soon], 100), [soon, later, late]);
@@ -207,17 +210,20 @@
     const share = { most: 1, isOwner: true };
     const options = { share, slots: () => 1, opensSpares: () => false, load };
     const pool = poolOf(new CountingConnector(), options);
-    const asking = (priority: number, usefulMs: number): ConnectionRequest => {
+    const connectionRequest = (priority: number, usefulMs: number): ConnectionRequest => {
       return { tenant: 'ana', values: new Map(), priority, usefulMs };
     };
-    const first = await pool.acquire(asking(1, 800), 5000);
+    const first = await pool.acquire(connectionRequest(1, 800), 5000);
     const served: string[] = [];
     const wait = async (name: string, request: ConnectionRequest): Promise<void> => {
       const pooled = await pool.acquire(request, 5000);
       served.push(name);
       pool.release(pooled);
     };
-    const both = [wait('patient', asking(2, 800)), wait('urgent', asking(0, 150))];
+    const both = [
+      wait('patient', connectionRequest(2, 800)),
+      wait('urgent', connectionRequest(0, 150)),
+    ];
     pool.release(first);
     await Promise.all(both);
     t.same(served, ['urgent', 'patient']);
--- a/test/unit/slow_start.test.ts
+++ b/test/unit/slow_start.test.ts
@@ -9,7 +9,12 @@
 import { STALE_LEADER_MS } from '../../src/appointed/leases/lease_times.js';
 import { SlowStartGate } from '../../src/appointed/placement/slow_start_gate.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
-import { MOST, type Omission, SlowStartPlay, type Step } from '../tools/slow_start_play.js';
+import {
+  MAX_REQUESTS_PER_SECOND,
+  type Safeguard,
+  SlowStartScenario,
+  type Step,
+} from '../tools/slow_start_play.js';
 
 const ACTIONS: readonly Step['action'][] = [
   ...(['wait', 'wait', 'wait', 'newLeader', 'cut', 'cut', 'freeze', 'restart', 'leave'] as const),
@@ -25,40 +30,43 @@
   { minLength: 5, maxLength: 25 },
 );
 
-function boundHolds(omission?: Omission): fc.IAsyncProperty<[Step[]]> {
+function rateBoundHolds(disabledSafeguard?: Safeguard): fc.IAsyncProperty<[Step[]]> {
   return fc.asyncProperty(STEPS, async (steps) => {
-    const play = new SlowStartPlay(omission);
-    await play.run(steps);
-    return play.mostInASecond <= MOST;
+    const scenario = new SlowStartScenario(disabledSafeguard);
+    await scenario.run(steps);
+    return scenario.maxRequestsInASecond <= MAX_REQUESTS_PER_SECOND;
   });
 }
 
 void t.test('no schedule gives a cold instance more than its rate in any second', async (t) => {
-  const play = new SlowStartPlay();
+  const scenario = new SlowStartScenario();
   const wait = { action: 'wait', proxy: 0, drawn: 0, durationMs: 1000 } as const;
-  await play.run(Array.from({ length: 10 }, () => wait));
-  t.equal(play.mostInASecond, MOST, 'which is used');
-  await fc.assert(boundHolds(), { numRuns: 300 });
+  await scenario.run(Array.from({ length: 10 }, () => wait));
+  t.equal(scenario.maxRequestsInASecond, MAX_REQUESTS_PER_SECOND, 'which is used');
+  await fc.assert(rateBoundHolds(), { numRuns: 300 });
 });
 
 void t.test(
   'a proxy that this leader heard may have a later lease of a former leader',
   async (t) => {
-    const play = new SlowStartPlay();
+    const scenario = new SlowStartScenario();
     const step = (action: Step['action'], durationMs: number, proxy = 0): Step => ({
       action,
       proxy,
       drawn: 0,
       durationMs,
     });
-    await play.run([step('wait', 2200), step('newLeader', 975), step('newLeader', 600)]);
+    await scenario.run([step('wait', 2200), step('newLeader', 975), step('newLeader', 600)]);
     // It asks the leader once, then the former one, until it is cut off.
-    await play.run([step('cut', 1225, 1), step('wait', 1500), step('wait', 1000)]);
-    t.ok(play.mostInASecond <= MOST, `${play.mostInASecond} requests in a second`);
+    await scenario.run([step('cut', 1225, 1), step('wait', 1500), step('wait', 1000)]);
+    t.ok(
+      scenario.maxRequestsInASecond <= MAX_REQUESTS_PER_SECOND,
+      `${scenario.maxRequestsInASecond} requests in a second`,
+    );
   },
 );
 
-const OMISSIONS: readonly Omission[] = [
+const SAFEGUARDS: readonly Safeguard[] = [
   'lease-from-sending',
   'window-between-holders',
   'lease-withheld',
@@ -67,9 +75,9 @@
   'leaving-stops',
 ];
 
-for (const omission of OMISSIONS) {
-  void t.test(`without ${omission} some schedule breaks the bound`, async (t) => {
-    const result = await fc.check(boundHolds(omission), {
+for (const safeguard of SAFEGUARDS) {
+  void t.test(`without ${safeguard} some schedule breaks the bound`, async (t) => {
+    const result = await fc.check(rateBoundHolds(safeguard), {
       numRuns: 2000,
       seed: 7,
       endOnFailure: true,
@@ -83,7 +91,7 @@
 const COLD = { id: 'i', group: 'g', isCold: true, holderIncarnation: 'run', holderAddress: 'p:1' };
 
 /** The gate of one run, on a clock that the test moves. */
-function gateOf(incarnation: string): {
+function newGate(incarnation: string): {
   readonly gate: SlowStartGate;
   readonly state: { now: number; slowStart: SlowStart | undefined };
   readonly sendAll: (isUrgent: boolean) => number;
@@ -106,12 +114,12 @@
 }
 
 void t.test('the holder sends the rate, and leaves a quarter of it to urgent requests', (t) => {
-  const { gate, state, sendAll } = gateOf('run');
+  const { gate, state, sendAll } = newGate('run');
   t.equal(sendAll(true), 0, 'no lease');
-  gate.extend(3000);
+  gate.extendLease(3000);
   t.equal(sendAll(false), 8);
-  t.same(gate.routeTo(COLD, false), { holder: 'p:1', isOpen: false });
-  t.same(gate.routeTo(COLD, true), { holder: 'p:1', isOpen: true });
+  t.same(gate.routeTo(COLD, false), { holderAddress: 'p:1', canSend: false });
+  t.same(gate.routeTo(COLD, true), { holderAddress: 'p:1', canSend: true });
   t.equal(sendAll(true), 3);
   state.now = 1099;
   t.equal(sendAll(true), 0);
@@ -119,36 +127,36 @@
   t.equal(sendAll(true), 11);
   t.match(gate.counts, { sent: 22 });
   state.now = 2200;
-  const waits = Array.from({ length: 12 }, () => gate.enter(COLD, true));
+  const waits = Array.from({ length: 12 }, () => gate.reserve(COLD, true));
   t.equal(waits.filter(Boolean).length, 11, 'no more wait for a connection than can be sent');
   waits[0]!();
-  t.ok(gate.enter(COLD, true), 'one of them was given up');
+  t.ok(gate.reserve(COLD, true), 'one of them was given up');
   t.end();
 });
 
 void t.test('a holder that is cut off from control sends nothing once its lease has ended', (t) => {
-  const { gate, state, sendAll } = gateOf('run');
-  gate.extend(3000);
+  const { gate, state, sendAll } = newGate('run');
+  gate.extendLease(3000);
   state.now = 2999;
   t.equal(sendAll(true), 11);
   state.now = 5000;
   t.equal(sendAll(true), 0);
-  gate.extend(2000);
+  gate.extendLease(2000);
   t.equal(sendAll(true), 0, 'an answer that comes late brings none');
   t.end();
 });
 
 void t.test('a proxy that does not hold the instance sends it nothing, and knows who does', (t) => {
-  const { gate, sendAll } = gateOf('other');
-  gate.extend(3000);
+  const { gate, sendAll } = newGate('other');
+  gate.extendLease(3000);
   t.equal(sendAll(true), 0);
-  t.same(gate.routeTo(COLD, true), { holder: 'p:1', isOpen: true });
-  t.same(gate.routeTo({ ...COLD, holderAddress: '' }, true), { holder: '', isOpen: false });
+  t.same(gate.routeTo(COLD, true), { holderAddress: 'p:1', canSend: true });
+  t.same(gate.routeTo({ ...COLD, holderAddress: '' }, true), { holderAddress: '', canSend: false });
   t.end();
 });
 
 void t.test('an instance that turns warm, or whose group has no rate, gets all', (t) => {
-  const { gate, state, sendAll } = gateOf('other');
+  const { gate, state, sendAll } = newGate('other');
   t.equal(gate.routeTo({ ...COLD, isCold: false }, false), undefined);
   t.ok(gate.admit({ ...COLD, isCold: false }, false));
   state.slowStart = undefined;
@@ -159,13 +167,17 @@
 });
 
 /** A leader with a catalog of two proxies and a cold instance, whose proposals are committed at once. */
-function leaderOf(): {
+function newLeader(): {
   readonly catalog: Catalog;
   readonly state: { now: number };
   readonly proposals: { fail: boolean };
   readonly newHolders: () => SlowStartHolders;
   readonly apply: (command: whinyoke.ICatalogCommand) => void;
-  readonly beat: (instance: whinyoke.IInstanceEntry, warmupMs: number, isNewest?: boolean) => void;
+  readonly heartbeat: (
+    instance: whinyoke.IInstanceEntry,
+    warmupMs: number,
+    isNewest?: boolean,
+  ) => void;
 } {
   const catalog = new Catalog();
   const state = { now: 0 };
@@ -175,7 +187,7 @@
     catalog.apply(++index, whinyoke.CatalogCommand.encode(command).finish());
   };
   const warmUps = new WarmUpMonitor(clock, catalog, () => undefined);
-  const beat = (instance: whinyoke.IInstanceEntry, warmupMs: number, isNewest = true): void =>
+  const heartbeat = (instance: whinyoke.IInstanceEntry, warmupMs: number, isNewest = true): void =>
     apply({ putInstance: { ...instance, ...warmUps.opinionOn(instance, warmupMs, isNewest) } });
   const proposals = { fail: false };
   const newHolders = (): SlowStartHolders => {
@@ -195,7 +207,7 @@
     holders.begin();
     return holders;
   };
-  return { catalog, state, proposals, newHolders, apply, beat };
+  return { catalog, state, proposals, newHolders, apply, heartbeat };
 }
 
 const PROXIES = ['a', 'b'].map((id) => ({
@@ -205,27 +217,27 @@
   zone: 'z',
 }));
 const REGIONS: Readonly<Record<string, string>> = { z: 'here', y: 'here', x: 'elsewhere' };
-const NEW = { id: 'i', group: 'g', zone: 'z', sequence: 1, born: 500 };
-const settled = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+const NEW_INSTANCE = { id: 'i', group: 'g', zone: 'z', sequence: 1, born: 500 };
+const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
 /** A leader, for long enough that no former one grants leases, that has named the holder of a cold instance. */
-async function heldInstance() {
-  const leader = leaderOf();
+async function instanceWithHolder() {
+  const leader = newLeader();
   leader.apply({ putProxies: { proxies: PROXIES } });
-  leader.beat(NEW, 9000);
+  leader.heartbeat(NEW_INSTANCE, 9000);
   leader.state.now = -STALE_LEADER_MS;
   const holders = leader.newHolders();
   leader.state.now = 0;
   for (const proxy of PROXIES) holders.noteContact(proxy, false);
   holders.review();
-  await settled();
+  await settle();
   const { holder } = leader.catalog.instance('i')!;
   const [first, second] = holder === 'a' ? PROXIES : PROXIES.toReversed();
   return { ...leader, holders, first: first!, second: second! };
 }
 
 void t.test('a holder that died is followed once its lease and its window are over', async (t) => {
-  const { catalog, state, holders, first, second } = await heldInstance();
+  const { catalog, state, holders, first, second } = await instanceWithHolder();
   t.equal(catalog.instance('i')?.holderIncarnation, first.incarnation);
   t.equal(holders.leaseFor(first), 3000);
   t.equal(holders.leaseFor(second), 0);
@@ -238,48 +250,48 @@
   state.now = 4200;
   holders.review();
   t.equal(holders.leaseFor(first), 0, 'the former gets no lease while the next is being named');
-  await settled();
+  await settle();
   t.equal(catalog.instance('i')?.holder, second.id);
   t.equal(holders.leaseFor(second), 3000);
 });
 
 void t.test('an instance has a holder of its own region, or none', async (t) => {
-  const leader = leaderOf();
+  const leader = newLeader();
   const far = { id: 'far', incarnation: 'far1', address: 'far:1', zone: 'x' };
   const near = { id: 'near', incarnation: 'near1', address: 'near:1', zone: 'y' };
   leader.apply({ putProxies: { proxies: [far, near] } });
-  leader.beat(NEW, 9000);
+  leader.heartbeat(NEW_INSTANCE, 9000);
   const holders = leader.newHolders();
   holders.noteContact(far, false);
   holders.review();
-  await settled();
+  await settle();
   t.equal(leader.catalog.instance('i')?.holder, '');
   holders.noteContact(near, false);
   holders.review();
-  await settled();
+  await settle();
   t.equal(leader.catalog.instance('i')?.holder, 'near');
 });
 
 void t.test(
   'a new holder that may or may not be committed costs the former its lease until it is',
   async (t) => {
-    const { catalog, state, holders, first, second, proposals, apply } = await heldInstance();
+    const { catalog, state, holders, first, second, proposals, apply } = await instanceWithHolder();
     state.now = 4200;
     holders.noteContact(second, false);
     proposals.fail = true;
     holders.review();
-    await settled();
+    await settle();
     holders.noteContact(first, false);
     t.equal(holders.leaseFor(first), 0, 'although it is back');
     proposals.fail = false;
     holders.review();
-    await settled();
+    await settle();
     t.equal(catalog.instance('i')?.holder, second.id);
     proposals.fail = true;
     state.now = 8400;
     holders.noteContact(first, false);
     holders.review();
-    await settled();
+    await settle();
     holders.noteContact(second, false);
     t.equal(holders.leaseFor(second), 0);
     apply({ putInstance: { ...catalog.instance('i'), state: whinyoke.InstanceState.GONE } });
@@ -293,17 +305,17 @@
 );
 
 void t.test('a holder that leaves is followed after a window', async (t) => {
-  const { catalog, state, holders, first, second } = await heldInstance();
+  const { catalog, state, holders, first, second } = await instanceWithHolder();
   holders.noteContact(first, true);
   state.now = 1200;
   holders.noteContact(second, false);
   holders.review();
-  await settled();
+  await settle();
   t.equal(catalog.instance('i')?.holder, second.id);
 });
 
 void t.test('a new leader renews at once, and counts on leases of its predecessor', async (t) => {
-  const { catalog, state, newHolders, first, second } = await heldInstance();
+  const { catalog, state, newHolders, first, second } = await instanceWithHolder();
   state.now = 100;
   const successor = newHolders();
   t.equal(successor.leaseFor(first), 3000);
@@ -315,40 +327,40 @@
   }
   state.now = 5300;
   successor.review();
-  await settled();
+  await settle();
   t.equal(catalog.instance('i')?.holder, second.id);
 });
 
 void t.test('an instance is cold from its first heartbeat until one that tells the end', (t) => {
-  const { catalog, beat } = leaderOf();
-  beat(NEW, 9000);
+  const { catalog, heartbeat } = newLeader();
+  heartbeat(NEW_INSTANCE, 9000);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 1 });
-  beat({ ...NEW, sequence: 2 }, 10);
+  heartbeat({ ...NEW_INSTANCE, sequence: 2 }, 10);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 1 });
   const restored = new Catalog();
   restored.restore(1, catalog.serialize());
   t.match(restored.instance('i'), { isCold: true, coldSince: 1 }, 'snapshots hold it');
-  beat({ ...NEW, sequence: 3 }, 0);
+  heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0);
   t.match(catalog.instance('i'), { isCold: false, coldSince: 0 });
-  beat({ ...NEW, sequence: 4, born: 900 }, 9000);
+  heartbeat({ ...NEW_INSTANCE, sequence: 4, born: 900 }, 9000);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 4 }, 'born again');
-  beat({ id: 'j', group: 'g', zone: 'z', sequence: 1 }, 0);
+  heartbeat({ id: 'j', group: 'g', zone: 'z', sequence: 1 }, 0);
   t.match(catalog.instance('j'), { isCold: false }, 'it tells no warm-up');
   t.end();
 });
 
 void t.test('a heartbeat from before an evacuation ended does not end the coldness', (t) => {
-  const { catalog, state, beat } = leaderOf();
-  beat(NEW, 0);
-  beat({ ...NEW, sequence: 2 }, 500);
+  const { catalog, state, heartbeat } = newLeader();
+  heartbeat(NEW_INSTANCE, 0);
+  heartbeat({ ...NEW_INSTANCE, sequence: 2 }, 500);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 2 }, 'cold without a new incarnation');
   state.now = 2999;
-  beat({ ...NEW, sequence: 3 }, 0);
+  heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0);
   t.ok(catalog.instance('i')?.isCold, 'it may have been sent before');
   state.now = 3000;
-  beat({ ...NEW, sequence: 3 }, 0, false);
+  heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0, false);
   t.ok(catalog.instance('i')?.isCold, 'a newer one was heard');
-  beat({ ...NEW, sequence: 4 }, 0);
+  heartbeat({ ...NEW_INSTANCE, sequence: 4 }, 0);
   t.notOk(catalog.instance('i')?.isCold);
   t.end();
 });
@@ -357,16 +369,16 @@
   'the end of an evacuation cools a zone, and an opinion of before changes nothing',
   (t) => {
     const table = new InstanceTable();
-    table.put(1, NEW);
-    table.put(2, { ...NEW, id: 'j', zone: 'y' });
+    table.put(1, NEW_INSTANCE);
+    table.put(2, { ...NEW_INSTANCE, id: 'j', zone: 'y' });
     t.ok(table.cool('z', 7));
     t.match(table.get('i'), { isCold: true, coldSince: 7, version: 7 });
     t.notOk(table.get('j')?.isCold);
     t.ok(table.setHolder(8, { instance: 'i', holder: 'a', incarnation: 'a1', address: 'a:1' }));
     t.notOk(table.setHolder(9, { instance: 'i', incarnation: 'b1' }), 'it follows nobody');
-    table.put(10, { ...NEW, isCold: false, coldSince: 0 });
+    table.put(10, { ...NEW_INSTANCE, isCold: false, coldSince: 0 });
     t.match(table.get('i'), { isCold: true, coldSince: 7, holder: 'a' });
-    table.put(11, { ...NEW, isCold: false, coldSince: 7 });
+    table.put(11, { ...NEW_INSTANCE, isCold: false, coldSince: 7 });
     t.match(table.get('i'), { isCold: false, coldSince: 0, holder: 'a' }, 'the holder stays');
     t.notOk(table.cool('x', 12));
     t.end();
