--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -19,7 +19,7 @@
 import type { Position } from '../../positions/position.js';
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
-import { countServableRoutes } from '../placement/primary_homes.js';
+import { countServableRoutes } from '../placement/servable_routes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Timer } from '../../runtime/runtime.js';
 import { DirectQuestions } from './direct_questions.js';
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -15,7 +15,7 @@
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
-import { type PrimaryPlacement, countServableRoutes } from '../placement/primary_homes.js';
+import { type PrimaryPlacement, countServableRoutes } from '../placement/servable_routes.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
 import { appointmentObjection } from './appointment_fence.js';
--- a/src/appointed/proxy/primary_positions.ts
+++ b/src/appointed/proxy/primary_positions.ts
@@ -7,7 +7,7 @@
 import type { Position } from '../../positions/position.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { type Clock, delay } from '../../runtime/runtime.js';
-import { MinimumPosition } from '../routing/position_floor.js';
+import { MinimumPosition } from '../routing/minimum_position.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import { SharedPositions, sharedPositionsOf } from './shared_positions.js';
 
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -21,7 +21,7 @@
 } from '../sessions/statement_runner.js';
 import { isWithinAllowedRegions } from '../placement/data_residency.js';
 import { causeText } from '../routing/refusal_cause.js';
-import { isInstanceAllowed } from '../routing/request_homes.js';
+import { isInstanceAllowed } from '../routing/request_allowed_regions.js';
 import { type Target } from '../routing/target_planner.js';
 import { durationOf } from '../../runtime/duration.js';
 import { type RelayedCommand, decodeRelayCommand, encodeRelayAnswer } from './relay_codec.js';
--- a/src/appointed/routing/request_homes.ts
+++ b/src/appointed/routing/request_allowed_regions.ts
@@ -15,7 +15,7 @@
 import type { Tenant } from '../tenancy/tenant.js';
 import type { RefusalCause } from './refusal_cause.js';
 import type { RequestDeadline } from './request_deadline.js';
-import type { RetryBackoff } from './retry_pause.js';
+import type { RetryBackoff } from './retry_backoff.js';
 
 /** Regions to which a request is bound now. */
 export function allowedRegionsOf(
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -15,7 +15,7 @@
 import { type Position, latest } from '../../positions/position.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
 import { orderReadCandidates } from './replica_selector.js';
-import { allowedRegionsOf, isInstanceAllowed } from './request_homes.js';
+import { allowedRegionsOf, isInstanceAllowed } from './request_allowed_regions.js';
 import type { Route } from '../catalog/route_table.js';
 import type { AllowedRegions } from '../placement/data_residency.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
--- a/src/appointed/scheduling/service_order.ts
+++ b/src/appointed/scheduling/service_order.ts
@@ -12,7 +12,7 @@
  *
  * docs/design/scheduling.md compares it with other orders, by the replays in test/unit/scheduling.test.ts.
  */
-import { TenantUsage } from './tenant_use.js';
+import { TenantUsage } from './tenant_usage.js';
 
 /** A request that waits. Times are clock readings in milliseconds. */
 export interface QueuedRequest {
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -24,8 +24,8 @@
   noInstanceCause,
   allowedRegionsOf,
   isInstanceAllowed,
-} from '../routing/request_homes.js';
-import { RetryBackoff } from '../routing/retry_pause.js';
+} from '../routing/request_allowed_regions.js';
+import { RetryBackoff } from '../routing/retry_backoff.js';
 import type { EvacuationStage } from '../placement/evacuated_zones.js';
 import type { Route } from '../catalog/route_table.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -22,8 +22,8 @@
   isSlowStartCause,
 } from '../routing/refusal_cause.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
-import { awaitPrimaryPosition, noInstanceCause } from '../routing/request_homes.js';
-import { RetryBackoff } from '../routing/retry_pause.js';
+import { awaitPrimaryPosition, noInstanceCause } from '../routing/request_allowed_regions.js';
+import { RetryBackoff } from '../routing/retry_backoff.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { SessionContent } from './session_loader.js';
 import type { DataStatement } from '../instance/statement.js';
--- a/src/appointed/trust/primary_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -6,7 +6,10 @@
 import { isPrimaryBlockedByEvacuation } from '../routing/evacuated_primary.js';
 import { primaryChangeAgeMs } from '../routing/refusal.js';
 import type { RequestDeadline } from '../routing/request_deadline.js';
-import { allowedRegionsOf, isExcludedByAllowedRegions } from '../routing/request_homes.js';
+import {
+  allowedRegionsOf,
+  isExcludedByAllowedRegions,
+} from '../routing/request_allowed_regions.js';
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { type Target, primaryWithinRegions } from '../routing/target_planner.js';
 import type { Tenant } from '../tenancy/tenant.js';
--- a/test/unit/primary_homes.test.ts
+++ b/test/unit/primary_homes.test.ts
@@ -8,7 +8,7 @@
 import { InstanceMonitor } from '../../src/appointed/failover/instance_monitor.js';
 import type { ChangerContext } from '../../src/appointed/failover/primary_changer.js';
 import { PrimaryHealthOpinions } from '../../src/appointed/failover/primary_health_opinions.js';
-import { countServableRoutes } from '../../src/appointed/placement/primary_homes.js';
+import { countServableRoutes } from '../../src/appointed/placement/servable_routes.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { tableWithGroup } from '../tools/route_table.js';
 
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -13,7 +13,7 @@
 import { IdleTimeout } from '../../src/appointed/connections/idle_timeout.js';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import { AcquireError } from '../../src/appointed/connections/acquire_error.js';
-import { MinimumPosition } from '../../src/appointed/routing/position_floor.js';
+import { MinimumPosition } from '../../src/appointed/routing/minimum_position.js';
 import { PrimaryHealthTracker } from '../../src/appointed/trust/primary_health_tracker.js';
 import { orderReadCandidates } from '../../src/appointed/routing/replica_selector.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
--- a/test/unit/slow_start.test.ts
+++ b/test/unit/slow_start.test.ts
@@ -14,7 +14,7 @@
   type Safeguard,
   SlowStartScenario,
   type Step,
-} from '../tools/slow_start_play.js';
+} from '../tools/slow_start_scenario.js';
 
 const ACTIONS: readonly Step['action'][] = [
   ...(['wait', 'wait', 'wait', 'newLeader', 'cut', 'cut', 'freeze', 'restart', 'leave'] as const),
