--- a/lab/appointed/emulated_instance.ts
+++ b/lab/appointed/emulated_instance.ts
@@ -13,7 +13,7 @@
   type InstanceCommand,
   type PreparedShape,
   accessOf,
-  sharedName,
+  sharedPreparedName,
 } from '../../src/appointed/instance/statement.js';
 import { delay } from '../../src/runtime/runtime.js';
 import { type Position, START, covers } from '../../src/positions/position.js';
@@ -232,7 +232,7 @@
         session.values.set(command.name, command.value);
         return this.ok(session);
       case 'prepare':
-        session.preparedByName.set(sharedName(command.prepared), command.prepared);
+        session.preparedByName.set(sharedPreparedName(command.prepared), command.prepared);
         return this.ok(session);
       case 'reset':
         session.values.clear();
@@ -265,7 +265,7 @@
       role: storage.role,
       term: storage.term,
       received: this.received,
-      heldTerm: this.heldTerm,
+      fencedTerm: this.heldTerm,
       lagMs: this.lagMs,
     };
     return { ...this.ok(session), status };
@@ -295,7 +295,7 @@
     if (command.after && !covers(this.applied, command.after)) return this.fail(session, 'lagging');
     if (
       statement.kind === 'execute' &&
-      !session.preparedByName.has(sharedName(statement.prepared))
+      !session.preparedByName.has(sharedPreparedName(statement.prepared))
     ) {
       return this.fail(session, 'unknownName');
     }
--- a/src/appointed/connections/concurrency_limit.ts
+++ b/src/appointed/connections/concurrency_limit.ts
@@ -20,63 +20,60 @@
 /** Fraction of the limit that is left after a BUSY. Guess, not measured. */
 const LIMIT_DECREASE_FACTOR = 0.5;
 /** First pause, in milliseconds. Guess, not measured. */
-const SHORTEST_BUSY_PAUSE_MS = 10;
+const MIN_BUSY_PAUSE_MS = 10;
 /** Longest pause, in milliseconds: six doublings of the first. Guess, not measured. */
-const LONGEST_BUSY_PAUSE_MS = 640;
+const MAX_BUSY_PAUSE_MS = 640;
 /** Fraction of the pause that is left after a statement was served: many proxies take turns. Guess, not measured. */
 const BUSY_PAUSE_DECAY = 0.8;
 /** Refusals within this time of one count once, in milliseconds: they come from the same moment. Guess, not measured. */
-const REFUSAL_SPACING_MS = 20;
+const BUSY_COALESCE_WINDOW_MS = 20;
 /** From so many statements at a time (a count) on the limit is lifted: it holds back nothing. Guess, not measured. */
-const UNLIMITED_FROM = 64;
+const LIMIT_REMOVAL_THRESHOLD = 64;
 
 /** Concurrency limit of one pool. */
 export class ConcurrencyLimit {
   private limit = Infinity;
   private pauseMs = 0;
   private pausedUntil = -Infinity;
-  private refusedAt = -Infinity;
+  private lastBusyAt = -Infinity;
 
   constructor(private readonly random: RandomSource) {}
 
   /** Most statements at a time; infinite while the instance turns none away. */
-  get size(): number {
+  get maxInFlight(): number {
     return this.limit;
   }
 
   /** Milliseconds until anything may be sent. */
-  remainingPause(now: number): number {
+  remainingPauseMs(now: number): number {
     return Math.max(0, this.pausedUntil - now);
   }
 
   /** Whether another statement may be sent beside `underWay` ones. */
-  allows(underWay: number, now: number): boolean {
-    return now >= this.pausedUntil && underWay < Math.max(1, Math.floor(this.limit));
+  allows(inFlight: number, now: number): boolean {
+    return now >= this.pausedUntil && inFlight < Math.max(1, Math.floor(this.limit));
   }
 
   /**
    * Lowers the limit: the instance answered BUSY while `underWay` statements were under way, this one included.
    * @returns whether that changed anything
    */
-  noteBusy(underWay: number, now: number): boolean {
-    if (now - this.refusedAt < REFUSAL_SPACING_MS) return false;
-    this.refusedAt = now;
-    const present = Math.min(this.limit, Math.max(1, underWay));
-    this.limit = Math.max(1, present * LIMIT_DECREASE_FACTOR);
+  recordBusy(inFlight: number, now: number): boolean {
+    if (now - this.lastBusyAt < BUSY_COALESCE_WINDOW_MS) return false;
+    this.lastBusyAt = now;
+    const currentLimit = Math.min(this.limit, Math.max(1, inFlight));
+    this.limit = Math.max(1, currentLimit * LIMIT_DECREASE_FACTOR);
     if (this.limit > 1) return true;
-    this.pauseMs = Math.min(
-      LONGEST_BUSY_PAUSE_MS,
-      Math.max(SHORTEST_BUSY_PAUSE_MS, this.pauseMs * 2),
-    );
+    this.pauseMs = Math.min(MAX_BUSY_PAUSE_MS, Math.max(MIN_BUSY_PAUSE_MS, this.pauseMs * 2));
     this.pausedUntil = now + this.pauseMs * (0.5 + this.random.next());
     return true;
   }
 
   /** Raises the limit, if there is one: the instance served a statement. */
-  noteServed(): void {
+  recordServed(): void {
     if (this.limit === Infinity) return;
     this.pauseMs *= BUSY_PAUSE_DECAY;
     this.limit += 1 / this.limit;
-    if (this.limit >= UNLIMITED_FROM) this.limit = Infinity;
+    if (this.limit >= LIMIT_REMOVAL_THRESHOLD) this.limit = Infinity;
   }
 }
--- a/src/appointed/connections/connect_backoff.ts
+++ b/src/appointed/connections/connect_backoff.ts
@@ -13,7 +13,7 @@
  * docs/design/connection-shares.md describes it; test/unit/router.test.ts holds it.
  */
 import type { Clock, RandomSource } from '../../runtime/runtime.js';
-import type { ConnectionShare } from './connection_share.js';
+import type { ConnectionQuota } from './connection_share.js';
 
 /** Nothing is opened for this time after the instance could not be reached, in milliseconds. Guess, not measured. */
 const RECONNECT_DELAY_MS = 100;
@@ -26,29 +26,31 @@
  * Shortest pause of a pool without connections after the instance had none left, in milliseconds: other proxies give
  * theirs back all the time. Guess, not measured.
  */
-const SHORTEST_LIMIT_PAUSE_MS = 10;
+const MIN_LIMIT_PAUSE_MS = 10;
 /** Longest such pause, in milliseconds: drawn at random, so that proxies don't ask together. Guess, not measured. */
-const LONGEST_LIMIT_PAUSE_MS = 30;
+const MAX_LIMIT_PAUSE_MS = 30;
 
 /** Connect backoff of one pool. */
 export class ConnectBackoff {
   private clampedUntil = -Infinity;
   /** Connections that the pool had when the instance took no further one. */
-  private clampedTo = Infinity;
+  private clampedLimit = Infinity;
   private unreachableUntil = -Infinity;
   /** Whether the instance had no connection left a moment ago; nothing is tried for a short time. */
-  private isLimited = false;
+  private isPausedAtLimit = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly random: RandomSource,
-    private readonly share: () => ConnectionShare,
+    private readonly quota: () => ConnectionQuota,
   ) {}
 
   /** Most connections now. */
-  get limit(): number {
-    const { most } = this.share();
-    return this.clock.now() < this.clampedUntil ? Math.min(most, this.clampedTo) : most;
+  get maxConnections(): number {
+    const { maxConnections } = this.quota();
+    return this.clock.now() < this.clampedUntil
+      ? Math.min(maxConnections, this.clampedLimit)
+      : maxConnections;
   }
 
   /** Whether the instance could not be reached a moment ago. */
@@ -57,12 +59,12 @@
   }
 
   /** Whether opening may be tried at all now. */
-  get isOpen(): boolean {
-    return !this.isUnreachable && !this.isLimited;
+  get mayConnect(): boolean {
+    return !this.isUnreachable && !this.isPausedAtLimit;
   }
 
   /** Holds openings back: the instance could not be reached, or another one has its address. */
-  noteUnreachable(isOtherInstance: boolean): void {
+  recordUnreachable(isOtherInstance: boolean): void {
     const delayMs = isOtherInstance ? WRONG_INSTANCE_DELAY_MS : RECONNECT_DELAY_MS;
     this.unreachableUntil = this.clock.now() + delayMs;
   }
@@ -71,16 +73,16 @@
    * Holds openings back: the instance took no further connection beside the `size` ones of this pool. Where the pool has
    * none, `resume` is called when it may try again.
    */
-  noteLimit(size: number, resume: () => void): void {
+  recordConnectionLimit(size: number, resume: () => void): void {
     if (size > 0) {
-      this.clampedTo = size;
-      this.clampedUntil = this.clock.now() + this.share().clampMs;
+      this.clampedLimit = size;
+      this.clampedUntil = this.clock.now() + this.quota().clampMs;
       return;
     }
-    const pauseMs = this.random.integer(SHORTEST_LIMIT_PAUSE_MS, LONGEST_LIMIT_PAUSE_MS);
-    this.isLimited = true;
+    const pauseMs = this.random.integer(MIN_LIMIT_PAUSE_MS, MAX_LIMIT_PAUSE_MS);
+    this.isPausedAtLimit = true;
     this.clock.setTimer(pauseMs, () => {
-      this.isLimited = false;
+      this.isPausedAtLimit = false;
       resume();
     });
   }
--- a/src/appointed/connections/connection_opener.ts
+++ b/src/appointed/connections/connection_opener.ts
@@ -38,7 +38,7 @@
 /** Opener of one pool. */
 export class ConnectionOpener {
   /** Tenants of the openings under way, each as often as it has openings. */
-  private readonly tenants: string[] = [];
+  private readonly openingTenants: string[] = [];
   private smoothedMs = INITIAL_CONNECT_MS;
 
   constructor(
@@ -51,7 +51,7 @@
 
   /** Openings under way. */
   get count(): number {
-    return this.tenants.length;
+    return this.openingTenants.length;
   }
 
   /** Smoothed time of an opening, in milliseconds. */
@@ -62,29 +62,29 @@
   /** Openings under way for a tenant; for all tenants when undefined. */
   countOf(tenant: string | undefined): number {
     if (tenant === undefined) return this.count;
-    return this.tenants.filter((other) => other === tenant).length;
+    return this.openingTenants.filter((other) => other === tenant).length;
   }
 
   /** Opens a connection for a tenant; the listener is called when that ends. */
   open(tenant: string): void {
-    this.tenants.push(tenant);
+    this.openingTenants.push(tenant);
     const startedAt = this.clock.now();
     this.connector.connect(this.target, this.timeoutMs, tenant).then(
       ({ connection, position }) => {
-        this.end(tenant);
+        this.removeOpening(tenant);
         const durationMs = this.clock.now() - startedAt;
         this.smoothedMs += CONNECT_TIME_WEIGHT * (durationMs - this.smoothedMs);
         this.listener.onOpened({ connection, tenant, position, startedAt });
       },
       (error: unknown) => {
         // Connectors reject with ConnectError only, by their interface; any other error counts as out of reach.
-        this.end(tenant);
+        this.removeOpening(tenant);
         this.listener.onFailed(error instanceof ConnectError ? error : undefined);
       },
     );
   }
 
-  private end(tenant: string): void {
-    this.tenants.splice(this.tenants.indexOf(tenant), 1);
+  private removeOpening(tenant: string): void {
+    this.openingTenants.splice(this.openingTenants.indexOf(tenant), 1);
   }
 }
--- a/src/appointed/connections/connection_share.ts
+++ b/src/appointed/connections/connection_share.ts
@@ -15,9 +15,9 @@
  */
 
 /** Connections that one proxy may hold to one instance. */
-export interface ConnectionShare {
+export interface ConnectionQuota {
   /** Most connections at a time. */
-  readonly most: number;
+  readonly maxConnections: number;
   /** Idle connections that are kept. */
   readonly minimumIdle: number;
   /** Idle connections beyond those are closed after this time at the latest, in milliseconds. */
@@ -37,14 +37,14 @@
  */
 const BURST_FACTOR = 2.5;
 /** Most connections of a proxy as a fraction of all, where each keeps its own. Guess, not measured. */
-const LARGEST_FRACTION = 0.4;
+const MAX_QUOTA_FRACTION = 0.4;
 /** Most connections of a proxy as a fraction of all, where they are scarce, for a moment. Guess, not measured. */
-const LARGEST_SCARCE_FRACTION = 0.2;
+const MAX_SCARCE_QUOTA_FRACTION = 0.2;
 /** From this equal share (a count) on, proxies keep connections of their own. Known to be wrong, see above. */
-const AMPLE_EQUAL_SHARE = 2;
+const MIN_FAIR_SHARE = 2;
 
 /** Where each proxy keeps connections of its own. */
-const AMPLE: Omit<ConnectionShare, 'most'> = {
+const SUFFICIENT_CONNECTIONS: Omit<ConnectionQuota, 'maxConnections'> = {
   /** Saves the first request of a burst an opening. Guess, not measured. */
   minimumIdle: 1,
   /**
@@ -58,7 +58,7 @@
 };
 
 /** Where proxies keep none. */
-const SCARCE: Omit<ConnectionShare, 'most'> = {
+const SCARCE_CONNECTIONS: Omit<ConnectionQuota, 'maxConnections'> = {
   /** Others need the connection. */
   minimumIdle: 0,
   /** Longest time; {@link IdleTimeout} shortens it. Guess, not measured. */
@@ -67,24 +67,27 @@
   clampMs: 100,
 };
 
-function equalShareOf(connectionLimit: number, liveProxies: number): number {
+function fairShareOf(connectionLimit: number, liveProxies: number): number {
   const usable = Math.max(1, connectionLimit - RESERVED_CONNECTIONS);
   return Math.floor(usable / Math.max(1, liveProxies));
 }
 
 /** Whether an instance has too few connections for each proxy to keep its own. */
 export function isScarce(connectionLimit: number, liveProxies: number): boolean {
-  return equalShareOf(connectionLimit, liveProxies) < AMPLE_EQUAL_SHARE;
+  return fairShareOf(connectionLimit, liveProxies) < MIN_FAIR_SHARE;
 }
 
 /** Share of one of `liveProxies` proxies in an instance that takes `connectionLimit` connections. */
-export function connectionShare(connectionLimit: number, liveProxies: number): ConnectionShare {
+export function connectionQuota(connectionLimit: number, liveProxies: number): ConnectionQuota {
   const usable = Math.max(1, connectionLimit - RESERVED_CONNECTIONS);
-  const equalShare = equalShareOf(connectionLimit, liveProxies);
-  if (equalShare < AMPLE_EQUAL_SHARE) {
-    return { ...SCARCE, most: Math.max(1, Math.floor(usable * LARGEST_SCARCE_FRACTION)) };
+  const fairShare = fairShareOf(connectionLimit, liveProxies);
+  if (fairShare < MIN_FAIR_SHARE) {
+    return {
+      ...SCARCE_CONNECTIONS,
+      maxConnections: Math.max(1, Math.floor(usable * MAX_SCARCE_QUOTA_FRACTION)),
+    };
   }
-  const largest = Math.floor(usable * LARGEST_FRACTION);
-  const burst = Math.min(Math.floor(equalShare * BURST_FACTOR), largest);
-  return { ...AMPLE, most: Math.max(equalShare, burst) };
+  const maxQuota = Math.floor(usable * MAX_QUOTA_FRACTION);
+  const burst = Math.min(Math.floor(fairShare * BURST_FACTOR), maxQuota);
+  return { ...SUFFICIENT_CONNECTIONS, maxConnections: Math.max(fairShare, burst) };
 }
--- a/src/appointed/connections/connection_source.ts
+++ b/src/appointed/connections/connection_source.ts
@@ -12,17 +12,17 @@
   /** @throws AcquireError when none could be had within `timeoutMs` */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection>;
   /** Whether the next statement on a connection may have these homes: another proxy may keep it, which gets its body. */
-  mayCarry(pooled: PooledConnection, homes: Homes): boolean;
+  satisfiesResidency(pooled: PooledConnection, allowedRegions: Homes): boolean;
   /** Gives a connection back; it has no transaction and no answer outstanding. */
   release(pooled: PooledConnection): void;
   /** Closes a connection whose state is unknown. */
   discard(pooled: PooledConnection): void;
   /** A statement of a transaction begins on its connection. */
-  wake(pooled: PooledConnection): void;
+  markActive(pooled: PooledConnection): void;
   /** A transaction waits for its caller. */
-  rest(pooled: PooledConnection): void;
+  markIdleInTransaction(pooled: PooledConnection): void;
   /** The instance turned a statement away since it was busy. */
-  noteBusy(pooled: PooledConnection): void;
+  recordBusy(pooled: PooledConnection): void;
   /** The instance served a statement. */
-  noteServed(pooled: PooledConnection): void;
+  recordServed(pooled: PooledConnection): void;
 }
--- a/src/appointed/connections/connections_in_use.ts
+++ b/src/appointed/connections/connections_in_use.ts
@@ -54,10 +54,10 @@
   }
 
   /** Closes those whose transaction has waited for its caller since `latest` or before; returns how many. */
-  closeResting(latest: number): number {
+  closeIdleTransactions(idleSinceBefore: number): number {
     let count = 0;
     for (const { connection, isActive, idleSince } of this.connections) {
-      if (isActive || connection.closed || idleSince > latest) continue;
+      if (isActive || connection.closed || idleSince > idleSinceBefore) continue;
       connection.close();
       count++;
     }
--- a/src/appointed/connections/demand_opener.ts
+++ b/src/appointed/connections/demand_opener.ts
@@ -14,14 +14,14 @@
 import type { InstanceLoad } from './instance_load.js';
 import {
   isOpeningWorthwhile,
-  longestWaitForTurn,
-  mostStatements,
-  waitForTurn,
+  maxQueueWaitMs,
+  maxStatementsInFlight,
+  estimateQueueWaitMs,
 } from './opening_rule.js';
 import type { WaiterQueue } from './waiter_queue.js';
 
 /** The parts of a pool that tell whether a connection is wanted, and what the pool does about it. */
-export interface PoolParts {
+export interface DemandOpenerDependencies {
   readonly clock: Clock;
   readonly load: InstanceLoad;
   readonly limit: ConcurrencyLimit;
@@ -39,62 +39,63 @@
 
 /** Opener for the requests that wait at one pool. */
 export class DemandOpener {
-  private turnTimer: Timer | undefined;
+  private queueWaitTimer: Timer | undefined;
   private pauseTimer: Timer | undefined;
 
-  constructor(private readonly parts: PoolParts) {}
+  constructor(private readonly dependencies: DemandOpenerDependencies) {}
 
   /** Opens the connections that the requests that wait are worth, now or after the pause of the concurrency limit. */
-  refill(): void {
-    const { clock, limit, waiters } = this.parts;
+  openForWaiters(): void {
+    const { clock, limit, waiters } = this.dependencies;
     if (waiters.length === 0) return;
-    const pauseMs = limit.remainingPause(clock.now());
+    const pauseMs = limit.remainingPauseMs(clock.now());
     if (pauseMs > 0) {
       this.resumeAfter(pauseMs);
       return;
     }
     for (const tenant of waiters.tenants) {
       if (this.isWorthwhile(tenant)) this.openFor(tenant);
-      else this.openIfNoTurnComes();
+      else this.openAfterMaxQueueWait();
     }
   }
 
   /** Cancels both timers. */
   close(): void {
     this.pauseTimer?.cancel();
-    this.turnTimer?.cancel();
+    this.queueWaitTimer?.cancel();
   }
 
   private resumeAfter(pauseMs: number): void {
-    this.pauseTimer ??= this.parts.clock.setTimer(pauseMs, () => {
+    this.pauseTimer ??= this.dependencies.clock.setTimer(pauseMs, () => {
       this.pauseTimer = undefined;
-      this.parts.serveWaiters();
+      this.dependencies.serveWaiters();
     });
   }
 
   private isWorthwhile(tenant: string | undefined): boolean {
-    const { load, waiters, inUse, opener } = this.parts;
-    const inTurn = inUse.activeOf(tenant) + opener.countOf(tenant);
-    const turnMs = waitForTurn(waiters.countOf(tenant), inTurn, load.latency);
-    return isOpeningWorthwhile(turnMs, opener.connectMs);
+    const { load, waiters, inUse, opener } = this.dependencies;
+    const connections = inUse.activeOf(tenant) + opener.countOf(tenant);
+    const queueWaitMs = estimateQueueWaitMs(waiters.countOf(tenant), connections, load.latencyMs);
+    return isOpeningWorthwhile(queueWaitMs, opener.connectMs);
   }
 
   private openFor(tenant: string | undefined): void {
-    const { clock, limit, waiters, idle, inUse, opener } = this.parts;
-    const inTurn = inUse.active + opener.count;
-    const isAllowed = limit.allows(inTurn, clock.now());
-    if (!isAllowed || inTurn >= mostStatements(this.parts.slots())) return;
-    if (idle.hasFor(tenant)) return;
-    if (waiters.countOf(tenant) > opener.countOf(tenant)) this.parts.open(tenant ?? NO_TENANT);
+    const { clock, limit, waiters, idle, inUse, opener } = this.dependencies;
+    const connections = inUse.active + opener.count;
+    const isAllowed = limit.allows(connections, clock.now());
+    if (!isAllowed || connections >= maxStatementsInFlight(this.dependencies.slots())) return;
+    if (idle.hasConnectionFor(tenant)) return;
+    if (waiters.countOf(tenant) > opener.countOf(tenant))
+      this.dependencies.open(tenant ?? NO_TENANT);
   }
 
   /** A statement that takes unusually long must not hold up the requests that wait for its connection. */
-  private openIfNoTurnComes(): void {
-    const { clock, waiters, opener } = this.parts;
-    this.turnTimer ??= clock.setTimer(longestWaitForTurn(opener.connectMs), () => {
-      this.turnTimer = undefined;
+  private openAfterMaxQueueWait(): void {
+    const { clock, waiters, opener } = this.dependencies;
+    this.queueWaitTimer ??= clock.setTimer(maxQueueWaitMs(opener.connectMs), () => {
+      this.queueWaitTimer = undefined;
       for (const tenant of waiters.tenants) this.openFor(tenant);
-      this.refill();
+      this.openForWaiters();
     });
   }
 }
--- a/src/appointed/connections/expected_wait.ts
+++ b/src/appointed/connections/expected_wait.ts
@@ -13,16 +13,16 @@
  */
 
 /** Time between two starts, in milliseconds; 0 where nothing limits them. */
-export function startSpacing(atATime: number, statementMs: number): number {
-  return statementMs / atATime;
+export function startSpacingMs(concurrency: number, statementMs: number): number {
+  return statementMs / concurrency;
 }
 
 /** Time until a request is started that comes after `ahead` others, in milliseconds. */
-export function expectedWait(
+export function expectedWaitMs(
   pauseMs: number,
-  ahead: number,
-  atATime: number,
+  requestsAhead: number,
+  concurrency: number,
   statementMs: number,
 ): number {
-  return pauseMs + (ahead / atATime) * statementMs;
+  return pauseMs + (requestsAhead / concurrency) * statementMs;
 }
--- a/src/appointed/connections/idle_connections.ts
+++ b/src/appointed/connections/idle_connections.ts
@@ -20,8 +20,8 @@
   }
 
   /** Whether one may carry statements of a tenant; of the system itself when undefined. */
-  hasFor(tenant: string | undefined): boolean {
-    return this.connections.some((pooled) => pooled.serves(tenant));
+  hasConnectionFor(tenant: string | undefined): boolean {
+    return this.connections.some((pooled) => pooled.canServeTenant(tenant));
   }
 
   /** Takes out the one that is closest to a request's session; of equal ones the one used last. */
@@ -29,8 +29,8 @@
     let best: PooledConnection | undefined;
     let bestDistance = Infinity;
     for (const pooled of this.connections) {
-      if (!pooled.serves(request.tenant)) continue;
-      const distance = pooled.distanceTo(request.values);
+      if (!pooled.canServeTenant(request.tenant)) continue;
+      const distance = pooled.commandsToLoad(request.values);
       if (distance > bestDistance) continue;
       best = pooled;
       bestDistance = distance;
@@ -41,8 +41,8 @@
 
   /** Takes one out; does nothing when it is not idle. */
   remove(pooled: PooledConnection): void {
-    const place = this.connections.indexOf(pooled);
-    if (place >= 0) this.connections.splice(place, 1);
+    const index = this.connections.indexOf(pooled);
+    if (index >= 0) this.connections.splice(index, 1);
   }
 
   /** Takes out and closes the one that is idle for longest; false when there is none. */
@@ -53,9 +53,9 @@
   }
 
   /** Closes those that were idle for longer than `timeoutMs`, but for the `kept` newest ones. */
-  closeExpired(now: number, timeoutMs: number, kept: number): void {
+  closeExpired(now: number, timeoutMs: number, keepCount: number): void {
     const isExpired = (): boolean => now - this.connections[0]!.idleSince > timeoutMs;
-    while (this.connections.length > kept && isExpired()) this.closeOldest();
+    while (this.connections.length > keepCount && isExpired()) this.closeOldest();
   }
 
   /** Closes all. */
--- a/src/appointed/connections/idle_timeout.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -15,7 +15,7 @@
  */
 
 /** Shortest time-out, in milliseconds: connections are opened and closed all the time below it. Guess, not measured. */
-const SHORTEST_IDLE_TIMEOUT_MS = 50;
+const MIN_IDLE_TIMEOUT_MS = 50;
 /** Added with each connection that could be opened, in milliseconds. Guess, not measured. */
 const TIMEOUT_INCREASE_MS = 10;
 /** Fraction of the time-out that is left after a refusal. Guess, not measured. */
@@ -27,18 +27,18 @@
   private timeoutMs = Infinity;
 
   /** Lengthens the time-out: a connection could be opened. */
-  noteOpened(): void {
+  recordOpened(): void {
     this.timeoutMs += TIMEOUT_INCREASE_MS;
   }
 
   /** Halves the time-out: the instance had no connection left. `longestMs` is the time-out by the share. */
-  noteLimit(longestMs: number): void {
-    const present = Math.min(this.timeoutMs, longestMs);
-    this.timeoutMs = Math.max(SHORTEST_IDLE_TIMEOUT_MS, present * TIMEOUT_DECREASE_FACTOR);
+  recordConnectionLimit(quotaTimeoutMs: number): void {
+    const currentMs = Math.min(this.timeoutMs, quotaTimeoutMs);
+    this.timeoutMs = Math.max(MIN_IDLE_TIMEOUT_MS, currentMs * TIMEOUT_DECREASE_FACTOR);
   }
 
   /** Time after which an idle connection is closed, in milliseconds. `longestMs` is the time-out by the share. */
-  current(longestMs: number): number {
-    return Math.min(this.timeoutMs, longestMs);
+  effectiveMs(quotaTimeoutMs: number): number {
+    return Math.min(this.timeoutMs, quotaTimeoutMs);
   }
 }
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -12,8 +12,8 @@
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { ConnectionOwners, type OwnedInstance } from '../relay/connection_owners.js';
 import { OwnerHealth } from '../relay/owner_health.js';
-import { InstanceAccess, type InstanceWays } from '../relay/instance_access.js';
-import type { RelaySurroundings } from '../relay/relayed_connection.js';
+import { InstanceAccess, type InstanceRouting } from '../relay/instance_access.js';
+import type { RelayDependencies } from '../relay/relayed_connection.js';
 import type { Runtime } from '../../runtime/runtime.js';
 import type { Position } from '../../positions/position.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
@@ -36,12 +36,12 @@
 const { InstanceState } = whinyoke;
 
 /** Longest time of an opening, in milliseconds. Guess, not measured. */
-const OPENING_TIMEOUT_MS = 600;
+const CONNECT_TIMEOUT_MS = 600;
 /** Slots (a count) of an instance whose heartbeat names none. Guess, not measured. */
-const UNKNOWN_SLOTS = 8;
+const DEFAULT_SLOTS = 8;
 
 /** What the directory needs of its proxy. */
-export interface InstanceSurroundings {
+export interface InstanceDirectoryDependencies {
   readonly runtime: Runtime;
   /** Address for messages of other processes. */
   readonly ownAddress: string;
@@ -60,13 +60,13 @@
   /** Operations a second that a tenant may run; undefined where it has no limit. */
   tenantRate(tenant: string): number | undefined;
   /** How far the evacuation of a zone has come; undefined when it is not evacuated. */
-  stageOf(zone: string): EvacuationStage | undefined;
+  zoneEvacuationStage(zone: string): EvacuationStage | undefined;
   /** Number of live proxies, this one included. */
   readonly liveProxies: () => number;
   /** A connection could not be opened. */
   onConnectFailed(target: InstanceTarget, error: ConnectError): void;
   /** An instance started again: its former incarnation is over. */
-  onStartedAgain(former: InstanceTarget, incarnation: number): void;
+  onInstanceRestarted(former: InstanceTarget, incarnation: number): void;
   /** A connection was opened; the instance named its position after `startedAt`. */
   onOpened(target: InstanceTarget, position: Position, startedAt: number): void;
 }
@@ -77,12 +77,12 @@
   readonly owners: ConnectionOwners;
   private readonly entries = new Map<string, InstanceEntry>();
   private readonly accesses = new Map<string, InstanceAccess>();
-  private readonly relaying: RelaySurroundings;
+  private readonly relayDependencies: RelayDependencies;
 
-  constructor(private readonly surroundings: InstanceSurroundings) {
-    const { runtime, ownAddress } = surroundings;
+  constructor(private readonly dependencies: InstanceDirectoryDependencies) {
+    const { runtime, ownAddress } = dependencies;
     this.owners = new ConnectionOwners(ownAddress);
-    this.relaying = {
+    this.relayDependencies = {
       messenger: runtime.messenger,
       health: new OwnerHealth(runtime.clock, runtime.messenger),
     };
@@ -95,7 +95,7 @@
 
   /** Pools of connections of this process, for metrics. */
   get pools(): readonly InstancePool[] {
-    return [...this.accesses.values()].map(({ local }) => local);
+    return [...this.accesses.values()].map(({ localPool }) => localPool);
   }
 
   /** Way to an instance. */
@@ -104,7 +104,7 @@
   }
 
   /** Takes over what changed in the catalog. */
-  adopt(update: whinyoke.ICatalogUpdate): void {
+  applyUpdate(update: whinyoke.ICatalogUpdate): void {
     if (update.isWhole) this.entries.clear();
     for (const instance of update.instances ?? []) {
       const id = instance.id ?? '';
@@ -117,7 +117,7 @@
       const isSame = instance && (instance.incarnation ?? 0) === access.incarnation;
       if (isSame) continue;
       if (instance) this.endIncarnation(access, instance);
-      access.local.close();
+      access.localPool.close();
       this.accesses.delete(id);
     }
     for (const [id, instance] of usable) {
@@ -127,34 +127,38 @@
 
   /** Entries that name an instance to use; nothing is sent to the address of any other. */
   private usableEntries(): ReadonlyMap<string, InstanceEntry> {
-    const table = this.surroundings.table();
+    const table = this.dependencies.table();
     const usable = new Map<string, InstanceEntry>();
     for (const [id, instance] of this.entries) {
       const reason = unusedReason(instance, table);
       if (reason === undefined) usable.set(id, instance);
-      else this.surroundings.log(Events.instanceUnused, { instance: id, reason });
+      else this.dependencies.log(Events.instanceUnused, { instance: id, reason });
     }
     return usable;
   }
 
   /** How far the evacuation of an instance's zone has come; undefined when it is not evacuated. */
-  stageOf(instance: string): EvacuationStage | undefined {
+  evacuationStageOf(instance: string): EvacuationStage | undefined {
     const zone = this.entries.get(instance)?.zone;
-    return zone === undefined || zone === null ? undefined : this.surroundings.stageOf(zone);
+    return zone === undefined || zone === null
+      ? undefined
+      : this.dependencies.zoneEvacuationStage(zone);
   }
 
   /** When this process last took a connection to an instance of a zone for a caller's statement; -Infinity: never. */
   lastStatementIn(zone: string): number {
     const ofZone = [...this.entries].filter(([, entry]) => entry.zone === zone);
     return Math.max(
-      ...ofZone.map(([id]) => this.accesses.get(id)?.local.lastStatementAt ?? -Infinity),
+      ...ofZone.map(([id]) => this.accesses.get(id)?.localPool.lastStatementAt ?? -Infinity),
     );
   }
 
   /** Instances of a group that take new work, none in an evacuated zone; cold ones without room for more included. */
-  takingNewWork(group: string): readonly string[] {
-    const taking = [...this.entries.values()].filter((instance) => this.takesNew(instance, group));
-    return taking.map(({ id }) => id ?? '');
+  instancesAcceptingWork(group: string): readonly string[] {
+    const accepting = [...this.entries.values()].filter((instance) =>
+      this.acceptsNewWork(instance, group),
+    );
+    return accepting.map(({ id }) => id ?? '');
   }
 
   /** Instances of a group that may be sent a read now: cold ones only where there is room for it. */
@@ -162,8 +166,8 @@
     const candidates: ReadCandidate[] = [];
     for (const [id, instance] of this.entries) {
       const access = this.accesses.get(id);
-      if (!access || !this.takesNew(instance, group)) continue;
-      const coldRoute = this.surroundings.slowStarts.routeTo(instance, false);
+      if (!access || !this.acceptsNewWork(instance, group)) continue;
+      const coldRoute = this.dependencies.slowStarts.routeTo(instance, false);
       if (coldRoute && !coldRoute.isOpen) continue;
       const { load } = access;
       const zone = instance.zone ?? '';
@@ -180,15 +184,15 @@
   }
 
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(id: string, isUrgent: boolean): EndWait | undefined {
+  beginWait(id: string, isUrgent: boolean): EndWait | undefined {
     const instance = this.entries.get(id);
-    return this.surroundings.slowStarts.enter(instance ?? {}, isUrgent);
+    return this.dependencies.slowStarts.enter(instance ?? {}, isUrgent);
   }
 
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
   admit(id: string, isUrgent: boolean): boolean {
     const instance = this.entries.get(id);
-    return this.surroundings.slowStarts.admit(instance ?? {}, isUrgent);
+    return this.dependencies.slowStarts.admit(instance ?? {}, isUrgent);
   }
 
   /** All instances of a group but its primary, whatever their state. */
@@ -200,14 +204,14 @@
   }
 
   /** Suspends and resumes pools as the evacuation of zones asks; called after each change of the catalog, and often. */
-  evacuate(isPrimary: (instance: string, group: string) => boolean): void {
+  applyEvacuations(isPrimary: (instance: string, group: string) => boolean): void {
     for (const [id, { group, zone }] of this.entries) {
-      const pool = this.accesses.get(id)?.local;
+      const pool = this.accesses.get(id)?.localPool;
       if (!pool) continue;
-      const stage = this.stageOf(id);
+      const stage = this.evacuationStageOf(id);
       const count = evacuatePool(pool, stage, isPrimary(id, group ?? ''));
       if (count === 0) continue;
-      this.surroundings.log(Events.transactionsEvacuated, {
+      this.dependencies.log(Events.transactionsEvacuated, {
         instance: id,
         group: group ?? '',
         zone: zone ?? '',
@@ -219,71 +223,74 @@
 
   /** Opens missing and closes idle connections of all pools; called often. */
   maintain(): void {
-    for (const { local } of this.accesses.values()) local.maintain();
+    for (const { localPool } of this.accesses.values()) localPool.maintain();
   }
 
   /** Ends all connections. */
   close(): void {
-    for (const { local } of this.accesses.values()) local.close();
+    for (const { localPool } of this.accesses.values()) localPool.close();
   }
 
-  private takesNew({ id, group, state }: InstanceEntry, wantedGroup: string): boolean {
+  private acceptsNewWork({ id, group, state }: InstanceEntry, wantedGroup: string): boolean {
     const isUsable = group === wantedGroup && state === InstanceState.READY;
-    return isUsable && this.stageOf(id ?? '') === undefined && this.accesses.has(id ?? '');
+    return (
+      isUsable && this.evacuationStageOf(id ?? '') === undefined && this.accesses.has(id ?? '')
+    );
   }
 
   /** No answer of an incarnation that ended can come any more: whoever waits for one is told so. */
   private endIncarnation(access: InstanceAccess, { id, group, incarnation }: InstanceEntry): void {
-    this.surroundings.log(Events.instanceReplaced, {
+    this.dependencies.log(Events.instanceReplaced, {
       instance: id ?? '',
       group: group ?? '',
       former: access.incarnation,
       incarnation: incarnation ?? 0,
-      connections: access.local.size,
+      connections: access.localPool.size,
     });
-    access.abandonInUse();
-    this.surroundings.onStartedAgain(access.local.target, incarnation ?? 0);
+    access.closeInUse();
+    this.dependencies.onInstanceRestarted(access.localPool.target, incarnation ?? 0);
   }
 
   private createAccess(instance: InstanceEntry): InstanceAccess {
     const pool = this.createPool(instance);
-    const { ownAddress, regionByZone } = this.surroundings;
-    const ways: InstanceWays = {
-      ownersFor: (tenant) => this.owners.of(this.ownedInstance(instance), tenant),
-      maySee: (address, homes) => isWithinHomes(homes, this.owners.zoneOf(address), regionByZone),
+    const { ownAddress, regionByZone } = this.dependencies;
+    const routing: InstanceRouting = {
+      ownersFor: (tenant) => this.owners.ownersFor(this.ownedInstance(instance), tenant),
+      isProxyAllowed: (address, allowedRegions) =>
+        isWithinHomes(allowedRegions, this.owners.zoneOf(address), regionByZone),
       coldRoute: (isUrgent) => this.coldRoute(pool.target.id, isUrgent),
-      noteRefused: () => this.noteRefused(pool.target.id),
+      recordSlowStartRefusal: () => this.noteRefused(pool.target.id),
     };
-    return new InstanceAccess(pool, ownAddress, this.relaying, ways);
+    return new InstanceAccess(pool, ownAddress, this.relayDependencies, routing);
   }
 
   private coldRoute(id: string, isUrgent: boolean): ColdRoute | undefined {
     const instance = this.entries.get(id);
-    return instance && this.surroundings.slowStarts.routeTo(instance, isUrgent);
+    return instance && this.dependencies.slowStarts.routeTo(instance, isUrgent);
   }
 
   private noteRefused(id: string): void {
     const instance = this.entries.get(id);
-    if (instance) this.surroundings.slowStarts.noteRefused(instance);
+    if (instance) this.dependencies.slowStarts.noteRefused(instance);
   }
 
   private ownedInstance({ id, zone, group }: InstanceEntry): OwnedInstance {
-    const connectionLimit = this.surroundings.connectionLimitOf(group ?? '');
+    const connectionLimit = this.dependencies.connectionLimitOf(group ?? '');
     return { id: id ?? '', zone: zone ?? '', connectionLimit };
   }
 
   private createPool(instance: InstanceEntry): InstancePool {
-    const { runtime, connector, liveProxies } = this.surroundings;
+    const { runtime, connector, liveProxies } = this.dependencies;
     const { id, group, address } = instance;
     const incarnation = instance.incarnation ?? 0;
     const target = { id: id ?? '', group: group ?? '', address: address ?? '', incarnation };
     const options: PoolOptions = {
-      share: () => this.owners.shareOf(this.ownedInstance(instance), liveProxies()),
-      slots: () => this.entries.get(target.id)?.slots || UNKNOWN_SLOTS,
-      connectTimeoutMs: OPENING_TIMEOUT_MS,
-      proxies: liveProxies,
-      opensSpares: () => this.opensSpares(instance),
-      weightOf: (tenant) => this.surroundings.tenantRate(tenant) ?? 1,
+      quota: () => this.owners.quotaOf(this.ownedInstance(instance), liveProxies()),
+      slots: () => this.entries.get(target.id)?.slots || DEFAULT_SLOTS,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
+      proxyCount: liveProxies,
+      opensSpareConnections: () => this.opensSpareConnections(instance),
+      weightOf: (tenant) => this.dependencies.tenantRate(tenant) ?? 1,
       random: runtime.random,
     };
     const load = new InstanceLoad();
@@ -292,10 +299,10 @@
   }
 
   private listenerFor(target: InstanceTarget): PoolListener {
-    const { log } = this.surroundings;
+    const { log } = this.dependencies;
     return {
       onConnectFailed: (error) => this.onConnectFailed(target, error),
-      onOpened: (position, startedAt) => this.surroundings.onOpened(target, position, startedAt),
+      onOpened: (position, startedAt) => this.dependencies.onOpened(target, position, startedAt),
       onBusy: ({ limit, pauseMs, waiting }) =>
         log(Events.instanceBusy, {
           instance: target.id,
@@ -317,18 +324,18 @@
   }
 
   /** Connections are opened ahead only where their tenant is known, and where this proxy keeps connections of its own. */
-  private opensSpares(instance: InstanceEntry): boolean {
-    if (this.surroundings.hasTenants()) return false;
-    return this.owners.of(this.ownedInstance(instance), NO_TENANT).length === 0;
+  private opensSpareConnections(instance: InstanceEntry): boolean {
+    if (this.dependencies.hasTenants()) return false;
+    return this.owners.ownersFor(this.ownedInstance(instance), NO_TENANT).length === 0;
   }
 
   private onConnectFailed(target: InstanceTarget, error: ConnectError): void {
-    this.surroundings.log(Events.connectFailed, {
+    this.dependencies.log(Events.connectFailed, {
       instance: target.id,
       group: target.group,
       failure: error.failure,
       detail: error.message,
     });
-    this.surroundings.onConnectFailed(target, error);
+    this.dependencies.onConnectFailed(target, error);
   }
 }
--- a/src/appointed/connections/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -23,11 +23,11 @@
 import { ConnectionOpener, type Opening } from './connection_opener.js';
 import { ConnectionsInUse } from './connections_in_use.js';
 import { DemandOpener } from './demand_opener.js';
-import { expectedWait, startSpacing } from './expected_wait.js';
+import { expectedWaitMs, startSpacingMs } from './expected_wait.js';
 import { IdleConnections } from './idle_connections.js';
 import { IdleTimeout } from './idle_timeout.js';
 import type { InstanceLoad } from './instance_load.js';
-import { mostStatements } from './opening_rule.js';
+import { maxStatementsInFlight } from './opening_rule.js';
 import { type ConnectionRequest, PooledConnection } from './pooled_connection.js';
 import type { PoolListener, PoolOptions } from './pool_options.js';
 import { SpareSchedule } from './spare_connections.js';
@@ -36,7 +36,7 @@
 /** Pool of one instance. */
 export class InstancePool {
   /** Requests that got no connection since the start, by cause. */
-  readonly refused = new Map<AcquireFailure, number>();
+  readonly refusalCounts = new Map<AcquireFailure, number>();
   /** When a connection was last taken for a caller's statement; -Infinity before the first. */
   lastStatementAt = -Infinity;
   private readonly idle = new IdleConnections();
@@ -53,7 +53,7 @@
   /** Whether only questions of the system itself get connections, since the zone of the instance is evacuated. */
   private isSuspended = false;
   /** Connections that were opened for such questions. */
-  private readonly forQuestions = new WeakSet<PooledConnection>();
+  private readonly systemConnections = new WeakSet<PooledConnection>();
 
   constructor(
     /** The instance. */
@@ -65,11 +65,11 @@
     private readonly options: PoolOptions,
     private readonly listener: PoolListener,
   ) {
-    const { random, share, slots } = options;
+    const { random, quota, slots } = options;
     this.order = new ServiceOrder(options.weightOf);
     this.waiters = new WaiterQueue(clock, this.order);
     this.limit = new ConcurrencyLimit(random);
-    this.backoff = new ConnectBackoff(clock, random, share);
+    this.backoff = new ConnectBackoff(clock, random, quota);
     this.spares = new SpareSchedule(random);
     this.opener = new ConnectionOpener(target, connector, options.connectTimeoutMs, clock, {
       onOpened: (opening) => this.onOpened(opening),
@@ -78,8 +78,19 @@
     const { limit, waiters, idle, inUse, opener } = this;
     const open = (tenant: string): void => this.open(tenant);
     const serveWaiters = (): void => this.serveWaiters();
-    const parts = { clock, load, limit, waiters, idle, inUse, opener, slots, open, serveWaiters };
-    this.demand = new DemandOpener(parts);
+    const dependencies = {
+      clock,
+      load,
+      limit,
+      waiters,
+      idle,
+      inUse,
+      opener,
+      slots,
+      open,
+      serveWaiters,
+    };
+    this.demand = new DemandOpener(dependencies);
   }
 
   /** Open connections, those being opened included. */
@@ -89,21 +100,21 @@
 
   /** Whether this proxy is a connection owner of the instance: requests of all proxies wait here then. */
   get queuesAtOwner(): boolean {
-    return this.options.share().isOwner ?? false;
+    return this.options.quota().isOwner ?? false;
   }
 
   /** Requests that wait for a connection. */
-  get waiting(): number {
+  get waitingCount(): number {
     return this.waiters.length;
   }
 
   /** Statements that may be sent at a time; infinite while the instance turns none away. */
   get concurrencyLimit(): number {
-    return this.limit.size;
+    return this.limit.maxInFlight;
   }
 
   /** Connections that are in use. */
-  get used(): number {
+  get inUseCount(): number {
     return this.inUse.size;
   }
 
@@ -112,53 +123,53 @@
    * @throws AcquireError when none could be had within `timeoutMs`
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
-    if (this.isClosed) return Promise.reject(this.refusal('closed'));
+    if (this.isClosed) return Promise.reject(this.recordRefusal('closed'));
     if (this.isSuspended && request.tenant !== undefined) {
-      return Promise.reject(this.refusal('evacuated'));
+      return Promise.reject(this.recordRefusal('evacuated'));
     }
     const now = this.clock.now();
-    const free = this.mayServe(now) ? this.take(request) : undefined;
+    const free = this.canSendStatement(now) ? this.takeIdle(request) : undefined;
     if (free) return Promise.resolve(free);
     if (this.size === 0 && this.backoff.isUnreachable) {
-      return Promise.reject(this.refusal('unreachable'));
+      return Promise.reject(this.recordRefusal('unreachable'));
     }
     return new Promise((resolve, reject) => {
-      const { usefulMs = Infinity } = request;
+      const { objectiveMs = Infinity } = request;
       // The time of a statement is not taken off `startBy`: the one that is known is a mean of all kinds, which may be
       // longer than the objective of a short one.
-      const times = { arrivedAt: now, startBy: now + usefulMs, giveUpAt: now + timeoutMs };
+      const times = { arrivedAt: now, startBy: now + objectiveMs, giveUpAt: now + timeoutMs };
       this.enqueue({ ...request, resolve, reject, ...times }, timeoutMs, now);
     });
   }
 
   /** Lowers the concurrency limit: the instance turned a statement away since it was busy. */
-  noteBusy(): void {
+  recordBusy(): void {
     const now = this.clock.now();
-    if (!this.limit.noteBusy(this.inUse.active, now)) return;
-    const pauseMs = this.limit.remainingPause(now);
-    this.listener.onBusy({ limit: this.limit.size, pauseMs, waiting: this.waiting });
+    if (!this.limit.recordBusy(this.inUse.active, now)) return;
+    const pauseMs = this.limit.remainingPauseMs(now);
+    this.listener.onBusy({ limit: this.limit.maxInFlight, pauseMs, waiting: this.waitingCount });
   }
 
   /** Raises the concurrency limit, if there is one: the instance served a statement. */
-  noteServed(): void {
-    this.limit.noteServed();
+  recordServed(): void {
+    this.limit.recordServed();
   }
 
   /** Counts a transaction's connection as running a statement. The statement waits for nothing. */
-  wake(pooled: PooledConnection): void {
+  markActive(pooled: PooledConnection): void {
     this.lastStatementAt = this.clock.now();
     this.inUse.activate(pooled);
   }
 
   /** Counts a transaction's connection as running none: the transaction waits for its caller. */
-  rest(pooled: PooledConnection): void {
+  markIdleInTransaction(pooled: PooledConnection): void {
     pooled.idleSince = this.clock.now();
     this.inUse.deactivate(pooled);
     this.serveWaiters();
   }
 
   /** The statements of its connections pass no other proxy. */
-  mayCarry(): boolean {
+  satisfiesResidency(): boolean {
     return true;
   }
 
@@ -167,7 +178,7 @@
     this.inUse.remove(pooled);
     if (pooled.connection.closed) this.serveWaiters();
     else if (!this.mayKeep(pooled)) pooled.connection.close();
-    else this.offer(pooled);
+    else this.addIdle(pooled);
   }
 
   /** Closes a connection whose state is unknown. */
@@ -178,7 +189,7 @@
   }
 
   /** Closes the connections in use: no answer on them counts any more, and no request should wait for one. */
-  abandonInUse(): void {
+  closeInUse(): void {
     this.inUse.closeAll();
   }
 
@@ -187,7 +198,7 @@
     if (this.isSuspended) return;
     this.isSuspended = true;
     this.idle.closeAll();
-    this.waiters.rejectAll(() => this.refusal('evacuated'));
+    this.waiters.rejectAll(() => this.recordRefusal('evacuated'));
   }
 
   /** Serves again. */
@@ -196,27 +207,27 @@
   }
 
   /** Closes connections whose transactions have waited for their callers this long, in milliseconds; returns how many. */
-  endRested(restedMs: number): number {
-    return this.inUse.closeResting(this.clock.now() - restedMs);
+  closeIdleTransactions(minIdleMs: number): number {
+    return this.inUse.closeIdleTransactions(this.clock.now() - minIdleMs);
   }
 
   /** Opens connections until the minimum is there, and closes those that are idle for long; called often. */
   maintain(): void {
     if (this.isClosed) return;
     const now = this.clock.now();
-    const { minimumIdle: wantedIdle, idleTimeoutMs } = this.options.share();
+    const { minimumIdle: wantedIdle, idleTimeoutMs } = this.options.quota();
     const minimumIdle = this.isSuspended ? 0 : wantedIdle;
-    this.idle.closeExpired(now, this.idleTimeout.current(idleTimeoutMs), minimumIdle);
-    if (this.size < minimumIdle && this.options.opensSpares()) this.openSpareInTurn(now);
+    this.idle.closeExpired(now, this.idleTimeout.effectiveMs(idleTimeoutMs), minimumIdle);
+    if (this.size < minimumIdle && this.options.opensSpareConnections()) this.openSpareWhenDue(now);
     else this.spares.clear();
-    this.demand.refill();
+    this.demand.openForWaiters();
   }
 
   /**
    * Opens a connection to see whether the instance is alive, unless one is being opened; also beyond the share, since all
    * connections may have fallen silent.
    */
-  probe(): void {
+  probeByConnecting(): void {
     if (this.opener.count === 0 && !this.isClosed && !this.isSuspended) this.opener.open(NO_TENANT);
   }
 
@@ -225,91 +236,103 @@
     this.isClosed = true;
     this.demand.close();
     this.idle.closeAll();
-    this.waiters.rejectAll(() => this.refusal('closed'));
+    this.waiters.rejectAll(() => this.recordRefusal('closed'));
   }
 
   /** Refuses a request that would wait in vain; queues it otherwise, and refuses those that it displaces. */
   private enqueue(request: WaitingRequest, timeoutMs: number, now: number): void {
-    const { atATime } = this;
-    const isLimited = atATime !== Infinity;
+    const { effectiveConcurrency } = this;
+    const isLimited = effectiveConcurrency !== Infinity;
     const ranked = isLimited ? this.waiters.rankWith(request, now) : undefined;
-    const ahead = ranked?.indexOf(request) ?? 0;
-    const pauseMs = this.limit.remainingPause(now);
-    if (expectedWait(pauseMs, ahead, atATime, this.load.latency) > timeoutMs) {
-      request.reject(this.refusal('full'));
+    const requestsAhead = ranked?.indexOf(request) ?? 0;
+    const pauseMs = this.limit.remainingPauseMs(now);
+    if (
+      expectedWaitMs(pauseMs, requestsAhead, effectiveConcurrency, this.load.latencyMs) > timeoutMs
+    ) {
+      request.reject(this.recordRefusal('full'));
       return;
     }
-    this.waiters.add(request, () => this.refusal('timeout'));
-    if (ranked) this.refuseDisplaced(ranked, atATime, now);
-    this.demand.refill();
+    this.waiters.add(request, () => this.recordRefusal('timeout'));
+    if (ranked) this.refuseDisplaced(ranked, effectiveConcurrency, now);
+    this.demand.openForWaiters();
   }
 
   /** Refuses at once, not when their time is over, the requests that more urgent ones keep from a connection in time. */
-  private refuseDisplaced(ranked: readonly WaitingRequest[], atATime: number, now: number): void {
-    const spacingMs = startSpacing(atATime, this.load.latency);
+  private refuseDisplaced(
+    ranked: readonly WaitingRequest[],
+    concurrency: number,
+    now: number,
+  ): void {
+    const spacingMs = startSpacingMs(concurrency, this.load.latencyMs);
     if (spacingMs === 0 || ranked.length < 2) return;
-    const error = (): AcquireError => this.refusal('displaced');
+    const error = (): AcquireError => this.recordRefusal('displaced');
     const displaced = this.waiters.rejectDisplaced(ranked, spacingMs, now, error);
     for (const { tenant, priority, arrivedAt } of displaced) {
       const waitedMs = now - arrivedAt;
-      this.listener.onDisplaced({ tenant, priority, waitedMs, waiting: this.waiting });
+      this.listener.onDisplaced({ tenant, priority, waitedMs, waiting: this.waitingCount });
     }
   }
 
-  private refusal(failure: AcquireFailure): AcquireError {
-    this.refused.set(failure, (this.refused.get(failure) ?? 0) + 1);
+  private recordRefusal(failure: AcquireFailure): AcquireError {
+    this.refusalCounts.set(failure, (this.refusalCounts.get(failure) ?? 0) + 1);
     return new AcquireError(failure);
   }
 
   private mayKeep(pooled: PooledConnection): boolean {
-    if (this.isClosed || this.size >= this.backoff.limit) return false;
-    return !this.isSuspended || this.forQuestions.has(pooled);
+    if (this.isClosed || this.size >= this.backoff.maxConnections) return false;
+    return !this.isSuspended || this.systemConnections.has(pooled);
   }
 
-  private take(request: ConnectionRequest): PooledConnection | undefined {
+  private takeIdle(request: ConnectionRequest): PooledConnection | undefined {
     const pooled = this.idle.takeClosest(request);
     if (!pooled) return undefined;
     this.inUse.add(pooled);
     const now = this.clock.now();
     if (request.tenant !== undefined) this.lastStatementAt = now;
-    this.order.noteStart(request, this.load.latency, now);
+    this.order.noteStart(request, this.load.latencyMs, now);
     return pooled;
   }
 
-  private offer(pooled: PooledConnection): void {
+  private addIdle(pooled: PooledConnection): void {
     this.idle.add(pooled, this.clock.now());
     this.serveWaiters();
   }
 
   /** Whether the instance may be sent another statement now, as far as its refusals tell. */
-  private mayServe(now: number): boolean {
-    const hasSlot = !this.queuesAtOwner || this.inUse.active < this.mostActive;
+  private canSendStatement(now: number): boolean {
+    const hasSlot = !this.queuesAtOwner || this.inUse.active < this.maxActiveStatements;
     return hasSlot && this.limit.allows(this.inUse.active, now);
   }
 
   /** Statements that the instance is sent at a time; infinite where nothing limits them. */
-  private get atATime(): number {
-    return this.queuesAtOwner ? Math.min(this.mostActive, this.limit.size) : this.limit.size;
+  private get effectiveConcurrency(): number {
+    return this.queuesAtOwner
+      ? Math.min(this.maxActiveStatements, this.limit.maxInFlight)
+      : this.limit.maxInFlight;
   }
 
-  private get mostActive(): number {
-    return mostStatements(this.options.slots());
+  private get maxActiveStatements(): number {
+    return maxStatementsInFlight(this.options.slots());
   }
 
   /** Gives idle connections to those that wait, as long as the instance may be sent more. */
   private serveWaiters(): void {
     const now = this.clock.now();
     for (const request of this.waiters.rank(now)) {
-      if (this.idle.length === 0 || !this.mayServe(now)) break;
-      const free = this.take(request);
+      if (this.idle.length === 0 || !this.canSendStatement(now)) break;
+      const free = this.takeIdle(request);
       if (free) this.waiters.serve(request, free);
     }
-    this.demand.refill();
+    this.demand.openForWaiters();
   }
 
-  private openSpareInTurn(now: number): void {
+  private openSpareWhenDue(now: number): void {
     const { connectMs } = this.opener;
-    const spareDemand = { proxies: this.options.proxies(), connectMs, slots: this.options.slots() };
+    const spareDemand = {
+      proxyCount: this.options.proxyCount(),
+      connectMs,
+      slots: this.options.slots(),
+    };
     if (this.spares.isDue(spareDemand, now)) this.open(NO_TENANT);
   }
 
@@ -319,14 +342,14 @@
 
   /** Whether one more may be opened; an idle connection, of another tenant then, is closed where there is no room. */
   private makeRoom(): boolean {
-    if (!this.backoff.isOpen) return false;
-    return this.size < this.backoff.limit || this.idle.closeOldest();
+    if (!this.backoff.mayConnect) return false;
+    return this.size < this.backoff.maxConnections || this.idle.closeOldest();
   }
 
   private onOpened({ connection, tenant, position, startedAt }: Opening): void {
-    this.idleTimeout.noteOpened();
+    this.idleTimeout.recordOpened();
     if (position) {
-      this.load.notePosition(position);
+      this.load.recordPosition(position);
       this.listener.onOpened(position, startedAt);
     }
     if (this.isClosed || (this.isSuspended && this.waiters.length === 0)) {
@@ -334,21 +357,21 @@
       return;
     }
     const pooled = new PooledConnection(connection, tenant);
-    if (this.isSuspended) this.forQuestions.add(pooled);
+    if (this.isSuspended) this.systemConnections.add(pooled);
     connection.onClosed = () => this.idle.remove(pooled);
-    this.offer(pooled);
+    this.addIdle(pooled);
   }
 
   private onConnectFailed(error: ConnectError | undefined): void {
     if (error) this.listener.onConnectFailed(error);
     if (error?.failure === 'connectionLimit') {
-      this.idleTimeout.noteLimit(this.options.share().idleTimeoutMs);
-      this.backoff.noteLimit(this.size, () => this.demand.refill());
+      this.idleTimeout.recordConnectionLimit(this.options.quota().idleTimeoutMs);
+      this.backoff.recordConnectionLimit(this.size, () => this.demand.openForWaiters());
       return;
     }
     const isOtherInstance = error?.failure === 'wrongInstance';
-    this.backoff.noteUnreachable(isOtherInstance);
-    if (isOtherInstance) this.waiters.rejectAll(() => this.refusal('wrongInstance'));
-    else if (this.size === 0) this.waiters.rejectAll(() => this.refusal('unreachable'));
+    this.backoff.recordUnreachable(isOtherInstance);
+    if (isOtherInstance) this.waiters.rejectAll(() => this.recordRefusal('wrongInstance'));
+    else if (this.size === 0) this.waiters.rejectAll(() => this.recordRefusal('unreachable'));
   }
 }
--- a/src/appointed/connections/opening_rule.ts
+++ b/src/appointed/connections/opening_rule.ts
@@ -22,34 +22,38 @@
  * Time that waiting for a turn must take, as a multiple of the time of an opening (a ratio), before one is opened: both
  * take a slot of the instance. Guess, not measured.
  */
-const OPENING_FACTOR = 1.5;
+const MIN_WAIT_TO_CONNECT_RATIO = 1.5;
 
 /**
  * Statements (a count) sent beyond the slots of an instance: one on its way there or back keeps the slots filled. Guess,
  * not measured: docs/design/connection-owners.md says that slots + 1 was not compared.
  */
-const STATEMENTS_ON_THE_WAY = 1;
+const STATEMENTS_IN_TRANSIT = 1;
 
 /** Statements that may be under way at an instance of so many slots before it gets no further connection. */
-export function mostStatements(slots: number): number {
-  return slots + STATEMENTS_ON_THE_WAY;
+export function maxStatementsInFlight(slots: number): number {
+  return slots + STATEMENTS_IN_TRANSIT;
 }
 
 /**
  * Time until the last of `waiting` requests gets its turn, in milliseconds.
- * @param inTurn - connections on which a statement runs, and openings under way: each gives a turn
+ * @param connections - connections on which a statement runs, and openings under way: each gives a turn
  * @param statementMs - smoothed time of a statement
  */
-export function waitForTurn(waiting: number, inTurn: number, statementMs: number): number {
-  return inTurn === 0 ? Infinity : (waiting / inTurn) * statementMs;
+export function estimateQueueWaitMs(
+  waiting: number,
+  connections: number,
+  statementMs: number,
+): number {
+  return connections === 0 ? Infinity : (waiting / connections) * statementMs;
 }
 
 /** Wait for a turn that justifies an opening of `connectMs`, in milliseconds. */
-export function longestWaitForTurn(connectMs: number): number {
-  return connectMs * OPENING_FACTOR;
+export function maxQueueWaitMs(connectMs: number): number {
+  return connectMs * MIN_WAIT_TO_CONNECT_RATIO;
 }
 
 /** Whether a new connection comes enough sooner than the turn of the last request that waits. */
-export function isOpeningWorthwhile(turnMs: number, connectMs: number): boolean {
-  return turnMs > longestWaitForTurn(connectMs);
+export function isOpeningWorthwhile(queueWaitMs: number, connectMs: number): boolean {
+  return queueWaitMs > maxQueueWaitMs(connectMs);
 }
--- a/src/appointed/connections/pool_options.ts
+++ b/src/appointed/connections/pool_options.ts
@@ -2,20 +2,20 @@
 import type { Position } from '../../positions/position.js';
 import type { RandomSource } from '../../runtime/runtime.js';
 import type { ConnectError } from '../instance/instance_connection.js';
-import type { ConnectionShare } from './connection_share.js';
+import type { ConnectionQuota } from './connection_share.js';
 
 /** Settings of a pool. */
 export interface PoolOptions {
   /** Connections that this pool may hold, in force now. */
-  readonly share: () => ConnectionShare;
+  readonly quota: () => ConnectionQuota;
   /** Statements that the instance runs at a time. */
   readonly slots: () => number;
   /** Longest time of an opening. */
   readonly connectTimeoutMs: number;
   /** Proxies that keep connections to the instance, this one included. */
-  readonly proxies: () => number;
+  readonly proxyCount: () => number;
   /** Whether connections are opened before a request needs one; not where it is unknown for which tenant. */
-  readonly opensSpares: () => boolean;
+  readonly opensSpareConnections: () => boolean;
   /** Part of the instance that a tenant may claim where it is full, relative to that of others. */
   readonly weightOf?: (tenant: string) => number;
   /** Spreads the tries of many proxies. */
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -6,7 +6,7 @@
 import type { InstanceConnection } from '../instance/instance_connection.js';
 
 /** Steps that a reset counts as (a count), more than a single value. Guess, not measured. */
-const RESET_STEPS = 3;
+const RESET_COST = 3;
 
 /** A connection with the session values and prepared shapes that it holds. */
 export class PooledConnection {
@@ -28,16 +28,16 @@
   ) {}
 
   /** Whether it may carry statements of a tenant; of the system itself when undefined, which any connection may. */
-  serves(tenant: string | undefined): boolean {
+  canServeTenant(tenant: string | undefined): boolean {
     return tenant === undefined || tenant === this.tenant;
   }
 
   /** Number of commands that load a session's values onto it. */
-  distanceTo(values: ReadonlyMap<string, string>): number {
-    let steps = 0;
-    for (const name of this.values.keys()) if (!values.has(name)) return RESET_STEPS + values.size;
-    for (const [name, value] of values) if (this.values.get(name) !== value) steps++;
-    return steps;
+  commandsToLoad(values: ReadonlyMap<string, string>): number {
+    let commands = 0;
+    for (const name of this.values.keys()) if (!values.has(name)) return RESET_COST + values.size;
+    for (const [name, value] of values) if (this.values.get(name) !== value) commands++;
+    return commands;
   }
 }
 
@@ -50,7 +50,7 @@
   /** 0 is the highest. */
   readonly priority: number;
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
-  readonly usefulMs?: number;
+  readonly objectiveMs?: number;
   /** Regions to which the request is bound; undefined where it is bound to none. */
   readonly homes?: Homes;
 }
--- a/src/appointed/connections/spare_connections.ts
+++ b/src/appointed/connections/spare_connections.ts
@@ -20,7 +20,7 @@
 /** Openings of all proxies at one instance. */
 export interface SpareDemand {
   /** Proxies that keep connections to the instance, this one included. */
-  readonly proxies: number;
+  readonly proxyCount: number;
   /** Smoothed time of an opening, in milliseconds. */
   readonly connectMs: number;
   readonly slots: number;
@@ -35,8 +35,8 @@
 
   /** Whether the missing connection is opened now; draws a time at the first call since one was missing. */
   isDue(demand: SpareDemand, now: number): boolean {
-    const allMs = (demand.proxies * demand.connectMs) / demand.slots;
-    this.dueAt ??= now + this.random.next() * allMs * SPREAD_FACTOR;
+    const totalConnectMs = (demand.proxyCount * demand.connectMs) / demand.slots;
+    this.dueAt ??= now + this.random.next() * totalConnectMs * SPREAD_FACTOR;
     if (now < this.dueAt) return false;
     this.dueAt = undefined;
     return true;
--- a/src/appointed/connections/zone_evacuator.ts
+++ b/src/appointed/connections/zone_evacuator.ts
@@ -9,7 +9,7 @@
  * A transaction that waited for its caller for this long is taken for one that rests, in milliseconds: longer than usual
  * callers take between two statements. Guess, not measured.
  */
-const RESTED_MS = 250;
+const MIN_IDLE_IN_TRANSACTION_MS = 250;
 
 /**
  * Suspends or resumes a pool, and ends transactions that rest.
@@ -28,5 +28,5 @@
   }
   if (stage === 'closed' || !isPrimary) pool.suspend();
   if (stage === 'begun') return 0;
-  return pool.endRested(stage === 'closed' ? 0 : RESTED_MS);
+  return pool.closeIdleTransactions(stage === 'closed' ? 0 : MIN_IDLE_IN_TRANSACTION_MS);
 }
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -140,12 +140,19 @@
       labelNames: ['group', 'instance', 'state'],
       registers: [this.registry],
       collect: () => {
-        for (const { target, size, used, waiting, concurrencyLimit, load } of core.allPools) {
+        for (const {
+          target,
+          size,
+          inUseCount,
+          waitingCount,
+          concurrencyLimit,
+          load,
+        } of core.allPools) {
           const labels = { group: target.group, instance: target.id };
           pool.set({ ...labels, state: 'open' }, size);
-          pool.set({ ...labels, state: 'used' }, used);
-          pool.set({ ...labels, state: 'waiting' }, waiting);
-          pool.set({ ...labels, state: 'latency_ms' }, load.latency);
+          pool.set({ ...labels, state: 'used' }, inUseCount);
+          pool.set({ ...labels, state: 'waiting' }, waitingCount);
+          pool.set({ ...labels, state: 'latency_ms' }, load.latencyMs);
           // 0: the instance turns nothing away.
           const window = Number.isFinite(concurrencyLimit) ? concurrencyLimit : 0;
           pool.set({ ...labels, state: 'window' }, window);
@@ -161,7 +168,7 @@
       labelNames: ['group', 'instance', 'cause'],
       registers: [this.registry],
       collect: () => {
-        for (const { target, refused: counts } of core.allPools) {
+        for (const { target, refusalCounts: counts } of core.allPools) {
           const labels = { group: target.group, instance: target.id };
           for (const [cause, count] of counts) refused.set({ ...labels, cause }, count);
         }
--- a/src/appointed/instance/instance_connection.ts
+++ b/src/appointed/instance/instance_connection.ts
@@ -125,7 +125,7 @@
   /** Newest position that it received. */
   readonly received: Position;
   /** Term up to which it refuses to receive; 0 when it does not. */
-  readonly heldTerm: number;
+  readonly fencedTerm: number;
   /** Time by which it is behind the primary, in milliseconds. */
   readonly lagMs: number;
   /** Since when the connection was open on which it answered; undefined where that was opened for the question. */
--- a/src/appointed/instance/statement.ts
+++ b/src/appointed/instance/statement.ts
@@ -61,6 +61,6 @@
 }
 
 /** Name under which a shape is prepared on instance connections, the same for all callers. */
-export function sharedName(prepared: PreparedShape): string {
+export function sharedPreparedName(prepared: PreparedShape): string {
   return `${prepared.access === 'read' ? 'r' : 'w'}_${prepared.shape}`;
 }
--- a/src/appointed/leases/replica_lease.ts
+++ b/src/appointed/leases/replica_lease.ts
@@ -33,9 +33,9 @@
 export function objectionOf(answer: ReplicaAnswer, term: number): string | undefined {
   const { instance } = answer;
   if ('problem' in answer) return `${instance}: ${answer.problem}`;
-  const { role, term: ownTerm, heldTerm } = answer.status;
+  const { role, term: ownTerm, fencedTerm } = answer.status;
   if (role !== 'replica') return `${instance} is primary of term ${ownTerm}`;
   if (ownTerm > term) return `${instance} follows term ${ownTerm}`;
-  if (heldTerm > term) return `${instance} is held for term ${heldTerm}`;
+  if (fencedTerm > term) return `${instance} is held for term ${fencedTerm}`;
   return undefined;
 }
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -54,7 +54,7 @@
   /** Instances of a group that may be sent a read now. */
   readCandidates(group: string): readonly ReadCandidate[];
   /** Instances of a group that take new work, cold ones without room for more included. */
-  takingNewWork(group: string): readonly string[];
+  instancesAcceptingWork(group: string): readonly string[];
   /** Zone of an instance; undefined when the catalog does not list it. */
   zoneOf(instance: string): string | undefined;
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -69,11 +69,11 @@
       hasTenants: () => document.table === undefined || document.table.tenants.size > 0,
       tenantRate: (tenant) => document.table?.tenants.named(tenant)?.limit?.ratePerSecond,
       // Asked for each instance of each read: the clock is read only where it decides.
-      stageOf: (zone) =>
+      zoneEvacuationStage: (zone) =>
         evacuatedZones.isAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
       liveProxies: () => fleet.liveProxies,
       onConnectFailed: (target, error) => this.onConnectFailed(target, error),
-      onStartedAgain: ({ id, group }, incarnation) =>
+      onInstanceRestarted: ({ id, group }, incarnation) =>
         distrustOtherIncarnation({ ...surroundings, clock }, group, id, incarnation),
       onOpened: (target, position, startedAt) => this.onOpened(target, position, startedAt),
     });
@@ -96,7 +96,7 @@
 
   /** Pool of this process's own connections to an instance. */
   localPool(instance: string): InstancePool | undefined {
-    return this.directory.access(instance)?.local;
+    return this.directory.access(instance)?.localPool;
   }
 
   /** When this process last took a connection to an instance of a zone for a caller's statement; -Infinity: never. */
@@ -106,7 +106,7 @@
 
   /** How far the evacuation of an instance's zone has come; undefined when it is not evacuated. */
   evacuationStageOf(instance: string): EvacuationStage | undefined {
-    return this.directory.stageOf(instance);
+    return this.directory.evacuationStageOf(instance);
   }
 
   /** Instances of a group that may be sent a read now. */
@@ -115,8 +115,8 @@
   }
 
   /** Instances of a group that take new work, cold ones without room for more included. */
-  takingNewWork(group: string): readonly string[] {
-    return this.directory.takingNewWork(group);
+  instancesAcceptingWork(group: string): readonly string[] {
+    return this.directory.instancesAcceptingWork(group);
   }
 
   /** Zone of an instance; undefined when the catalog does not list it. */
@@ -126,7 +126,7 @@
 
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
   enter(instance: string, isUrgent: boolean): EndWait | undefined {
-    return this.directory.enter(instance, isUrgent);
+    return this.directory.beginWait(instance, isUrgent);
   }
 
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
@@ -141,23 +141,23 @@
 
   /** Takes over what changed in the catalog. */
   adopt(update: whinyoke.ICatalogUpdate): void {
-    this.directory.adopt(update);
+    this.directory.applyUpdate(update);
     this.evacuate();
   }
 
   /** Takes over which proxies may own connections, by zone. */
   adoptOwners(zones: readonly ZoneProxies[]): void {
-    this.directory.owners.update(zones);
+    this.directory.owners.updateProxies(zones);
   }
 
   /** Ends the wait of all statements for an answer of the old primary of a group that changes its primary. */
   abandonPrimary(group: string): void {
-    this.directory.access(this.primaryOf(group))?.abandonInUse();
+    this.directory.access(this.primaryOf(group))?.closeInUse();
   }
 
   /** Opens another connection to an instance that leaves statements unanswered. */
   probe(instance: string): void {
-    this.localPool(instance)?.probe();
+    this.localPool(instance)?.probeByConnecting();
   }
 
   /** Looks after all pools; called often. */
@@ -175,7 +175,7 @@
     const { isAny } = this.surroundings.evacuatedZones;
     if (!isAny && !this.wasEvacuating) return;
     this.wasEvacuating = isAny;
-    this.directory.evacuate((instance, group) => this.primaryOf(group) === instance);
+    this.directory.applyEvacuations((instance, group) => this.primaryOf(group) === instance);
   }
 
   private primaryOf(group: string): string {
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -18,8 +18,8 @@
  */
 import { RendezvousTable } from '../../hashing/rendezvous.js';
 import {
-  type ConnectionShare,
-  connectionShare,
+  type ConnectionQuota,
+  connectionQuota,
   isScarce,
 } from '../connections/connection_share.js';
 import { stableHash } from '../../hashing/stable_hash.js';
@@ -44,19 +44,19 @@
  */
 const CONNECTIONS_PER_OWNER = 24;
 /** Further proxies (a count) that take over while owners are gone. Guess, not measured. */
-const STAND_INS = 3;
+const STANDBY_OWNER_COUNT = 3;
 /** Most owners (a count) of one instance. Guess, not measured. */
-const MOST_OWNERS = 12;
+const MAX_OWNERS = 12;
 /**
  * Fraction of the connections that owners leave to stand-ins, and to proxies that know other owners for a moment. Guess, not
  * measured.
  */
-const RESERVED_FRACTION = 0.12;
+const STANDBY_RESERVE_FRACTION = 0.12;
 /**
  * How long an owner keeps an idle connection, in milliseconds: no other proxy needs its place. Guess, not measured. Closing
  * idle ones sooner, where connections are lent, was tried and was worse (docs/design/connection-owners.md).
  */
-const OWNER_IDLE_MS = 20_000;
+const OWNER_IDLE_TIMEOUT_MS = 20_000;
 /**
  * After an instance refused one more, an owner makes do with what it has for this time, in milliseconds. Guess, not
  * measured.
@@ -65,7 +65,7 @@
 
 function ownerCount(connectionLimit: number): number {
   const count = Math.floor(connectionLimit / CONNECTIONS_PER_OWNER);
-  return Math.min(MOST_OWNERS, Math.max(1, count));
+  return Math.min(MAX_OWNERS, Math.max(1, count));
 }
 
 /** Proxies through which one instance is reached, in the order of rendezvous hashing. */
@@ -73,31 +73,35 @@
   /** For which the order was made. */
   readonly instance: OwnedInstance;
   readonly owners: readonly string[];
-  readonly standIns: readonly string[];
+  readonly standbyOwners: readonly string[];
 }
 
 /** Connection owners of all instances, as one proxy knows them. */
 export class ConnectionOwners {
-  private readonly tables = new Map<string, RendezvousTable>();
+  private readonly tableByZone = new Map<string, RendezvousTable>();
   /** Order of each instance, kept until the proxies change: each statement needs one. */
   private readonly orders = new Map<string, OwnerOrder>();
-  private readonly everywhere = new RendezvousTable(MOST_OWNERS + STAND_INS, stableHash);
-  private readonly zones = new Map<string, string>();
-  private proxies = 0;
+  private readonly allZonesTable = new RendezvousTable(
+    MAX_OWNERS + STANDBY_OWNER_COUNT,
+    stableHash,
+  );
+  private readonly zoneByAddress = new Map<string, string>();
+  private proxyCount = 0;
 
   constructor(private readonly ownAddress: string) {}
 
   /** Takes over the live proxies of all zones. */
-  update(zones: readonly ZoneProxies[]): void {
-    const known = new Set(zones.map(({ zone }) => zone));
-    for (const zone of this.tables.keys()) if (!known.has(zone)) this.tables.delete(zone);
+  updateProxies(zones: readonly ZoneProxies[]): void {
+    const currentZones = new Set(zones.map(({ zone }) => zone));
+    for (const zone of this.tableByZone.keys())
+      if (!currentZones.has(zone)) this.tableByZone.delete(zone);
     for (const { zone, addresses } of zones) this.tableOf(zone).setNodes(new Set(addresses));
     const all = new Set(zones.flatMap(({ addresses }) => addresses));
-    this.zones.clear();
+    this.zoneByAddress.clear();
     for (const { zone, addresses } of zones)
-      for (const item of addresses) this.zones.set(item, zone);
-    this.everywhere.setNodes(all);
-    this.proxies = all.size;
+      for (const item of addresses) this.zoneByAddress.set(item, zone);
+    this.allZonesTable.setNodes(all);
+    this.proxyCount = all.size;
     this.orders.clear();
   }
 
@@ -105,54 +109,61 @@
    * Proxies through which statements of a tenant reach an instance, the first choice first; empty where each proxy
    * keeps connections of its own.
    */
-  of(instance: OwnedInstance, tenant: string): readonly string[] {
-    if (!isScarce(instance.connectionLimit, this.proxies)) return [];
-    const { owners, standIns } = this.orderOf(instance);
+  ownersFor(instance: OwnedInstance, tenant: string): readonly string[] {
+    if (!isScarce(instance.connectionLimit, this.proxyCount)) return [];
+    const { owners, standbyOwners } = this.orderOf(instance);
     const first = owners.length < 2 ? 0 : Number(stableHash(tenant) % BigInt(owners.length));
-    return [...owners.slice(first), ...owners.slice(0, first), ...standIns];
+    return [...owners.slice(first), ...owners.slice(0, first), ...standbyOwners];
   }
 
   /** Zone of a live proxy; undefined for any other. */
   zoneOf(address: string): string | undefined {
-    return this.zones.get(address);
+    return this.zoneByAddress.get(address);
   }
 
   /** Connections that this proxy may hold to an instance itself. */
-  shareOf(instance: OwnedInstance, liveProxies: number): ConnectionShare {
+  quotaOf(instance: OwnedInstance, liveProxies: number): ConnectionQuota {
     const { connectionLimit } = instance;
-    if (!this.isOwnerOf(instance)) return connectionShare(connectionLimit, liveProxies);
-    const left = connectionLimit * (1 - RESERVED_FRACTION);
-    const most = Math.max(1, Math.floor(left / ownerCount(connectionLimit)));
-    const idleTimeoutMs = OWNER_IDLE_MS;
-    return { most, minimumIdle: 0, idleTimeoutMs, clampMs: OWNER_CLAMP_MS, isOwner: true };
+    if (!this.isOwnerOf(instance)) return connectionQuota(connectionLimit, liveProxies);
+    const usableConnections = connectionLimit * (1 - STANDBY_RESERVE_FRACTION);
+    const maxConnections = Math.max(1, Math.floor(usableConnections / ownerCount(connectionLimit)));
+    const idleTimeoutMs = OWNER_IDLE_TIMEOUT_MS;
+    return {
+      maxConnections,
+      minimumIdle: 0,
+      idleTimeoutMs,
+      clampMs: OWNER_CLAMP_MS,
+      isOwner: true,
+    };
   }
 
   private isOwnerOf(instance: OwnedInstance): boolean {
-    if (!isScarce(instance.connectionLimit, this.proxies)) return false;
+    if (!isScarce(instance.connectionLimit, this.proxyCount)) return false;
     return this.orderOf(instance).owners.includes(this.ownAddress);
   }
 
   private orderOf(instance: OwnedInstance): OwnerOrder {
     const { id, zone, connectionLimit } = instance;
-    const known = this.orders.get(id);
-    const isSame = known?.instance.zone === zone;
-    if (isSame && known.instance.connectionLimit === connectionLimit) return known;
-    const ofZone = this.tables.get(zone)?.top(id) ?? [];
-    const all = ofZone.length > 0 ? ofZone : this.everywhere.top(id);
+    const cached = this.orders.get(id);
+    const isSame = cached?.instance.zone === zone;
+    if (isSame && cached.instance.connectionLimit === connectionLimit) return cached;
+    const ofZone = this.tableByZone.get(zone)?.top(id) ?? [];
+    const all = ofZone.length > 0 ? ofZone : this.allZonesTable.top(id);
     const count = ownerCount(connectionLimit);
-    const standIns = all.slice(count, count + STAND_INS);
-    const elsewhere = this.everywhere.top(id).find((address) => !all.includes(address));
-    if (elsewhere !== undefined) standIns.splice(STAND_INS - 1, 1, elsewhere);
-    const order = { instance, owners: all.slice(0, count), standIns };
+    const standbyOwners = all.slice(count, count + STANDBY_OWNER_COUNT);
+    const otherZoneOwner = this.allZonesTable.top(id).find((address) => !all.includes(address));
+    if (otherZoneOwner !== undefined)
+      standbyOwners.splice(STANDBY_OWNER_COUNT - 1, 1, otherZoneOwner);
+    const order = { instance, owners: all.slice(0, count), standbyOwners };
     this.orders.set(id, order);
     return order;
   }
 
   private tableOf(zone: string): RendezvousTable {
-    let table = this.tables.get(zone);
+    let table = this.tableByZone.get(zone);
     if (!table) {
-      table = new RendezvousTable(MOST_OWNERS + STAND_INS, stableHash);
-      this.tables.set(zone, table);
+      table = new RendezvousTable(MAX_OWNERS + STANDBY_OWNER_COUNT, stableHash);
+      this.tableByZone.set(zone, table);
     }
     return table;
   }
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -13,49 +13,49 @@
 import type { Homes } from '../placement/data_residency.js';
 import { isUrgent } from '../placement/slow_start_budget.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
-import { RelayedConnection, type RelaySurroundings } from './relayed_connection.js';
+import { RelayedConnection, type RelayDependencies } from './relayed_connection.js';
 
 /** Ways to one instance but for own connections. */
-export interface InstanceWays {
+export interface InstanceRouting {
   /** Connection owners for a tenant, in order; empty where this proxy has connections of its own. */
   ownersFor(tenant: string): readonly string[];
   /** Whether another proxy may get the body of a statement with these homes. */
-  maySee(address: string, homes: Homes): boolean;
+  isProxyAllowed(address: string, allowedRegions: Homes): boolean;
   /** The way of requests for a cold instance; undefined for a warm one. */
   coldRoute(isUrgent: boolean): ColdRoute | undefined;
   /** A request for the instance, which is cold, was refused. */
-  noteRefused(): void;
+  recordSlowStartRefusal(): void;
 }
 
 /** Most owners (a count) that one request tries. Guess, not measured. */
-const MOST_TRIED = 3;
+const MAX_OWNERS_TRIED = 3;
 
 /** Access to one instance. */
 export class InstanceAccess implements ConnectionSource {
   /** Connections of owners that are in use here. */
-  private readonly relayed = new Set<PooledConnection>();
+  private readonly relayedConnections = new Set<PooledConnection>();
 
   constructor(
     /** Connections of this process. */
-    readonly local: InstancePool,
+    readonly localPool: InstancePool,
     private readonly ownAddress: string,
-    private readonly surroundings: RelaySurroundings,
-    private readonly ways: InstanceWays,
+    private readonly dependencies: RelayDependencies,
+    private readonly routing: InstanceRouting,
   ) {}
 
   /** Number of the incarnation that it leads to. */
   get incarnation(): number {
-    return this.local.target.incarnation ?? 0;
+    return this.localPool.target.incarnation ?? 0;
   }
 
   /** Whether requests queue at a connection owner. */
   get queuesAtOwner(): boolean {
-    return this.ways.ownersFor(NO_TENANT).length > 0;
+    return this.routing.ownersFor(NO_TENANT).length > 0;
   }
 
   /** What the answers of the instance say of it. */
   get load(): InstanceLoad {
-    return this.local.load;
+    return this.localPool.load;
   }
 
   /**
@@ -64,15 +64,15 @@
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     const isOfCaller = request.tenant !== undefined;
-    const cold = isOfCaller ? this.ways.coldRoute(isUrgent(request.priority)) : undefined;
+    const cold = isOfCaller ? this.routing.coldRoute(isUrgent(request.priority)) : undefined;
     if (cold) return this.acquireCold(cold, request, timeoutMs);
-    const owners = this.ways
+    const owners = this.routing
       .ownersFor(request.tenant ?? NO_TENANT)
-      .filter((address) => this.maySee(address, request.homes))
-      .filter((address) => this.surroundings.health.mayTry(address));
+      .filter((address) => this.isProxyAllowed(address, request.homes))
+      .filter((address) => this.dependencies.health.isAvailable(address));
     const [first] = owners;
     if (first === undefined || first === this.ownAddress) {
-      return this.local.acquire(request, timeoutMs);
+      return this.localPool.acquire(request, timeoutMs);
     }
     const others = owners.filter((address) => address !== this.ownAddress);
     return Promise.resolve(this.relayVia(others, request, timeoutMs));
@@ -84,12 +84,12 @@
     request: ConnectionRequest,
     timeoutMs: number,
   ): Promise<PooledConnection> {
-    if (holder === this.ownAddress) return this.local.acquire(request, timeoutMs);
-    const mayGo = isOpen && this.maySee(holder, request.homes);
-    if (mayGo && this.surroundings.health.mayTry(holder)) {
+    if (holder === this.ownAddress) return this.localPool.acquire(request, timeoutMs);
+    const isAllowed = isOpen && this.isProxyAllowed(holder, request.homes);
+    if (isAllowed && this.dependencies.health.isAvailable(holder)) {
       return Promise.resolve(this.relayVia([holder], request, timeoutMs));
     }
-    this.ways.noteRefused();
+    this.routing.recordSlowStartRefusal();
     return Promise.reject(new AcquireError('slowStart'));
   }
 
@@ -99,68 +99,73 @@
     timeoutMs: number,
   ): PooledConnection {
     const route = {
-      instance: this.local.target.id,
+      instance: this.localPool.target.id,
       incarnation: this.incarnation,
       tenant: request.tenant,
       priority: request.priority,
-      usefulMs: request.usefulMs,
+      objectiveMs: request.objectiveMs,
       waitMs: timeoutMs,
-      owners: owners.slice(0, MOST_TRIED),
-      homes: request.homes,
+      owners: owners.slice(0, MAX_OWNERS_TRIED),
+      allowedRegions: request.homes,
     };
-    const connection = new RelayedConnection(route, this.surroundings);
+    const connection = new RelayedConnection(route, this.dependencies);
     const pooled = new PooledConnection(connection, request.tenant ?? NO_TENANT, true);
-    this.relayed.add(pooled);
-    connection.onClosed = () => this.relayed.delete(pooled);
+    this.relayedConnections.add(pooled);
+    connection.onClosed = () => this.relayedConnections.delete(pooled);
     return pooled;
   }
 
   /** Whether the next statement on a connection may have these homes. */
-  mayCarry(pooled: PooledConnection, homes: Homes): boolean {
+  satisfiesResidency(pooled: PooledConnection, allowedRegions: Homes): boolean {
     const { connection } = pooled;
-    const keeper = connection instanceof RelayedConnection ? connection.keeper : undefined;
-    return keeper === undefined || this.maySee(keeper, homes);
+    const pinnedOwner =
+      connection instanceof RelayedConnection ? connection.pinnedOwner : undefined;
+    return pinnedOwner === undefined || this.isProxyAllowed(pinnedOwner, allowedRegions);
   }
 
   /** Gives a connection back to where it came from. */
   release(pooled: PooledConnection): void {
-    if (pooled.isRelayed) this.relayed.delete(pooled);
-    else this.local.release(pooled);
+    if (pooled.isRelayed) this.relayedConnections.delete(pooled);
+    else this.localPool.release(pooled);
   }
 
   /** Closes a connection whose state is unknown. */
   discard(pooled: PooledConnection): void {
     if (pooled.isRelayed) pooled.connection.close();
-    else this.local.discard(pooled);
+    else this.localPool.discard(pooled);
   }
 
   /** A statement of a transaction begins. Owners count their own statements. */
-  wake(pooled: PooledConnection): void {
-    if (!pooled.isRelayed) this.local.wake(pooled);
+  markActive(pooled: PooledConnection): void {
+    if (!pooled.isRelayed) this.localPool.markActive(pooled);
   }
 
   /** A transaction waits for its caller. Owners count their own statements. */
-  rest(pooled: PooledConnection): void {
-    if (!pooled.isRelayed) this.local.rest(pooled);
+  markIdleInTransaction(pooled: PooledConnection): void {
+    if (!pooled.isRelayed) this.localPool.markIdleInTransaction(pooled);
   }
 
   /** The instance was busy. Owners hear of that themselves. */
-  noteBusy(pooled: PooledConnection): void {
-    if (!pooled.isRelayed) this.local.noteBusy();
+  recordBusy(pooled: PooledConnection): void {
+    if (!pooled.isRelayed) this.localPool.recordBusy();
   }
 
   /** The instance served a statement. Owners hear of that themselves. */
-  noteServed(pooled: PooledConnection): void {
-    if (!pooled.isRelayed) this.local.noteServed();
+  recordServed(pooled: PooledConnection): void {
+    if (!pooled.isRelayed) this.localPool.recordServed();
   }
 
   /** Closes all connections in use: no answer on them counts any more. */
-  abandonInUse(): void {
-    this.local.abandonInUse();
-    for (const { connection } of [...this.relayed]) connection.close();
+  closeInUse(): void {
+    this.localPool.closeInUse();
+    for (const { connection } of [...this.relayedConnections]) connection.close();
   }
 
-  private maySee(address: string, homes: Homes): boolean {
-    return homes === undefined || address === this.ownAddress || this.ways.maySee(address, homes);
+  private isProxyAllowed(address: string, allowedRegions: Homes): boolean {
+    return (
+      allowedRegions === undefined ||
+      address === this.ownAddress ||
+      this.routing.isProxyAllowed(address, allowedRegions)
+    );
   }
 }
--- a/src/appointed/relay/owner_health.ts
+++ b/src/appointed/relay/owner_health.ts
@@ -15,20 +15,20 @@
 import type { Clock, Messenger } from '../../runtime/runtime.js';
 
 /** Time between two probes of an owner that is away, in milliseconds. Guess, not measured. */
-const PROBE_SPACING_MS = 250;
+const PROBE_INTERVAL_MS = 250;
 /** Time for an answer to a probe, in milliseconds: more than a trip within a region, and a busy process. Guess, not measured. */
 const PROBE_TIMEOUT_MS = 150;
 /** An owner that no statement wanted for this long, in milliseconds, is not probed any more. Guess, not measured. */
-const PROBED_SINCE_WANTED_MS = 4000;
+const PROBE_DEMAND_WINDOW_MS = 4000;
 
-interface Absence {
+interface UnavailableOwner {
   /** When a statement last asked for the owner. */
-  wantedAt: number;
+  lastRequestedAt: number;
 }
 
 /** Health of all connection owners, as one proxy has found it. */
 export class OwnerHealth {
-  private readonly absent = new Map<string, Absence>();
+  private readonly unavailable = new Map<string, UnavailableOwner>();
 
   constructor(
     private readonly clock: Clock,
@@ -36,29 +36,30 @@
   ) {}
 
   /** Whether an owner may be tried; counts as a statement that wants it. */
-  mayTry(address: string): boolean {
-    const absence = this.absent.get(address);
-    if (absence) absence.wantedAt = this.clock.now();
-    return absence === undefined;
+  isAvailable(address: string): boolean {
+    const owner = this.unavailable.get(address);
+    if (owner) owner.lastRequestedAt = this.clock.now();
+    return owner === undefined;
   }
 
   /** Takes an owner for away: it did not answer, or does not serve the instance. */
-  noteFailure(address: string): void {
-    if (this.absent.has(address)) return;
-    this.absent.set(address, { wantedAt: this.clock.now() });
-    this.probeLater(address);
+  recordFailure(address: string): void {
+    if (this.unavailable.has(address)) return;
+    this.unavailable.set(address, { lastRequestedAt: this.clock.now() });
+    this.scheduleProbe(address);
   }
 
   /** Takes an owner for there: it answered. */
-  noteAnswer(address: string): void {
-    this.absent.delete(address);
+  recordAnswer(address: string): void {
+    this.unavailable.delete(address);
   }
 
-  private probeLater(address: string): void {
-    this.clock.setTimer(PROBE_SPACING_MS, () => {
-      const absence = this.absent.get(address);
-      if (!absence) return;
-      if (this.clock.now() - absence.wantedAt > PROBED_SINCE_WANTED_MS) this.absent.delete(address);
+  private scheduleProbe(address: string): void {
+    this.clock.setTimer(PROBE_INTERVAL_MS, () => {
+      const owner = this.unavailable.get(address);
+      if (!owner) return;
+      if (this.clock.now() - owner.lastRequestedAt > PROBE_DEMAND_WINDOW_MS)
+        this.unavailable.delete(address);
       else void this.probe(address);
     });
   }
@@ -68,10 +69,10 @@
     const relayRequest = { closes: true };
     try {
       await this.messenger.request(address, { relayRequest }, PROBE_TIMEOUT_MS);
-      this.noteAnswer(address);
+      this.recordAnswer(address);
     } catch {
       // Nothing is lost: the owner stays away, and is probed again for as long as statements want it.
-      this.probeLater(address);
+      this.scheduleProbe(address);
     }
   }
 }
--- a/src/appointed/relay/relay_codec.ts
+++ b/src/appointed/relay/relay_codec.ts
@@ -82,7 +82,7 @@
       isPrimary: status.role === 'primary',
       term: status.term,
       received: status.received,
-      heldTerm: status.heldTerm,
+      heldTerm: status.fencedTerm,
       lagMs: status.lagMs,
     },
   };
@@ -107,7 +107,7 @@
     role: message.isPrimary ? 'primary' : 'replica',
     term: message.term ?? 0,
     received: positionOf(message.received) ?? START,
-    heldTerm: message.heldTerm ?? 0,
+    fencedTerm: message.heldTerm ?? 0,
     lagMs: message.lagMs ?? 0,
   };
 }
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -32,8 +32,8 @@
 type LocalTarget = Target & { readonly pool: InstancePool };
 
 /** A connection that another proxy's transaction keeps. */
-interface KeptConnection {
-  readonly held: HeldConnection;
+interface RelayPinnedConnection {
+  readonly pinned: HeldConnection;
   usedAt: number;
 }
 
@@ -41,18 +41,18 @@
  * A kept connection without a request for this long, in milliseconds, is ended: the proxy of its transaction ends sooner a
  * transaction that rests, so it is gone. Guess, not measured.
  */
-const ABANDONED_MS = 8000;
+const PINNED_IDLE_TIMEOUT_MS = 8000;
 
 /** Cause of a refusal: nothing that a primary answers counts once it has started again. */
-const STARTED_AGAIN = 'the primary started again';
+const PRIMARY_RESTARTED = 'the primary started again';
 
 /** Relay server of one proxy. */
 export class RelayServer {
   private readonly runner: StatementRunner;
-  private readonly kept = new Map<string, KeptConnection>();
+  private readonly pinnedConnections = new Map<string, RelayPinnedConnection>();
   /** Requests of other proxies since the start, by outcome. */
   readonly counts = new Map<string, number>();
-  private running = 0;
+  private inFlight = 0;
   private nextConnection = 1;
 
   constructor(
@@ -66,26 +66,26 @@
 
   /** Statements that are under way, and transactions that keep a connection. */
   get openCount(): number {
-    return this.running + this.kept.size;
+    return this.inFlight + this.pinnedConnections.size;
   }
 
   /** Answers one request. Never rejects. */
   async handle(request: whinyoke.IRelayRequest, isLeaving: boolean): Promise<whinyoke.IRelayReply> {
-    this.running++;
+    this.inFlight++;
     try {
-      return this.counted(await this.serve(request, isLeaving));
+      return this.countReply(await this.serve(request, isLeaving));
     } catch (error) {
       this.context.log(Events.relayFailed, {
         instance: request.instance ?? '',
         reason: messageOf(error),
       });
-      return this.counted({ outcome: RelayOutcome.LOST, cause: messageOf(error) });
+      return this.countReply({ outcome: RelayOutcome.LOST, cause: messageOf(error) });
     } finally {
-      this.running--;
+      this.inFlight--;
     }
   }
 
-  private counted(reply: whinyoke.IRelayReply): whinyoke.IRelayReply {
+  private countReply(reply: whinyoke.IRelayReply): whinyoke.IRelayReply {
     const outcome = RelayOutcome[reply.outcome ?? RelayOutcome.ANSWERED];
     this.counts.set(outcome, (this.counts.get(outcome) ?? 0) + 1);
     return reply;
@@ -93,11 +93,11 @@
 
   /** Ends kept connections whose proxy is gone; called now and then. */
   maintain(): void {
-    const oldest = this.context.clock.now() - ABANDONED_MS;
-    for (const [connection, { held, usedAt }] of this.kept) {
+    const oldest = this.context.clock.now() - PINNED_IDLE_TIMEOUT_MS;
+    for (const [connection, { pinned, usedAt }] of this.pinnedConnections) {
       if (usedAt > oldest) continue;
-      this.kept.delete(connection);
-      this.runner.discard(held);
+      this.pinnedConnections.delete(connection);
+      this.runner.discard(pinned);
     }
   }
 
@@ -106,42 +106,43 @@
     isLeaving: boolean,
   ): Promise<whinyoke.IRelayReply> | whinyoke.IRelayReply {
     const connection = request.connection ?? '';
-    if (request.closes) return this.closeKept(connection);
+    if (request.closes) return this.closePinned(connection);
     const command = decodeRelayCommand(request.command);
     const waitMs = durationOf(request.waitMs);
     const timeoutMs = durationOf(request.timeoutMs);
-    if (!command) return notRun('no command that is known');
-    if (waitMs === undefined || timeoutMs === undefined) return notRun('no time is left');
-    if (connection !== '') return this.runKept(connection, request, command, timeoutMs);
+    if (!command) return notRunReply('no command that is known');
+    if (waitMs === undefined || timeoutMs === undefined) return notRunReply('no time is left');
+    if (connection !== '') return this.runPinned(connection, request, command, timeoutMs);
     const target = isLeaving ? undefined : this.targetOf(request.instance ?? '');
     if (!target)
       return { outcome: RelayOutcome.NOT_HOME, cause: 'the instance is not served here' };
-    if (!isMeant(request, target.pool.target)) return notRun('another incarnation is meant');
-    if (!this.isWithin(request)) return this.refuseOutside(request);
-    if (this.isDistrusted(target)) return notRun(STARTED_AGAIN);
+    if (!matchesIncarnation(request, target.pool.target))
+      return notRunReply('another incarnation is meant');
+    if (!this.isAllowedHere(request)) return this.refuseOutsideRegions(request);
+    if (this.isDistrusted(target)) return notRunReply(PRIMARY_RESTARTED);
     return this.runNew(target, request, command, waitMs, timeoutMs);
   }
 
   /** Whether a statement may be here, and may be run by its instance: the settings of its proxy may tell other regions. */
-  private isWithin({ homes, instance }: whinyoke.IRelayRequest): boolean {
+  private isAllowedHere({ homes, instance }: whinyoke.IRelayRequest): boolean {
     const { zone, regionByZone } = this.context;
     const regions = homes ? new Set(homes.regions ?? []) : undefined;
     const isHere = isWithinHomes(regions, zone, regionByZone);
     return isHere && mayServe(this.context, regions, instance ?? '');
   }
 
-  private refuseOutside({ instance, homes }: whinyoke.IRelayRequest): whinyoke.IRelayReply {
+  private refuseOutsideRegions({ instance, homes }: whinyoke.IRelayRequest): whinyoke.IRelayReply {
     this.context.log(Events.relayOutsideHomes, {
       instance: instance ?? '',
       homes: (homes?.regions ?? []).join(),
     });
-    return notRun(textOf({ kind: 'outsideHomes' }));
+    return notRunReply(textOf({ kind: 'outsideHomes' }));
   }
 
-  private closeKept(connection: string): whinyoke.IRelayReply {
-    const kept = this.kept.get(connection);
-    this.kept.delete(connection);
-    if (kept) this.runner.discard(kept.held);
+  private closePinned(connection: string): whinyoke.IRelayReply {
+    const entry = this.pinnedConnections.get(connection);
+    this.pinnedConnections.delete(connection);
+    if (entry) this.runner.discard(entry.pinned);
     return { outcome: RelayOutcome.ANSWERED };
   }
 
@@ -170,78 +171,81 @@
       tenant: request.anyTenant ? undefined : (request.tenant ?? ''),
       values: content.values,
       priority: request.priority ?? 0,
-      usefulMs: request.usefulMs ?? 0,
+      objectiveMs: request.usefulMs ?? 0,
     };
-    let held: HeldConnection;
+    let pinned: HeldConnection;
     try {
-      held = await this.runner.hold(target, needed, waitMs);
+      pinned = await this.runner.hold(target, needed, waitMs);
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart') {
         return replyTo({ outcome: 'answered', answer: slowStartAnswer(target, false) }, '');
       }
-      return notRun(`no connection: ${messageOf(error)}`);
+      return notRunReply(`no connection: ${messageOf(error)}`);
     }
-    return this.run(held, '', content, command, timeoutMs);
+    return this.run(pinned, '', content, command, timeoutMs);
   }
 
-  private async runKept(
+  private async runPinned(
     connection: string,
     request: whinyoke.IRelayRequest,
     command: RelayedCommand,
     timeoutMs: number,
   ): Promise<whinyoke.IRelayReply> {
-    const kept = this.kept.get(connection);
-    if (!kept || kept.held.pooled.connection.closed) {
-      this.closeKept(connection);
-      return notRun('the connection has ended');
+    const entry = this.pinnedConnections.get(connection);
+    if (!entry || entry.pinned.pooled.connection.closed) {
+      this.closePinned(connection);
+      return notRunReply('the connection has ended');
     }
-    kept.usedAt = this.context.clock.now();
-    const { held } = kept;
-    held.target.pool.wake(held.pooled);
-    return this.run(held, connection, contentOf(request, command), command, timeoutMs);
+    entry.usedAt = this.context.clock.now();
+    const { pinned } = entry;
+    pinned.target.pool.markActive(pinned.pooled);
+    return this.run(pinned, connection, contentOf(request, command), command, timeoutMs);
   }
 
   private async run(
-    held: HeldConnection,
+    pinned: HeldConnection,
     connection: string,
     content: SessionContent,
     command: RelayedCommand,
     timeoutMs: number,
   ): Promise<whinyoke.IRelayReply> {
-    const attempt = await this.runner.attempt(held, content, command, timeoutMs);
+    const attempt = await this.runner.attempt(pinned, content, command, timeoutMs);
     // The proxy that asked may not have heard from the primary before, and so can't tell that its log has gone.
-    if (this.isDistrusted(held.target)) {
-      this.kept.delete(connection);
-      this.runner.discard(held);
-      return { outcome: RelayOutcome.LOST, cause: STARTED_AGAIN };
+    if (this.isDistrusted(pinned.target)) {
+      this.pinnedConnections.delete(connection);
+      this.runner.discard(pinned);
+      return { outcome: RelayOutcome.LOST, cause: PRIMARY_RESTARTED };
     }
     const isOpen = attempt.outcome === 'answered' && attempt.answer.state === 'open';
-    if (isOpen && !held.pooled.connection.closed) {
-      return replyTo(attempt, this.keep(held, connection));
+    if (isOpen && !pinned.pooled.connection.closed) {
+      return replyTo(attempt, this.pin(pinned, connection));
     }
-    this.kept.delete(connection);
+    this.pinnedConnections.delete(connection);
     const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
-    if (answer) this.runner.release(held, answer);
-    else this.runner.discard(held);
+    if (answer) this.runner.release(pinned, answer);
+    else this.runner.discard(pinned);
     return replyTo(attempt, '');
   }
 
-  private keep(held: HeldConnection, known: string): string {
+  private pin(pinned: HeldConnection, known: string): string {
     const connection = known || `${this.incarnation}.${this.nextConnection++}`;
-    this.kept.set(connection, { held, usedAt: this.context.clock.now() });
-    held.target.pool.rest(held.pooled);
+    this.pinnedConnections.set(connection, { pinned, usedAt: this.context.clock.now() });
+    pinned.target.pool.markIdleInTransaction(pinned.pooled);
     return connection;
   }
 }
 
 /** A request that names no incarnation, or the first one, means the one that is served. */
-function isMeant(request: whinyoke.IRelayRequest, { incarnation }: InstanceTarget): boolean {
-  const meant = request.instanceIncarnation ?? 0;
-  return meant === 0 || meant === (incarnation ?? 0);
+function matchesIncarnation(
+  request: whinyoke.IRelayRequest,
+  { incarnation }: InstanceTarget,
+): boolean {
+  const requestedIncarnation = request.instanceIncarnation ?? 0;
+  return requestedIncarnation === 0 || requestedIncarnation === (incarnation ?? 0);
 }
 
 /** Reply that nothing ran, here or elsewhere. */
-function notRun(cause: string): whinyoke.IRelayReply {
+function notRunReply(cause: string): whinyoke.IRelayReply {
   return { outcome: RelayOutcome.NOT_RUN_HERE, cause };
 }
 
@@ -262,7 +266,7 @@
         answer: encodeRelayAnswer(attempt.answer),
       };
     case 'notRun':
-      return notRun(textOf(attempt.cause));
+      return notRunReply(textOf(attempt.cause));
     case 'lost':
       return { outcome: RelayOutcome.LOST, cause: textOf(attempt.cause) };
   }
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -34,17 +34,17 @@
   /** 0 is the most urgent. */
   readonly priority: number;
   /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
-  readonly usefulMs: number | undefined;
+  readonly objectiveMs: number | undefined;
   /** Longest wait for a connection at an owner, in milliseconds. */
   readonly waitMs: number;
   /** Connection owners in the order in which they are tried. */
   readonly owners: readonly string[];
   /** Regions to which its statements are bound, which owners check too; undefined where they are bound to none. */
-  readonly homes?: Homes;
+  readonly allowedRegions?: Homes;
 }
 
 /** What all relayed connections of a process use. */
-export interface RelaySurroundings {
+export interface RelayDependencies {
   readonly messenger: Messenger;
   readonly health: OwnerHealth;
 }
@@ -54,9 +54,9 @@
   { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: OwnerUnreachableError };
 
 /** Time for a request and its reply on the way, in milliseconds. Guess, not measured. */
-const TRAVEL_MS = 40;
+const NETWORK_DELAY_MS = 40;
 /** Sent where a statement has no objective, in milliseconds: longer than any statement waits. */
-const LONGEST_USEFUL_MS = 600_000;
+const MAX_OBJECTIVE_MS = 600_000;
 const ACKNOWLEDGED: InstanceAnswer = { rows: [], signature: '-', state: 'idle' };
 
 /** One connection. */
@@ -66,18 +66,18 @@
   private readonly values = new Map<string, string>();
   private state: InstanceAnswer['state'] = 'idle';
   /** Owner that keeps a connection for this one, and the name of that connection. */
-  private kept: { readonly owner: string; readonly connection: string } | undefined;
+  private pinned: { readonly owner: string; readonly connection: string } | undefined;
   private isClosed = false;
-  private noteClosed: () => void = () => undefined;
+  private resolveClosed: () => void = () => undefined;
   /** Resolves when the connection is closed here, so that a command that waits for its answer ends at once. */
-  private readonly closing = new Promise<OwnerReply>((resolve) => {
+  private readonly closedReply = new Promise<OwnerReply>((resolve) => {
     const cause = 'the connection was closed meanwhile';
-    this.noteClosed = () => resolve({ reply: { outcome: RelayOutcome.LOST, cause } });
+    this.resolveClosed = () => resolve({ reply: { outcome: RelayOutcome.LOST, cause } });
   });
 
   constructor(
     private readonly route: RelayedRoute,
-    private readonly surroundings: RelaySurroundings,
+    private readonly dependencies: RelayDependencies,
   ) {}
 
   /** Whether the connection has ended. */
@@ -86,8 +86,8 @@
   }
 
   /** Owner that keeps a connection for this one; undefined where none does. */
-  get keeper(): string | undefined {
-    return this.kept?.owner;
+  get pinnedOwner(): string | undefined {
+    return this.pinned?.owner;
   }
 
   /** Runs one command at an owner; session values and prepared shapes travel with the next statement. */
@@ -111,7 +111,7 @@
       case 'rollback':
       case 'data':
       case 'status':
-        return this.hasTime(timeoutMs) ? this.send(command, timeoutMs) : this.refuseLate();
+        return this.hasTimeLeft(timeoutMs) ? this.send(command, timeoutMs) : this.rejectExpired();
       default:
         return Promise.reject(new RangeError(`${command.kind} can't be relayed`));
     }
@@ -120,24 +120,26 @@
   /** Ends the connection at once, also the one that an owner keeps for it. */
   close(): void {
     if (this.isClosed) return;
-    const { kept } = this;
+    const { pinned } = this;
     this.end();
-    if (kept) this.giveUp(kept.owner, kept.connection);
+    if (pinned) this.closeAtOwner(pinned.owner, pinned.connection);
   }
 
   /** Asks an owner to end a connection that it keeps for this one. */
-  private giveUp(owner: string, connection: string): void {
+  private closeAtOwner(owner: string, connection: string): void {
     const relayRequest = { connection, closes: true };
     // Nothing is lost where that fails: the owner ends a connection by itself that is not used for a while (RelayServer).
-    this.surroundings.messenger.request(owner, { relayRequest }, TRAVEL_MS).catch(() => undefined);
+    this.dependencies.messenger
+      .request(owner, { relayRequest }, NETWORK_DELAY_MS)
+      .catch(() => undefined);
   }
 
-  private hasTime(timeoutMs: number): boolean {
+  private hasTimeLeft(timeoutMs: number): boolean {
     return timeoutMs > 0 && this.route.waitMs >= 0;
   }
 
   /** A command without time left is not sent: its caller would have given it up before an owner answered. */
-  private refuseLate(): Promise<never> {
+  private rejectExpired(): Promise<never> {
     return this.fail(new BackendConnectionLostError('no time is left', { sent: false }));
   }
 
@@ -147,18 +149,21 @@
 
   private end(): void {
     this.isClosed = true;
-    this.kept = undefined;
-    this.noteClosed();
+    this.pinned = undefined;
+    this.resolveClosed();
     this.onClosed?.();
   }
 
   /** Tries one owner after the other until one has sent the command, or refuses it for want of a connection. */
   private async send(command: RelayedCommand, timeoutMs: number): Promise<InstanceAnswer> {
-    const owners = this.kept ? [this.kept.owner] : this.route.owners;
+    const owners = this.pinned ? [this.pinned.owner] : this.route.owners;
     let unreachable = new OwnerUnreachableError('no home can be reached', { sent: false });
     for (const owner of owners) {
-      const reply = await Promise.race([this.exchange(owner, command, timeoutMs), this.closing]);
-      if ('reply' in reply) return this.judge(owner, reply.reply);
+      const reply = await Promise.race([
+        this.exchange(owner, command, timeoutMs),
+        this.closedReply,
+      ]);
+      if ('reply' in reply) return this.applyReply(owner, reply.reply);
       ({ unreachable } = reply);
       if (unreachable.sent) break;
     }
@@ -170,30 +175,30 @@
     command: RelayedCommand,
     timeoutMs: number,
   ): Promise<OwnerReply> {
-    const { messenger, health } = this.surroundings;
+    const { messenger, health } = this.dependencies;
     const relayRequest = this.requestFor(command, timeoutMs);
-    const longestMs = this.route.waitMs + timeoutMs + TRAVEL_MS;
+    const requestTimeoutMs = this.route.waitMs + timeoutMs + NETWORK_DELAY_MS;
     try {
-      const { relayReply } = await messenger.request(owner, { relayRequest }, longestMs);
+      const { relayReply } = await messenger.request(owner, { relayRequest }, requestTimeoutMs);
       const isServed = relayReply && relayReply.outcome !== RelayOutcome.NOT_HOME;
       if (isServed) {
-        health.noteAnswer(owner);
-        if (this.isClosed && relayReply.connection) this.giveUp(owner, relayReply.connection);
+        health.recordAnswer(owner);
+        if (this.isClosed && relayReply.connection) this.closeAtOwner(owner, relayReply.connection);
         return { reply: relayReply };
       }
-      health.noteFailure(owner);
+      health.recordFailure(owner);
       const cause = relayReply?.cause ?? 'it relays nothing';
       return { unreachable: new OwnerUnreachableError(`${owner}: ${cause}`, { sent: false }) };
     } catch (error) {
-      health.noteFailure(owner);
+      health.recordFailure(owner);
       const sent = !(error instanceof PeerUnreachableError) || error.sent;
       return { unreachable: new OwnerUnreachableError(messageOf(error), { sent }) };
     }
   }
 
   private requestFor(command: RelayedCommand, timeoutMs: number): whinyoke.IRelayRequest {
-    const { instance, incarnation, tenant, priority, waitMs, homes } = this.route;
-    const { usefulMs = LONGEST_USEFUL_MS } = this.route;
+    const { instance, incarnation, tenant, priority, waitMs, allowedRegions } = this.route;
+    const { objectiveMs = MAX_OBJECTIVE_MS } = this.route;
     return {
       instance,
       instanceIncarnation: incarnation,
@@ -202,15 +207,15 @@
       priority,
       waitMs: Math.ceil(waitMs),
       timeoutMs: Math.ceil(timeoutMs),
-      usefulMs: Math.ceil(Math.min(LONGEST_USEFUL_MS, Math.max(0, usefulMs))),
-      connection: this.kept?.connection,
+      usefulMs: Math.ceil(Math.min(MAX_OBJECTIVE_MS, Math.max(0, objectiveMs))),
+      connection: this.pinned?.connection,
       values: [...this.values].map(([name, value]) => ({ name, value })),
       command: encodeRelayCommand(command),
-      homes: homes && { regions: [...homes] },
+      homes: allowedRegions && { regions: [...allowedRegions] },
     };
   }
 
-  private judge(owner: string, reply: whinyoke.IRelayReply): Promise<InstanceAnswer> {
+  private applyReply(owner: string, reply: whinyoke.IRelayReply): Promise<InstanceAnswer> {
     const cause = reply.cause ?? '';
     if (reply.outcome !== RelayOutcome.ANSWERED) {
       const sent = reply.outcome === RelayOutcome.LOST;
@@ -219,7 +224,7 @@
     const answer = decodeRelayAnswer(reply.answer ?? {});
     this.state = answer.state;
     const connection = reply.connection ?? '';
-    this.kept = connection === '' ? undefined : { owner, connection };
+    this.pinned = connection === '' ? undefined : { owner, connection };
     return Promise.resolve(answer);
   }
 
--- a/src/appointed/routing/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -54,8 +54,8 @@
 
 function cost(candidate: ReadCandidate, context: ReadContext): number {
   const { load } = candidate;
-  let result = load.latency * (load.outstanding + 1);
-  result *= 1 + FAILING_FACTOR * load.failingFraction(context.now);
+  let result = load.latencyMs * (load.outstanding + 1);
+  result *= 1 + FAILING_FACTOR * load.failureFraction(context.now);
   if (candidate.isPrimary) result *= PRIMARY_FACTOR;
   if (candidate.zone !== context.zone) result *= OTHER_ZONE_FACTOR;
   if (candidate.isCold) result *= COLD_FACTOR;
--- a/src/appointed/routing/request_homes.ts
+++ b/src/appointed/routing/request_homes.ts
@@ -36,7 +36,7 @@
 /** Whether homes leave any instance of a group that takes new work; a cold one may have room for it in a moment. */
 function leavesInstance(context: ProxyContext, group: string, homes: Homes): boolean {
   if (homes === undefined) return true;
-  return context.instances.takingNewWork(group).some((id) => mayServe(context, homes, id));
+  return context.instances.instancesAcceptingWork(group).some((id) => mayServe(context, homes, id));
 }
 
 /**
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -84,7 +84,7 @@
     this.operation.noteRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
-    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThreshold);
+    const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThresholdMs);
     const attempt = await this.attempt(command, content, deadline, limitMs);
     if (attempt.outcome !== 'answered') {
       const cause = this.causeOfFailure(attempt);
@@ -189,9 +189,9 @@
     const { pooled, target } = this.held!;
     for (;;) {
       const timeoutMs = Math.min(deadline.remaining, limitMs);
-      target.pool.wake(pooled);
+      target.pool.markActive(pooled);
       const attempt = await this.runner.attempt(this.held!, content, command, timeoutMs);
-      target.pool.rest(pooled);
+      target.pool.markIdleInTransaction(pooled);
       const answer = attempt.outcome === 'answered' ? attempt.answer : undefined;
       const isBusy = answer?.error?.kind === 'busy' && answer.state === 'open';
       if (!isBusy || !deadline.allowsRetry(true)) return attempt;
@@ -283,9 +283,9 @@
     let held: HeldConnection;
     try {
       const { name: tenant } = this.operation.tenant;
-      const usefulMs = deadline.usefulRemaining;
+      const objectiveMs = deadline.usefulRemaining;
       const { homes } = target;
-      const needed = { tenant, values: content.values, priority, usefulMs, homes };
+      const needed = { tenant, values: content.values, priority, objectiveMs, homes };
       held = await this.runner.hold(target, needed, deadline.connectionWait(false));
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart')
@@ -294,12 +294,12 @@
       return { kind: 'noConnection' };
     }
     const command = { kind: 'begin' as const, readOnly: this.readOnly, after: target.after };
-    const limitMs = deadline.statementTimeout(target.pool.load.slowAnswerThreshold);
+    const limitMs = deadline.statementTimeout(target.pool.load.slowAnswerThresholdMs);
     const timeoutMs = Math.min(deadline.remaining, limitMs);
     const attempt = await this.runner.attempt(held, { values: content.values }, command, timeoutMs);
     if (attempt.outcome === 'answered' && !attempt.answer.error) {
       this.held = held;
-      target.pool.rest(held.pooled);
+      target.pool.markIdleInTransaction(held.pooled);
       return undefined;
     }
     this.runner.release(held, attempt.outcome === 'answered' ? attempt.answer : undefined);
@@ -343,7 +343,7 @@
     if (!held) return true;
     const homes = homesOf(context, route, operation.tenant);
     const { instance, pool } = held.target;
-    return mayServe(context, homes, instance) && pool.mayCarry(held.pooled, homes);
+    return mayServe(context, homes, instance) && pool.satisfiesResidency(held.pooled, homes);
   }
 
   /** Why COMMIT may not be sent; undefined when it may. */
--- a/src/appointed/sessions/session_loader.ts
+++ b/src/appointed/sessions/session_loader.ts
@@ -5,7 +5,11 @@
  * Relies on nothing: pure, but for `recordLoaded`, which changes that record.
  */
 import type { PooledConnection } from '../connections/pooled_connection.js';
-import { type InstanceCommand, type PreparedShape, sharedName } from '../instance/statement.js';
+import {
+  type InstanceCommand,
+  type PreparedShape,
+  sharedPreparedName,
+} from '../instance/statement.js';
 
 /** What a connection must hold before a statement. */
 export interface SessionContent {
@@ -30,7 +34,7 @@
     if (!isLoaded) steps.push({ kind: 'set', name, value });
   }
   const { prepared } = content;
-  const isPrepared = prepared && !isReset && pooled.preparedNames.has(sharedName(prepared));
+  const isPrepared = prepared && !isReset && pooled.preparedNames.has(sharedPreparedName(prepared));
   if (prepared && !isPrepared) steps.push({ kind: 'prepare', prepared });
   return steps;
 }
@@ -43,6 +47,6 @@
   } else if (step.kind === 'set') {
     pooled.values.set(step.name, step.value);
   } else if (step.kind === 'prepare') {
-    pooled.preparedNames.add(sharedName(step.prepared));
+    pooled.preparedNames.add(sharedPreparedName(step.prepared));
   }
 }
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -177,7 +177,7 @@
     const held = await this.hold(request, target, waitMs);
     if (!('pooled' in held)) return held;
     const timeoutMs = deadline.readAnswerTimeout(
-      target.pool.load.slowAnswerThreshold,
+      target.pool.load.slowAnswerThresholdMs,
       targetsLeft <= 1,
     );
     const { id, statement } = request;
@@ -250,12 +250,12 @@
     waitMs: number,
   ): Promise<HeldConnection | NotRunAttempt> {
     const { priority } = request.deadline.route;
-    const usefulMs = request.deadline.usefulRemaining;
+    const objectiveMs = request.deadline.usefulRemaining;
     try {
       const { values } = request.content;
       const { homes } = target;
       const { name: tenant } = request.operation.tenant;
-      const needed = { tenant, values, priority, usefulMs, homes };
+      const needed = { tenant, values, priority, objectiveMs, homes };
       return await this.runner.hold(target, needed, waitMs);
     } catch (error) {
       // The cause of the attempt carries the reason; the pool counts its refusals.
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -106,7 +106,7 @@
       return { target, pooled, isUrgent: isUrgent(request.priority), inTransaction: false };
     } catch (error) {
       if (error instanceof AcquireError && !LOAD_FAILURES.has(error.failure)) {
-        load.noteFailure(this.context.clock.now());
+        load.recordFailure(this.context.clock.now());
       }
       throw error;
     } finally {
@@ -213,7 +213,7 @@
     } catch (error) {
       ended?.(false, clock.now());
       if (error instanceof OwnerUnreachableError) tracker?.ownersSilent(clock.now());
-      if (isInstanceFault(held, error)) load.noteFailure(clock.now());
+      if (isInstanceFault(held, error)) load.recordFailure(clock.now());
       throw error;
     } finally {
       load.outstanding--;
@@ -238,14 +238,14 @@
   ): void {
     const { primaryEpoch: epoch, pool } = held.target;
     const now = this.context.clock.now();
-    if (answer.position) pool.load.notePosition(answer.position);
-    if (answer.error?.kind === 'lagging') pool.load.noteLagging(now);
-    if (answer.error?.kind === 'busy') pool.noteBusy(held.pooled);
+    if (answer.position) pool.load.recordPosition(answer.position);
+    if (answer.error?.kind === 'lagging') pool.load.recordLagging(now);
+    if (answer.error?.kind === 'busy') pool.recordBusy(held.pooled);
     if (isTimed && !answer.error) {
-      pool.load.noteAnswer(now - asked.at, now);
-      pool.noteServed(held.pooled);
+      pool.load.recordAnswer(now - asked.at, now);
+      pool.recordServed(held.pooled);
     }
-    if (answer.error && FAILING_KINDS.has(answer.error.kind)) pool.load.noteRefusal(now);
+    if (answer.error && FAILING_KINDS.has(answer.error.kind)) pool.load.recordRefusal(now);
     if (epoch !== undefined) this.reportPrimary(held, epoch, answer, asked);
   }
 
--- a/test/tools/changed_group.ts
+++ b/test/tools/changed_group.ts
@@ -36,7 +36,7 @@
   role: InstanceStatus['role'] = 'replica',
 ): InstanceStatus {
   const received = sequence === undefined ? START : { term: TERM, sequence };
-  return { role, term: received.term, received, heldTerm: 0, lagMs: 0 };
+  return { role, term: received.term, received, fencedTerm: 0, lagMs: 0 };
 }
 
 /** The group `g` of the instances a (the primary), b and c. */
@@ -146,8 +146,8 @@
   private connectionTo(id: string): InstanceConnection {
     const run = (command: { kind: string; term?: number }): Promise<InstanceAnswer> => {
       const state = this.states.get(id) ?? logUpTo();
-      const heldTerm = command.kind === 'pause' ? command.term! : state.heldTerm;
-      this.states.set(id, { ...state, heldTerm });
+      const fencedTerm = command.kind === 'pause' ? command.term! : state.fencedTerm;
+      this.states.set(id, { ...state, fencedTerm });
       const status = this.states.get(id)!;
       return Promise.resolve({ rows: [], signature: '-', state: 'idle', status });
     };
--- a/test/tools/instance_pool.ts
+++ b/test/tools/instance_pool.ts
@@ -31,22 +31,31 @@
 }
 
 /** What a test sets of its pool. */
-interface TestPoolOptions extends Partial<Omit<PoolOptions, 'share'>>, Partial<PoolListener> {
-  readonly share?: Partial<ReturnType<PoolOptions['share']>>;
+interface TestPoolOptions extends Partial<Omit<PoolOptions, 'quota'>>, Partial<PoolListener> {
+  readonly quota?: Partial<ReturnType<PoolOptions['quota']>>;
   readonly clock?: Clock;
   readonly load?: InstanceLoad;
 }
 
 /** A pool of an instance with many slots, at a proxy that may hold two connections. */
-export function poolOf(connector: InstanceConnector, options: TestPoolOptions = {}): InstancePool {
-  const { share, clock = new RealClock(), load = new InstanceLoad(), ...set } = options;
+export function createTestPool(
+  connector: InstanceConnector,
+  options: TestPoolOptions = {},
+): InstancePool {
+  const { quota, clock = new RealClock(), load = new InstanceLoad(), ...set } = options;
   const ignore = (): undefined => undefined;
   const settings = {
-    share: () => ({ most: 2, minimumIdle: 0, idleTimeoutMs: 1000, clampMs: 50, ...share }),
+    quota: () => ({
+      maxConnections: 2,
+      minimumIdle: 0,
+      idleTimeoutMs: 1000,
+      clampMs: 50,
+      ...quota,
+    }),
     slots: () => MANY_SLOTS,
     connectTimeoutMs: 100,
-    proxies: () => 1,
-    opensSpares: () => true,
+    proxyCount: () => 1,
+    opensSpareConnections: () => true,
     random: new SeededRandom(1),
     ...set,
   };
--- a/test/tools/lone_proxy.ts
+++ b/test/tools/lone_proxy.ts
@@ -39,7 +39,7 @@
   private state: InstanceAnswer['state'] = 'idle';
 
   constructor(
-    private readonly proxy: LoneProxy,
+    private readonly harness: SingleProxyHarness,
     private readonly instance: string,
   ) {
     super();
@@ -47,16 +47,16 @@
 
   override run = (async (command: InstanceCommand): Promise<InstanceAnswer> => {
     if (this.closed) throw new BackendConnectionLostError('connection is closed', { sent: false });
-    const { proxy, instance } = this;
-    proxy.sent.push({ at: proxy.now, instance, command });
-    do await delay(proxy.clock, WORK_MS);
-    while (proxy.hanging.has(instance) && !this.closed);
+    const { harness, instance } = this;
+    harness.sentCommands.push({ at: harness.now, instance, command });
+    do await delay(harness.clock, WORK_MS);
+    while (harness.unresponsiveInstances.has(instance) && !this.closed);
     if (this.closed) throw new BackendConnectionLostError('connection was closed', { sent: true });
     if (command.kind === 'begin') this.state = 'open';
     if (command.kind === 'commit' || command.kind === 'rollback') this.state = 'idle';
     const received = { term: 1, sequence: 1 };
-    const role = proxy.catalog.group('g')?.primary === instance ? 'primary' : 'replica';
-    const status = { role, term: 1, received, heldTerm: 0, lagMs: 0 } as const;
+    const role = harness.catalog.group('g')?.primary === instance ? 'primary' : 'replica';
+    const status = { role, term: 1, received, fencedTerm: 0, lagMs: 0 } as const;
     return { rows: [], signature: 's', state: this.state, position: received, status };
   }) as FakeConnection['run'];
 }
@@ -67,22 +67,22 @@
 }
 
 /** The proxy, its instances and its control. */
-export class LoneProxy {
+export class SingleProxyHarness {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
   readonly core: AppointedProxy;
   /** Everything that reached an instance. */
-  readonly sent: SentCommand[] = [];
+  readonly sentCommands: SentCommand[] = [];
   /** Openings, by instance. */
-  readonly opened: string[] = [];
+  readonly openedInstances: string[] = [];
   /** Instances to which no connection is opened. */
-  readonly unopened = new Set<string>();
+  readonly unreachableInstances = new Set<string>();
   /** Instances that do not answer. */
-  readonly hanging = new Set<string>();
+  readonly unresponsiveInstances = new Set<string>();
   /** Names of events. */
   readonly events: string[] = [];
   /** Whether control answers nothing. */
-  isControlSilent = false;
+  isControlUnresponsive = false;
   /** Handler of messages of other proxies. */
   handle: Parameters<Runtime['messenger']['serve']>[0] = () => Promise.reject(new Error('unset'));
   private readonly process = new VirtualProcess('10.7.0.1', this.scheduler, new SeededRandom(1), 0);
@@ -95,9 +95,9 @@
     const [primary] = Object.keys(zones);
     this.apply({ putDocument: documentOf(1, 'one') });
     for (const [id, zone] of Object.entries(zones)) this.placeInstance(id, zone);
-    this.lead(primary!, 1);
+    this.setPrimary(primary!, 1);
     const messenger: Runtime['messenger'] = {
-      request: (_address, body) => this.answer(body),
+      request: (_address, body) => this.answerSync(body),
       serve: (handler) => void (this.handle = handler),
     };
     const { process } = this;
@@ -111,8 +111,8 @@
       seeds: [CONTROL],
       connector: {
         connect: ({ id }) => {
-          if (this.unopened.has(id)) return new Promise(() => undefined);
-          this.opened.push(id);
+          if (this.unreachableInstances.has(id)) return new Promise(() => undefined);
+          this.openedInstances.push(id);
           const position = { term: 1, sequence: 1 };
           return Promise.resolve({ connection: new RecordingConnection(this, id), position });
         },
@@ -149,7 +149,7 @@
   async start(): Promise<void> {
     this.core.start();
     await this.run(200);
-    await this.settled(this.session('own').write());
+    await this.runUntilSettled(this.session('own').write());
   }
 
   run(milliseconds: number): Promise<void> {
@@ -157,10 +157,10 @@
   }
 
   /** Lets time pass until a promise is settled. */
-  async settled<T>(promise: Promise<T>): Promise<T> {
+  async runUntilSettled<T>(promise: Promise<T>): Promise<T> {
     let isSettled = false;
-    const note = (): void => void (isSettled = true);
-    promise.then(note, note);
+    const onSettled = (): void => void (isSettled = true);
+    promise.then(onSettled, onSettled);
     for (let tries = 0; tries < 3000 && !isSettled; tries++) await this.run(1);
     if (!isSettled) throw new Error('still waiting after 3 s');
     return promise;
@@ -171,7 +171,7 @@
     this.catalog.apply(this.index, whinyoke.CatalogCommand.encode(command).finish());
   }
 
-  order(zone: string, begins: boolean): void {
+  setEvacuation(zone: string, begins: boolean): void {
     this.apply({ putEvacuation: { zone, begins } });
   }
 
@@ -181,7 +181,7 @@
   }
 
   /** Names the primary of the next epoch. */
-  lead(primary: string, epoch: number, phase = GroupPhase.STEADY): void {
+  setPrimary(primary: string, epoch: number, phase = GroupPhase.STEADY): void {
     this.apply({ putGroup: { group: 'g', epoch, phase, primary, term: 1, planned: true } });
   }
 
@@ -195,7 +195,7 @@
     ) => ReturnType<RoutedSession['execute']>;
   } {
     const session = this.core.openSession(database)!;
-    const execute: ReturnType<LoneProxy['session']>['execute'] = (statement) =>
+    const execute: ReturnType<SingleProxyHarness['session']>['execute'] = (statement) =>
       session.execute(`r${this.nextRequest++}`, statement);
     return {
       state: () => session.state,
@@ -206,17 +206,19 @@
   }
 
   /** Instances that statements of callers reached after a moment. */
-  reachedSince(at: number): readonly string[] {
-    const later = this.sent.filter((item) => item.at > at && item.command.kind !== 'status');
+  instancesReachedSince(at: number): readonly string[] {
+    const later = this.sentCommands.filter(
+      (item) => item.at > at && item.command.kind !== 'status',
+    );
     return [...new Set(later.map(({ instance }) => instance))].sort();
   }
 
-  private async answer({ syncRequest }: MessageBody): Promise<MessageBody> {
+  private async answerSync({ syncRequest }: MessageBody): Promise<MessageBody> {
     const known = syncRequest?.knownVersion ?? 0;
     const until = this.now + (syncRequest?.waitMs ?? 0);
     do await delay(this.clock, 1);
     while (this.catalog.version <= known && this.now < until);
-    if (this.isControlSilent) throw new Error('control is silent');
+    if (this.isControlUnresponsive) throw new Error('control is silent');
     return {
       syncReply: {
         accepted: true,
--- a/test/unit/connection_owners.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -6,7 +6,7 @@
 import { OwnerHealth } from '../../src/appointed/relay/owner_health.js';
 import { RelayedConnection } from '../../src/appointed/relay/relayed_connection.js';
 import { durationOf } from '../../src/runtime/duration.js';
-import { connectionShare } from '../../src/appointed/connections/connection_share.js';
+import { connectionQuota } from '../../src/appointed/connections/connection_share.js';
 import type { Clock, Messenger } from '../../src/runtime/runtime.js';
 
 const { RelayOutcome } = whinyoke;
@@ -26,24 +26,24 @@
   const addresses = zones.flatMap((zone) => zone.addresses);
   const views = addresses.map((address) => {
     const owners = new ConnectionOwners(address);
-    owners.update(zones);
+    owners.updateProxies(zones);
     return owners;
   });
   const tenants = Array.from({ length: 84 }, (_, index) => `tenant-${index}`);
   const used = new Set<string>();
   for (const tenant of tenants) {
-    const orders = new Set(views.map((owners) => owners.of(instance, tenant).join()));
+    const orders = new Set(views.map((owners) => owners.ownersFor(instance, tenant).join()));
     t.equal(orders.size, 1, `one order for ${tenant}`);
-    const [first] = views[0]!.of(instance, tenant);
+    const [first] = views[0]!.ownersFor(instance, tenant);
     used.add(first!);
   }
   t.equal(used.size, 2, 'both owners get tenants');
   t.ok([...used].every((address) => address.startsWith('b:')));
-  const shares = views.map((owners) => owners.shareOf(instance, addresses.length));
+  const shares = views.map((owners) => owners.quotaOf(instance, addresses.length));
   const ofOwners = shares.filter((share) => share.isOwner);
   t.equal(ofOwners.length, 2);
   t.ok(
-    ofOwners.reduce((sum, { most }) => sum + most, 0) <= 53 * 0.9,
+    ofOwners.reduce((sum, { maxConnections }) => sum + maxConnections, 0) <= 53 * 0.9,
     'a rest is left to stand-ins',
   );
   t.end();
@@ -54,8 +54,8 @@
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
   const standIns = ['a:0', 'b:3', 'c:9'].map((address) => {
     const owners = new ConnectionOwners(address);
-    owners.update(zones);
-    return owners.of(instance, 'tenant-1').filter((owner) => !owner.startsWith('b:'));
+    owners.updateProxies(zones);
+    return owners.ownersFor(instance, 'tenant-1').filter((owner) => !owner.startsWith('b:'));
   });
   t.equal(standIns[0]!.length, 1);
   t.same(standIns, [standIns[0], standIns[0], standIns[0]]);
@@ -64,10 +64,10 @@
 
 void t.test('where each proxy can have its own connections, an instance has no owners', (t) => {
   const owners = new ConnectionOwners('a:0');
-  owners.update(zonesOf({ a: 6 }));
+  owners.updateProxies(zonesOf({ a: 6 }));
   const instance = { id: 'i', zone: 'a', connectionLimit: 34 };
-  t.same(owners.of(instance, ''), []);
-  t.same(owners.shareOf(instance, 6), connectionShare(34, 6));
+  t.same(owners.ownersFor(instance, ''), []);
+  t.same(owners.quotaOf(instance, 6), connectionQuota(34, 6));
   t.end();
 });
 
@@ -78,13 +78,13 @@
     const zones = zonesOf({ a: 80, b: 80, c: 69 });
     const instance = { id: 'i', zone: 'a', connectionLimit: 400 };
     const owners = new ConnectionOwners('a:0');
-    owners.update(zones);
-    const [first] = owners.of(instance, '');
+    owners.updateProxies(zones);
+    const [first] = owners.ownersFor(instance, '');
     t.ok(first, 'statements go through an owner');
     const owner = new ConnectionOwners(first!);
-    owner.update(zones);
-    const { most, idleTimeoutMs } = owner.shareOf(instance, 229);
-    t.ok(most >= 24, 'which has connections for all');
+    owner.updateProxies(zones);
+    const { maxConnections, idleTimeoutMs } = owner.quotaOf(instance, 229);
+    t.ok(maxConnections >= 24, 'which has connections for all');
     t.ok(idleTimeoutMs > 5000, 'and keeps them');
     t.end();
   },
@@ -92,17 +92,17 @@
 
 void t.test('an instance in a zone without proxies has owners elsewhere', (t) => {
   const owners = new ConnectionOwners('a:0');
-  owners.update(zonesOf({ a: 40 }));
-  t.ok(owners.of({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
+  owners.updateProxies(zonesOf({ a: 40 }));
+  t.ok(owners.ownersFor({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
   t.end();
 });
 
-const STILL_CLOCK: Clock = { now: () => 0, setTimer: () => ({ cancel: () => undefined }) };
+const FROZEN_CLOCK: Clock = { now: () => 0, setTimer: () => ({ cancel: () => undefined }) };
 
 /** Reply of an owner, or why there is none. */
 type OwnerAnswer = whinyoke.IRelayReply | { readonly unreachable: Error };
 
-function connectionVia(said: Readonly<Record<string, OwnerAnswer>>): {
+function connectionVia(replyByOwner: Readonly<Record<string, OwnerAnswer>>): {
   readonly connection: RelayedConnection;
   readonly asked: whinyoke.IRelayRequest[];
   readonly health: OwnerHealth;
@@ -111,20 +111,20 @@
   const messenger: Messenger = {
     request: (address, { relayRequest }) => {
       asked.push(relayRequest!);
-      const answer = said[address]!;
+      const answer = replyByOwner[address]!;
       if ('unreachable' in answer) return Promise.reject(answer.unreachable);
       return Promise.resolve({ relayReply: answer });
     },
     serve: () => undefined,
   };
-  const health = new OwnerHealth(STILL_CLOCK, messenger);
-  const owners = Object.keys(said);
+  const health = new OwnerHealth(FROZEN_CLOCK, messenger);
+  const owners = Object.keys(replyByOwner);
   const route = {
     instance: 'i',
     incarnation: 0,
     tenant: 'ana',
     priority: 1,
-    usefulMs: undefined,
+    objectiveMs: undefined,
     waitMs: 50,
     owners,
   };
@@ -134,8 +134,10 @@
 const WRITE = { kind: 'data', id: 'q1', statement: { kind: 'write', argument: 'x' } } as const;
 const SERVED = { outcome: RelayOutcome.ANSWERED, answer: { signature: 's', state: 'idle' } };
 
-async function sentOf(said: Readonly<Record<string, OwnerAnswer>>): Promise<boolean | undefined> {
-  const { connection } = connectionVia(said);
+async function mayHaveRun(
+  replyByOwner: Readonly<Record<string, OwnerAnswer>>,
+): Promise<boolean | undefined> {
+  const { connection } = connectionVia(replyByOwner);
   try {
     await connection.run(WRITE, 100);
     return undefined;
@@ -161,13 +163,17 @@
 void t.test('a write may have run only where an owner may have sent it', async (t) => {
   const unsent = { unreachable: new PeerUnreachableError('refused', { sent: false }) };
   const silent = { unreachable: new PeerUnreachableError('no answer') };
-  t.equal(await sentOf({ h1: SERVED }), undefined);
-  t.equal(await sentOf({ h1: unsent, h2: SERVED }), undefined, 'the next owner serves');
-  t.equal(await sentOf({ h1: { outcome: RelayOutcome.NOT_HOME }, h2: SERVED }), undefined);
-  t.equal(await sentOf({ h1: unsent, h2: unsent }), false, 'nothing was sent');
-  t.equal(await sentOf({ h1: silent, h2: SERVED }), true, 'a second owner must not run it again');
-  t.equal(await sentOf({ h1: { outcome: RelayOutcome.LOST, cause: 'x' }, h2: SERVED }), true);
-  t.equal(await sentOf({ h1: { outcome: RelayOutcome.NOT_RUN_HERE, cause: 'full' } }), false);
+  t.equal(await mayHaveRun({ h1: SERVED }), undefined);
+  t.equal(await mayHaveRun({ h1: unsent, h2: SERVED }), undefined, 'the next owner serves');
+  t.equal(await mayHaveRun({ h1: { outcome: RelayOutcome.NOT_HOME }, h2: SERVED }), undefined);
+  t.equal(await mayHaveRun({ h1: unsent, h2: unsent }), false, 'nothing was sent');
+  t.equal(
+    await mayHaveRun({ h1: silent, h2: SERVED }),
+    true,
+    'a second owner must not run it again',
+  );
+  t.equal(await mayHaveRun({ h1: { outcome: RelayOutcome.LOST, cause: 'x' }, h2: SERVED }), true);
+  t.equal(await mayHaveRun({ h1: { outcome: RelayOutcome.NOT_RUN_HERE, cause: 'full' } }), false);
 });
 
 void t.test('a transaction stays at its owner, with the values of its session', async (t) => {
@@ -179,7 +185,7 @@
   await connection.run({ kind: 'set', name: 'v', value: '1' }, 100);
   t.equal(asked.length, 0, 'values travel with the next statement');
   await connection.run({ kind: 'begin', readOnly: false }, 100);
-  health.noteFailure('h1');
+  health.recordFailure('h1');
   await connection.run(WRITE, 100);
   t.match(asked, [
     { tenant: 'ana', values: [{ name: 'v', value: '1' }] },
@@ -197,13 +203,13 @@
       request: () => new Promise(() => undefined),
       serve: () => undefined,
     };
-    const health = new OwnerHealth(STILL_CLOCK, messenger);
+    const health = new OwnerHealth(FROZEN_CLOCK, messenger);
     const route = {
       instance: 'i',
       incarnation: 0,
       tenant: 'ana',
       priority: 1,
-      usefulMs: undefined,
+      objectiveMs: undefined,
       waitMs: 50,
       owners: ['h1', 'h2'],
     };
@@ -242,19 +248,19 @@
     timers.shift()?.();
     await new Promise((resolve) => setImmediate(resolve));
   };
-  health.noteFailure('h');
+  health.recordFailure('h');
   for (let round = 0; round < 5; round++) {
-    t.notOk(health.mayTry('h'), 'no statement tries it');
+    t.notOk(health.isAvailable('h'), 'no statement tries it');
     await tick();
   }
   t.equal(asked, 5);
   isAway = false;
   await tick();
-  t.ok(health.mayTry('h'));
+  t.ok(health.isAvailable('h'));
   isAway = true;
-  health.noteFailure('h');
+  health.recordFailure('h');
   now += 10_000;
   await tick();
-  t.ok(health.mayTry('h'), 'no statement wanted it for long: the next one tries it');
+  t.ok(health.isAvailable('h'), 'no statement wanted it for long: the next one tries it');
   t.equal(timers.length, 0);
 });
--- a/test/unit/emulated_instance.test.ts
+++ b/test/unit/emulated_instance.test.ts
@@ -10,7 +10,7 @@
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 
-const SILENT_JOURNAL = {
+const NO_OP_JOURNAL = {
   onArrival: () => undefined,
   onRun: () => undefined,
   onCommit: () => undefined,
@@ -28,7 +28,7 @@
     connectionLimit: 1,
     workMs: 1,
   };
-  const instance = new EmulatedInstance(options, process, storage, SILENT_JOURNAL, () => undefined);
+  const instance = new EmulatedInstance(options, process, storage, NO_OP_JOURNAL, () => undefined);
   const committed = { position: { term: 1, sequence: 1 }, requests: ['c1.1'] };
   storage.log.push(committed);
   const session = instance.connect('')!;
--- a/test/unit/evacuation_primaries.test.ts
+++ b/test/unit/evacuation_primaries.test.ts
@@ -124,7 +124,7 @@
     if (sequence === undefined) return undefined;
     const term = this.terms.get(id) ?? 1;
     const role = term > 1 ? 'primary' : 'replica';
-    return { role, term, received: { term: 1, sequence }, heldTerm: 9, lagMs: 0 };
+    return { role, term, received: { term: 1, sequence }, fencedTerm: 9, lagMs: 0 };
   }
 }
 
--- a/test/unit/evacuation_proxy.test.ts
+++ b/test/unit/evacuation_proxy.test.ts
@@ -6,8 +6,8 @@
 import { EvacuatedZones } from '../../src/appointed/placement/evacuated_zones.js';
 import { DEFAULT_PLACEMENT_RULES } from '../../src/appointed/placement/placement_rules.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
-import { CountingConnector, poolOf } from '../tools/instance_pool.js';
-import { LoneProxy } from '../tools/lone_proxy.js';
+import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
+import { SingleProxyHarness } from '../tools/lone_proxy.js';
 
 const { GroupPhase, RelayOutcome } = whinyoke;
 const HALF_MS = DEFAULT_PLACEMENT_RULES.evacuationMs / 2;
@@ -15,8 +15,8 @@
 const HEARD_MS = 20;
 
 /** A proxy in z1 before a primary `a` and replicas `b` and `c`. */
-async function started(zones: Readonly<Record<string, string>>): Promise<LoneProxy> {
-  const proxy = new LoneProxy(zones);
+async function started(zones: Readonly<Record<string, string>>): Promise<SingleProxyHarness> {
+  const proxy = new SingleProxyHarness(zones);
   await proxy.start();
   return proxy;
 }
@@ -24,32 +24,32 @@
 void t.test('no read goes to an evacuated zone, and after the finish they do', async (t) => {
   const proxy = await started({ a: 'z3', b: 'z1', c: 'z2' });
   const session = proxy.session('any');
-  await proxy.settled(session.read());
-  t.ok(proxy.reachedSince(0).includes('b'), 'the one in the zone of the proxy');
-  proxy.order('z1', true);
+  await proxy.runUntilSettled(session.read());
+  t.ok(proxy.instancesReachedSince(0).includes('b'), 'the one in the zone of the proxy');
+  proxy.setEvacuation('z1', true);
   await proxy.run(HEARD_MS);
   const heardAt = proxy.now;
-  for (let count = 0; count < 20; count++) await proxy.settled(session.read());
-  t.same(proxy.reachedSince(heardAt), ['c']);
+  for (let count = 0; count < 20; count++) await proxy.runUntilSettled(session.read());
+  t.same(proxy.instancesReachedSince(heardAt), ['c']);
   const metrics = new ProxyMetrics();
   metrics.watch(proxy.core);
   const shown = await metrics.registry.metrics();
   t.match(shown, /^whinyoke_evacuated_zone_idle_seconds{zone="z1"} 0\.\d+$/m);
-  const openedBefore = proxy.opened.length;
+  const openedBefore = proxy.openedInstances.length;
   await proxy.run(2000);
-  t.notOk(proxy.opened.slice(openedBefore).includes('b'), 'no spare connection');
-  proxy.order('z1', false);
+  t.notOk(proxy.openedInstances.slice(openedBefore).includes('b'), 'no spare connection');
+  proxy.setEvacuation('z1', false);
   await proxy.run(HEARD_MS);
   const finishedAt = proxy.now;
-  await proxy.settled(proxy.session('own').write());
-  await proxy.settled(session.read());
-  t.ok(proxy.reachedSince(finishedAt).includes('b'));
+  await proxy.runUntilSettled(proxy.session('own').write());
+  await proxy.runUntilSettled(session.read());
+  t.ok(proxy.instancesReachedSince(finishedAt).includes('b'));
   t.ok(proxy.events.includes('zone_evacuated') && proxy.events.includes('zone_readmitted'));
 });
 
 void t.test('a pool in an evacuated zone refuses what waits and keeps no connection', async (t) => {
   const connector = new CountingConnector();
-  const pool = poolOf(connector, { share: { minimumIdle: 2 } });
+  const pool = createTestPool(connector, { quota: { minimumIdle: 2 } });
   const running = await pool.acquire(request(1), 100);
   const idle = await pool.acquire(request(1), 100);
   const waiting = pool.acquire(request(1), 5000);
@@ -57,15 +57,15 @@
   await t.rejects(waiting, new AcquireError('evacuated'));
   await t.rejects(pool.acquire(request(1), 100), new AcquireError('evacuated'));
   t.notOk(running.connection.closed, 'a statement that was sent is not cut off');
-  t.equal(pool.endRested(0), 0);
-  pool.rest(running);
-  t.equal(pool.endRested(1000), 0, 'it has not rested for long');
-  t.equal(pool.endRested(0), 1);
+  t.equal(pool.closeIdleTransactions(0), 0);
+  pool.markIdleInTransaction(running);
+  t.equal(pool.closeIdleTransactions(1000), 0, 'it has not rested for long');
+  t.equal(pool.closeIdleTransactions(0), 1);
   pool.discard(running);
   pool.release(idle);
   t.ok(idle.connection.closed);
   pool.maintain();
-  pool.probe();
+  pool.probeByConnecting();
   t.equal(connector.opened, 2, 'none is opened ahead, or to see whether it is alive');
   const question = { tenant: undefined, values: new Map(), priority: 0 };
   const asking = await pool.acquire(question, 100);
@@ -74,22 +74,22 @@
   t.equal(connector.opened, 3, 'questions of the system share one');
   pool.resume();
   pool.release(await pool.acquire(request(1), 100));
-  t.notOk(pool.refused.has('closed'));
+  t.notOk(pool.refusalCounts.has('closed'));
 });
 
 void t.test(
   'a read that waits for an instance in the zone is placed elsewhere at once',
   async (t) => {
-    const proxy = new LoneProxy({ a: 'z3', b: 'z1', c: 'z2' });
-    proxy.unopened.add('b');
+    const proxy = new SingleProxyHarness({ a: 'z3', b: 'z1', c: 'z2' });
+    proxy.unreachableInstances.add('b');
     await proxy.start();
     const startedAt = proxy.now;
     const read = proxy.session('any').read();
     await proxy.run(2);
-    t.same(proxy.reachedSince(startedAt), [], 'it waits for a connection to b');
-    proxy.order('z1', true);
-    t.notOk((await proxy.settled(read)).error);
-    t.same(proxy.reachedSince(startedAt), ['c']);
+    t.same(proxy.instancesReachedSince(startedAt), [], 'it waits for a connection to b');
+    proxy.setEvacuation('z1', true);
+    t.notOk((await proxy.runUntilSettled(read)).error);
+    t.same(proxy.instancesReachedSince(startedAt), ['c']);
     t.ok(proxy.now - startedAt < 25, 'long before it would have given b up');
   },
 );
@@ -107,27 +107,27 @@
 void t.test('a primary in an evacuated zone is used for half of the bound at most', async (t) => {
   const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
   const session = proxy.session('own');
-  proxy.order('z2', true);
+  proxy.setEvacuation('z2', true);
   const orderedAt = proxy.now;
   await proxy.run(HEARD_MS);
-  const early = await proxy.settled(session.write());
+  const early = await proxy.runUntilSettled(session.write());
   t.notOk(early.error, 'it is not replaced yet');
   await proxy.run(HALF_MS);
   const closedAt = proxy.now;
-  const late = await proxy.settled(session.write());
+  const late = await proxy.runUntilSettled(session.write());
   t.match(late.error, { kind: 'busy', text: /in an evacuated zone; retry after 1000 ms/ });
   t.ok(proxy.now - closedAt <= 2, 'at once');
-  const read = await proxy.settled(session.read());
+  const read = await proxy.runUntilSettled(session.read());
   t.match(read.error, { kind: 'busy', text: /in an evacuated zone/ });
-  t.same(proxy.reachedSince(orderedAt + HALF_MS), []);
-  proxy.lead('a', 2, GroupPhase.CHANGING);
+  t.same(proxy.instancesReachedSince(orderedAt + HALF_MS), []);
+  proxy.setPrimary('a', 2, GroupPhase.CHANGING);
   await proxy.run(HEARD_MS);
   const waiting = session.write();
   await proxy.run(100);
-  proxy.lead('c', 3);
-  const moved = await proxy.settled(waiting);
+  proxy.setPrimary('c', 3);
+  const moved = await proxy.runUntilSettled(waiting);
   t.notOk(moved.error, 'a change that should end soon is waited for');
-  t.same(proxy.reachedSince(closedAt), ['c']);
+  t.same(proxy.instancesReachedSince(closedAt), ['c']);
 });
 
 void t.test(
@@ -140,30 +140,30 @@
       proxy.session('any'),
     ];
     for (const session of [resting, busy, last]) {
-      await proxy.settled(session.execute({ kind: 'begin', readOnly: true }));
-      await proxy.settled(session.read());
+      await proxy.runUntilSettled(session.execute({ kind: 'begin', readOnly: true }));
+      await proxy.runUntilSettled(session.read());
     }
     const beganAt = proxy.now;
-    t.ok(proxy.reachedSince(0).includes('b'));
-    proxy.order('z1', true);
+    t.ok(proxy.instancesReachedSince(0).includes('b'));
+    proxy.setEvacuation('z1', true);
     while (proxy.now < beganAt + HALF_MS - 400) {
-      await proxy.settled(busy.read());
-      await proxy.settled(last.read());
+      await proxy.runUntilSettled(busy.read());
+      await proxy.runUntilSettled(last.read());
       await proxy.run(90);
     }
-    const rested = await proxy.settled(resting.read());
+    const rested = await proxy.runUntilSettled(resting.read());
     t.match(rested.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
-    const committed = await proxy.settled(last.execute({ kind: 'commit' }));
+    const committed = await proxy.runUntilSettled(last.execute({ kind: 'commit' }));
     t.notOk(committed.error, 'one that works may end');
-    proxy.hanging.add('b');
+    proxy.unresponsiveInstances.add('b');
     const underWay = busy.read();
     await proxy.run(200);
-    proxy.hanging.delete('b');
-    t.notOk((await proxy.settled(underWay)).error, 'a statement that was sent is answered');
+    proxy.unresponsiveInstances.delete('b');
+    t.notOk((await proxy.runUntilSettled(underWay)).error, 'a statement that was sent is answered');
     await proxy.run(600);
-    const late = await proxy.settled(busy.execute({ kind: 'commit' }));
+    const late = await proxy.runUntilSettled(busy.execute({ kind: 'commit' }));
     t.match(late.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
-    const toZone = proxy.sent.filter(({ instance }) => instance === 'b');
+    const toZone = proxy.sentCommands.filter(({ instance }) => instance === 'b');
     t.ok(toZone.at(-1)!.at < beganAt + HALF_MS, 'nothing is sent there later');
     t.ok(proxy.events.includes('transactions_evacuated'));
   },
@@ -172,14 +172,14 @@
 void t.test('a transaction that wrote in an evacuated zone is certainly not kept', async (t) => {
   const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
   const session = proxy.session('own');
-  await proxy.settled(session.execute({ kind: 'begin', readOnly: false }));
-  await proxy.settled(session.write());
-  proxy.order('z2', true);
+  await proxy.runUntilSettled(session.execute({ kind: 'begin', readOnly: false }));
+  await proxy.runUntilSettled(session.write());
+  proxy.setEvacuation('z2', true);
   await proxy.run(HALF_MS + HEARD_MS);
-  const reply = await proxy.settled(session.execute({ kind: 'commit' }));
+  const reply = await proxy.runUntilSettled(session.execute({ kind: 'commit' }));
   t.match(reply.error, { kind: 'aborted', text: /the zone of its instance is evacuated/ });
   t.notOk(
-    proxy.sent.some(({ command }) => command.kind === 'commit'),
+    proxy.sentCommands.some(({ command }) => command.kind === 'commit'),
     'no COMMIT was sent',
   );
 });
@@ -187,45 +187,46 @@
 void t.test(
   'a proxy that starts meanwhile sends nothing to the zone, nor to one that moves in',
   async (t) => {
-    const proxy = new LoneProxy({ a: 'z2', b: 'z1', c: 'z1' });
-    proxy.order('z1', true);
+    const proxy = new SingleProxyHarness({ a: 'z2', b: 'z1', c: 'z1' });
+    proxy.setEvacuation('z1', true);
     await proxy.start();
     proxy.placeInstance('d', 'z1');
     await proxy.run(500);
-    for (let count = 0; count < 5; count++) await proxy.settled(proxy.session('any').read());
-    t.same(proxy.reachedSince(-1), ['a']);
-    t.same([...new Set(proxy.opened)], ['a']);
+    for (let count = 0; count < 5; count++)
+      await proxy.runUntilSettled(proxy.session('any').read());
+    t.same(proxy.instancesReachedSince(-1), ['a']);
+    t.same([...new Set(proxy.openedInstances)], ['a']);
   },
 );
 
 void t.test('while all zones are evacuated everything is refused at once', async (t) => {
   const proxy = await started({ a: 'z1', b: 'z2' });
-  proxy.order('z1', true);
-  proxy.order('z2', true);
+  proxy.setEvacuation('z1', true);
+  proxy.setEvacuation('z2', true);
   await proxy.run(HALF_MS + HEARD_MS);
   const at = proxy.now;
-  const reply = await proxy.settled(proxy.session('any').read());
+  const reply = await proxy.runUntilSettled(proxy.session('any').read());
   t.match(reply.error, { kind: 'busy', text: /in an evacuated zone/ });
   t.ok(proxy.now - at < 100);
-  t.same(proxy.reachedSince(at - HEARD_MS), []);
-  proxy.order('z2', false);
+  t.same(proxy.instancesReachedSince(at - HEARD_MS), []);
+  proxy.setEvacuation('z2', false);
   await proxy.run(HEARD_MS);
-  t.match((await proxy.settled(proxy.session('own').write())).error, { kind: 'busy' });
+  t.match((await proxy.runUntilSettled(proxy.session('own').write())).error, { kind: 'busy' });
 });
 
 void t.test('a proxy that hears nothing holds no way to a zone beyond its bounds', async (t) => {
   const proxy = await started({ a: 'z2', b: 'z1', c: 'z1' });
-  proxy.isControlSilent = true;
+  proxy.isControlUnresponsive = true;
   await proxy.run(400);
-  proxy.order('z2', true);
+  proxy.setEvacuation('z2', true);
   const orderedAt = proxy.now;
   const { contactTimeoutMs, longestStretchMs } = DEFAULT_PLACEMENT_RULES;
   while (proxy.now < orderedAt + contactTimeoutMs + longestStretchMs + 5000) {
-    await proxy.settled(proxy.session('own').write());
-    await proxy.settled(proxy.session('any').read());
+    await proxy.runUntilSettled(proxy.session('own').write());
+    await proxy.runUntilSettled(proxy.session('any').read());
     await proxy.run(50);
   }
-  const last = proxy.sent.filter(({ command }) => command.kind === 'data').at(-1)!;
+  const last = proxy.sentCommands.filter(({ command }) => command.kind === 'data').at(-1)!;
   t.ok(last.at - orderedAt > 10_000, 'leases that replicas confirm are used');
   t.ok(last.at - orderedAt < contactTimeoutMs + longestStretchMs);
 });
@@ -241,15 +242,15 @@
     const body = await proxy.handle({ relayRequest: { ...relayRequest, connection } }, '');
     return body.relayReply ?? {};
   };
-  const begun = await proxy.settled(relay({ begin: { readOnly: true } }));
+  const begun = await proxy.runUntilSettled(relay({ begin: { readOnly: true } }));
   t.equal(begun.outcome, RelayOutcome.ANSWERED);
-  proxy.order('z1', true);
+  proxy.setEvacuation('z1', true);
   await proxy.run(HEARD_MS);
-  const refused = await proxy.settled(relay(read));
+  const refused = await proxy.runUntilSettled(relay(read));
   t.match(refused, { outcome: RelayOutcome.NOT_RUN_HERE, cause: /evacuated/ });
-  const goesOn = await proxy.settled(relay(read, begun.connection!));
+  const goesOn = await proxy.runUntilSettled(relay(read, begun.connection!));
   t.equal(goesOn.outcome, RelayOutcome.ANSWERED, 'a transaction may end');
   await proxy.run(HALF_MS);
-  const ended = await proxy.settled(relay(read, begun.connection!));
+  const ended = await proxy.runUntilSettled(relay(read, begun.connection!));
   t.equal(ended.outcome, RelayOutcome.NOT_RUN_HERE);
 });
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -28,7 +28,7 @@
 const { GroupPhase, InstanceRole, InstanceState, PrimaryHealth } = whinyoke;
 
 function statusAt(sequence: number, term = 3): InstanceStatus {
-  return { role: 'replica', term, received: { term, sequence }, heldTerm: term + 1, lagMs: 0 };
+  return { role: 'replica', term, received: { term, sequence }, fencedTerm: term + 1, lagMs: 0 };
 }
 
 function choiceOf(change: Partial<ChoiceInput>): string | undefined {
@@ -166,10 +166,10 @@
 
 void t.test('replicas confirm a primary as long as none is held or follows another', (t) => {
   const answer = (change: Partial<InstanceStatus>): string | undefined =>
-    objectionOf({ instance: 'a', status: { ...statusAt(5), heldTerm: 0, ...change } }, 3);
+    objectionOf({ instance: 'a', status: { ...statusAt(5), fencedTerm: 0, ...change } }, 3);
   t.equal(answer({}), undefined);
-  t.equal(answer({ heldTerm: 3 }), undefined, 'held by an earlier change, which is over');
-  t.match(answer({ heldTerm: 4 }), /held/);
+  t.equal(answer({ fencedTerm: 3 }), undefined, 'held by an earlier change, which is over');
+  t.match(answer({ fencedTerm: 4 }), /held/);
   t.match(answer({ term: 4 }), /follows/);
   t.match(answer({ role: 'primary' }), /primary/);
   t.match(objectionOf({ instance: 'a', problem: 'timeout' }, 3), /timeout/);
--- a/test/unit/incarnations_at_proxies.test.ts
+++ b/test/unit/incarnations_at_proxies.test.ts
@@ -93,7 +93,7 @@
   const { events, instances, leases, tell } = proxyAt({ term: 3, sequence: 95 });
   const former = instances.connectionsTo('b')!;
   const inUse = await former.acquire(ANYBODY, WAIT_MS);
-  former.load.noteFailure(0);
+  former.load.recordFailure(0);
   tell('b', 1);
   t.ok(inUse.connection.closed, 'also those in use');
   const present = instances.connectionsTo('b')!;
--- a/test/unit/instance_administrator.test.ts
+++ b/test/unit/instance_administrator.test.ts
@@ -12,7 +12,7 @@
   role: 'replica',
   term: 3,
   received: { term: 3, sequence: 5 },
-  heldTerm: 0,
+  fencedTerm: 0,
   lagMs: 0,
 } as const;
 const ANSWER: InstanceAnswer = { rows: [], signature: '-', state: 'idle', status: STATUS };
--- a/test/unit/primary_homes.test.ts
+++ b/test/unit/primary_homes.test.ts
@@ -38,7 +38,13 @@
 
 void t.test('homes never beat a proof, and choose among what is proven', (t) => {
   const status = (sequence: number) =>
-    ({ role: 'replica', term: 3, received: { term: 3, sequence }, heldTerm: 4, lagMs: 0 }) as const;
+    ({
+      role: 'replica',
+      term: 3,
+      received: { term: 3, sequence },
+      fencedTerm: 4,
+      lagMs: 0,
+    }) as const;
   const position = fc.option(fc.integer({ min: 8, max: 12 }), { nil: undefined });
   let chosenOfSeveral = 0;
   const property = fc.property(
--- a/test/unit/primary_trouble.test.ts
+++ b/test/unit/primary_trouble.test.ts
@@ -153,7 +153,7 @@
 
 function statusAt(sequence: number, change: Partial<InstanceStatus> = {}): InstanceStatus {
   const received = { term: 3, sequence };
-  return { role: 'replica', term: 3, received, heldTerm: 0, lagMs: 0, ...change };
+  return { role: 'replica', term: 3, received, fencedTerm: 0, lagMs: 0, ...change };
 }
 
 void t.test(
@@ -204,7 +204,7 @@
     const administrator = {
       status: ({ id }: { id: string }) => {
         const isNew = isPrimary && id === 'i-2';
-        const change = isNew ? { role: 'primary' as const, term: 4 } : { heldTerm: 4 };
+        const change = isNew ? { role: 'primary' as const, term: 4 } : { fencedTerm: 4 };
         return Promise.resolve(heldAt.length > 0 ? statusAt(5, change) : undefined);
       },
       pause: () => {
@@ -212,7 +212,7 @@
         // The first two are refused: no slot was free.
         if (tries.pause <= 2) return Promise.resolve(undefined);
         heldAt.push(context.clock.now());
-        return Promise.resolve(statusAt(5, { heldTerm: 4 }));
+        return Promise.resolve(statusAt(5, { fencedTerm: 4 }));
       },
       stepDown: () => Promise.resolve(undefined),
       resume: () => {
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -1,7 +1,7 @@
 /** Parts of the router: floors, order of instances, pool, logs that never block. */
 import t from 'tap';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { connectionShare } from '../../src/appointed/connections/connection_share.js';
+import { connectionQuota } from '../../src/appointed/connections/connection_share.js';
 import { Events } from '../../src/observability/events.js';
 import { BoundedOutput } from '../../src/observability/bounded_output.js';
 import { DecisionLogger } from '../../src/observability/decision_logger.js';
@@ -19,7 +19,7 @@
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
 import { FakeConnection } from '../tools/fake_connection.js';
-import { CountingConnector, poolOf } from '../tools/instance_pool.js';
+import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
 import { RealClock } from '../../src/runtime/real_clock.js';
 
 const { PrimaryHealth } = whinyoke;
@@ -60,15 +60,15 @@
   near.load.outstanding = 6;
   t.equal(order(), 'fpn', 'load counts more than the zone');
   near.load.outstanding = 0;
-  near.load.notePosition({ term: 1, sequence: 4 });
-  near.load.noteLagging(90);
+  near.load.recordPosition({ term: 1, sequence: 4 });
+  near.load.recordLagging(90);
   t.equal(order(), 'fp', 'it lacked a position a moment ago, and is not asked for it again yet');
-  near.load.notePosition(after);
+  near.load.recordPosition(after);
   t.equal(order(), 'nfp', 'it has this one');
-  near.load.notePosition({ term: 1, sequence: 4 });
-  near.load.noteLagging(-200);
+  near.load.recordPosition({ term: 1, sequence: 4 });
+  near.load.recordLagging(-200);
   t.equal(order(), 'nfp', 'an old observation says nothing');
-  near.load.noteFailure(100);
+  near.load.recordFailure(100);
   t.equal(order(), 'fpn', 'it failed a moment ago');
   t.end();
 });
@@ -87,13 +87,13 @@
       )[0]!.id;
     t.equal(order(0), 'grey', 'it is near');
     for (let count = 0; count < 5; count++) {
-      grey.noteRefusal(count);
-      grey.noteAnswer(10, count);
+      grey.recordRefusal(count);
+      grey.recordAnswer(10, count);
     }
     t.equal(order(10), 'well', 'half of its answers were refusals');
     t.equal(order(20_000), 'grey', 'it gets another chance');
-    for (let count = 0; count < 50; count++) well.noteRefusal(20_000);
-    for (let count = 0; count < 50; count++) grey.noteRefusal(20_000);
+    for (let count = 0; count < 50; count++) well.recordRefusal(20_000);
+    for (let count = 0; count < 50; count++) grey.recordRefusal(20_000);
     t.equal(order(20_000), 'grey', 'where all refuse, they are equal');
     t.end();
   },
@@ -134,7 +134,7 @@
 
 void t.test('a pool keeps to its share, serves by priority, prefers matching values', async (t) => {
   const connector = new CountingConnector();
-  const pool = poolOf(connector);
+  const pool = createTestPool(connector);
   const first = await pool.acquire(request(1), 100);
   const second = await pool.acquire(request(1), 100);
   const order: string[] = [];
@@ -147,7 +147,7 @@
   await Promise.all([low, high]);
   t.same(order, ['high', 'low']);
   t.equal(pool.size, 2);
-  const third = poolOf(connector);
+  const third = createTestPool(connector);
   const [left, right] = [await third.acquire(request(1), 50), await third.acquire(request(1), 50)];
   left.values.set('v', '1');
   third.release(left);
@@ -165,12 +165,12 @@
   async (t) => {
     const connector = new CountingConnector();
     const slots = 2;
-    const pool = poolOf(connector, { share: { most: 10 }, slots: () => slots });
+    const pool = createTestPool(connector, { quota: { maxConnections: 10 }, slots: () => slots });
     const waiting = Array.from({ length: 10 }, () => pool.acquire(request(1), 1000));
     await new Promise((resolve) => setTimeout(resolve, 60));
     t.equal(connector.opened, slots + 1, 'one more than the slots, for what is on its way');
     const resting = await waiting[0]!;
-    pool.rest(resting);
+    pool.markIdleInTransaction(resting);
     await new Promise((resolve) => setTimeout(resolve, 60));
     t.equal(connector.opened, slots + 2, 'a transaction that rests takes no slot');
     pool.close();
@@ -185,7 +185,7 @@
   };
   const told: { position: unknown; startedAt: number }[] = [];
   const before = new RealClock().now();
-  const pool = poolOf(connector, {
+  const pool = createTestPool(connector, {
     onOpened: (opened, startedAt) => told.push({ position: opened, startedAt }),
   });
   pool.release(await pool.acquire(request(1), 100));
@@ -198,7 +198,7 @@
   const connector: InstanceConnector = {
     connect: () => Promise.reject(new ConnectError('down', { failure: 'refused' })),
   };
-  const pool = poolOf(connector);
+  const pool = createTestPool(connector);
   await t.rejects(pool.acquire(request(1), 5000), new AcquireError('unreachable'));
   await t.rejects(
     pool.acquire(request(1), 5000),
@@ -218,7 +218,7 @@
       return Promise.resolve({ connection: new FakeConnection() });
     },
   };
-  const pool = poolOf(connector);
+  const pool = createTestPool(connector);
   const first = pool.acquire(request(1), 1000);
   await new Promise((resolve) => setImmediate(resolve));
   t.ok(await pool.acquire(request(0), 1000), 'a second one is not turned away meanwhile');
@@ -227,33 +227,33 @@
   const full: InstanceConnector = {
     connect: () => Promise.reject(new ConnectError('full', { failure: 'connectionLimit' })),
   };
-  await t.rejects(poolOf(full).acquire(request(1), 80), new AcquireError('timeout'));
+  await t.rejects(createTestPool(full).acquire(request(1), 80), new AcquireError('timeout'));
 });
 
 void t.test(
   'connections are kept where each proxy can have its own, else given back at once',
   (t) => {
-    const ample = connectionShare(34, 6);
-    t.match(ample, { most: 12, minimumIdle: 1 });
+    const ample = connectionQuota(34, 6);
+    t.match(ample, { maxConnections: 12, minimumIdle: 1 });
     t.ok(ample.idleTimeoutMs <= 500, 'those beyond the first leave room for a proxy that starts');
-    const scarce = connectionShare(38, 66);
-    t.match(scarce, { most: 7, minimumIdle: 0 });
+    const scarce = connectionQuota(38, 66);
+    t.match(scarce, { maxConnections: 7, minimumIdle: 0 });
     t.ok(scarce.idleTimeoutMs <= 600, 'lent for a moment');
-    t.match(connectionShare(225, 68), { most: 7, minimumIdle: 1 });
-    t.ok(connectionShare(0, 1).most >= 1, 'before the first document');
+    t.match(connectionQuota(225, 68), { maxConnections: 7, minimumIdle: 1 });
+    t.ok(connectionQuota(0, 1).maxConnections >= 1, 'before the first document');
     t.end();
   },
 );
 
 void t.test('spare connections of many proxies leave slots for statements', async (t) => {
-  const proxies = 200;
+  const proxyCount = 200;
   let now = 0;
   const clock = { now: () => now, setTimer: () => ({ cancel: () => undefined }) };
   const connector = new CountingConnector();
   const random = new SeededRandom(1);
-  const share = { minimumIdle: 1, idleTimeoutMs: 400 };
-  const options = { share, slots: () => 2, proxies: () => proxies, random, clock };
-  const pools = Array.from({ length: proxies }, () => poolOf(connector, options));
+  const quota = { minimumIdle: 1, idleTimeoutMs: 400 };
+  const options = { quota, slots: () => 2, proxyCount: () => proxyCount, random, clock };
+  const pools = Array.from({ length: proxyCount }, () => createTestPool(connector, options));
   const runUntil = async (time: number): Promise<void> => {
     for (; now < time; now += 100) {
       for (const pool of pools) pool.maintain();
@@ -263,27 +263,31 @@
   // 200 openings of 15 ms fill two slots for 1.5 s.
   await runUntil(1500);
   t.ok(
-    connector.opened <= proxies / 4,
+    connector.opened <= proxyCount / 4,
     `${connector.opened} openings in the time that all of them take`,
   );
   await runUntil(10_000);
-  t.equal(connector.opened, proxies, 'each proxy has its spare connection');
+  t.equal(connector.opened, proxyCount, 'each proxy has its spare connection');
 });
 
 void t.test('idle connections are kept for longer while the instance has some left', (t) => {
   const idleTimeout = new IdleTimeout();
   const longestMs = 600;
-  t.equal(idleTimeout.current(longestMs), longestMs);
-  for (let count = 0; count < 100; count++) idleTimeout.noteOpened();
-  idleTimeout.noteLimit(longestMs);
-  t.equal(idleTimeout.current(longestMs), longestMs / 2, 'at once, whatever was gathered before');
-  for (let count = 0; count < 10; count++) idleTimeout.noteLimit(longestMs);
-  const shortest = idleTimeout.current(longestMs);
+  t.equal(idleTimeout.effectiveMs(longestMs), longestMs);
+  for (let count = 0; count < 100; count++) idleTimeout.recordOpened();
+  idleTimeout.recordConnectionLimit(longestMs);
+  t.equal(
+    idleTimeout.effectiveMs(longestMs),
+    longestMs / 2,
+    'at once, whatever was gathered before',
+  );
+  for (let count = 0; count < 10; count++) idleTimeout.recordConnectionLimit(longestMs);
+  const shortest = idleTimeout.effectiveMs(longestMs);
   t.ok(shortest > 0);
   t.ok(shortest <= 50);
-  for (let count = 0; count < 5; count++) idleTimeout.noteOpened();
-  t.ok(idleTimeout.current(longestMs) > shortest, 'and grows again step by step');
-  t.ok(idleTimeout.current(longestMs) < longestMs);
+  for (let count = 0; count < 5; count++) idleTimeout.recordOpened();
+  t.ok(idleTimeout.effectiveMs(longestMs) > shortest, 'and grows again step by step');
+  t.ok(idleTimeout.effectiveMs(longestMs) < longestMs);
   t.end();
 });
 
@@ -326,9 +330,9 @@
     const connector: InstanceConnector = {
       connect: () => Promise.resolve({ connection: new FakeConnection() }),
     };
-    const pool = poolOf(connector, { share: { most: 4 } });
+    const pool = createTestPool(connector, { quota: { maxConnections: 4 } });
     const held = await Promise.all(Array.from({ length: 4 }, () => pool.acquire(request(1), 100)));
-    pool.noteBusy();
+    pool.recordBusy();
     pool.release(held[0]!);
     pool.release(held[1]!);
     const order: string[] = [];
@@ -342,10 +346,10 @@
     });
     await t.rejects(pool.acquire(request(3), 0.1), new AcquireError('full'), 'at once');
     t.same(order, [], 'two statements at a time, although connections are idle');
-    pool.rest(held[2]!);
+    pool.markIdleInTransaction(held[2]!);
     await high;
     t.same(order, ['high'], 'a transaction that rests makes room');
-    pool.wake(held[2]!);
+    pool.markActive(held[2]!);
     pool.release(held[2]!);
     pool.release(held[3]!);
     await low;
@@ -358,29 +362,29 @@
   (t) => {
     const limit = new ConcurrencyLimit(new SeededRandom(1));
     t.ok(limit.allows(1000, 0), 'no limit at first');
-    limit.noteBusy(8, 0);
+    limit.recordBusy(8, 0);
     t.ok(limit.allows(3, 0));
     t.notOk(limit.allows(4, 0));
-    limit.noteBusy(8, 5);
-    t.equal(limit.size, 4, 'refusals that come together count once');
-    limit.noteBusy(4, 100);
-    limit.noteBusy(2, 200);
-    t.equal(limit.size, 1);
-    t.ok(limit.remainingPause(200) > 0);
+    limit.recordBusy(8, 5);
+    t.equal(limit.maxInFlight, 4, 'refusals that come together count once');
+    limit.recordBusy(4, 100);
+    limit.recordBusy(2, 200);
+    t.equal(limit.maxInFlight, 1);
+    t.ok(limit.remainingPauseMs(200) > 0);
     t.notOk(limit.allows(0, 200), 'not even one');
-    const first = limit.remainingPause(200);
+    const first = limit.remainingPauseMs(200);
     let longest = 0;
     for (let time = 300; time < 5000; time += 100) {
-      limit.noteBusy(1, time);
-      longest = Math.max(longest, limit.remainingPause(time));
+      limit.recordBusy(1, time);
+      longest = Math.max(longest, limit.remainingPauseMs(time));
     }
     t.ok(longest > first * 4, 'pauses double');
     t.ok(longest < 1000, 'up to a bound');
     const later = 10_000;
-    for (let count = 0; count < 10; count++) limit.noteServed();
+    for (let count = 0; count < 10; count++) limit.recordServed();
     t.ok(limit.allows(3, later), 'each served statement makes room');
-    for (let count = 0; count < 3000; count++) limit.noteServed();
-    t.equal(limit.size, Infinity, 'and the limit is gone in the end');
+    for (let count = 0; count < 3000; count++) limit.recordServed();
+    t.equal(limit.maxInFlight, Infinity, 'and the limit is gone in the end');
     t.end();
   },
 );
@@ -397,14 +401,14 @@
         return { connection: new FakeConnection() };
       },
     };
-    const pool = poolOf(connector, { share: { most: 10 } });
-    for (let count = 0; count < 50; count++) pool.load.noteAnswer(10, 0);
+    const pool = createTestPool(connector, { quota: { maxConnections: 10 } });
+    for (let count = 0; count < 50; count++) pool.load.recordAnswer(10, 0);
     const wait = (): Promise<void> =>
       pool.acquire(request(1), 1000).then((pooled) => pool.release(pooled));
     await Promise.all([wait(), wait()]);
     t.equal(opened, 1, 'two statements of 10 ms take turns on one connection');
     const transaction = await pool.acquire(request(1), 1000);
-    pool.rest(transaction);
+    pool.markIdleInTransaction(transaction);
     await wait();
     t.equal(opened, 2, 'no request waits for a transaction that rests');
     await pool.acquire(request(1), 1000);
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -3,7 +3,7 @@
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { CountingConnector, poolOf } from '../tools/instance_pool.js';
+import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
 import { type QueuedRequest, ServiceOrder } from '../../src/appointed/scheduling/service_order.js';
 
 /** One kind of request: how often it comes, how long it takes, by when it is useful. */
@@ -203,12 +203,12 @@
   'a short statement keeps its place where others take longer than its objective',
   async (t) => {
     const load = new InstanceLoad();
-    for (let answer = 0; answer < 50; answer++) load.noteAnswer(300, 0);
-    const share = { most: 1, isOwner: true };
-    const options = { share, slots: () => 1, opensSpares: () => false, load };
-    const pool = poolOf(new CountingConnector(), options);
-    const asking = (priority: number, usefulMs: number): ConnectionRequest => {
-      return { tenant: 'ana', values: new Map(), priority, usefulMs };
+    for (let answer = 0; answer < 50; answer++) load.recordAnswer(300, 0);
+    const quota = { maxConnections: 1, isOwner: true };
+    const options = { quota, slots: () => 1, opensSpareConnections: () => false, load };
+    const pool = createTestPool(new CountingConnector(), options);
+    const asking = (priority: number, objectiveMs: number): ConnectionRequest => {
+      return { tenant: 'ana', values: new Map(), priority, objectiveMs };
     };
     const first = await pool.acquire(asking(1, 800), 5000);
     const served: string[] = [];
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -17,7 +17,7 @@
   PROXIES,
   RULES,
 } from '../tools/played_fleet.js';
-import { CountingConnector, poolOf } from '../tools/instance_pool.js';
+import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
 import {
@@ -330,7 +330,7 @@
   t.equal(idle.takeClosest(forTenant('ida')), undefined);
   t.equal(idle.takeClosest(forTenant('eva')), eva);
   idle.add(eva!, 3);
-  t.ok(idle.hasFor(undefined), 'the system itself takes any');
+  t.ok(idle.hasConnectionFor(undefined), 'the system itself takes any');
   t.ok(idle.closeOldest());
   t.ok(ana!.connection.closed);
   t.notOk(eva!.connection.closed);
@@ -339,10 +339,10 @@
 
 void t.test('a pool opens a connection for each tenant, and gives up others for it', async (t) => {
   const connector = new CountingConnector();
-  const pool = poolOf(connector, {
-    share: { minimumIdle: 1 },
+  const pool = createTestPool(connector, {
+    quota: { minimumIdle: 1 },
     slots: () => 6,
-    opensSpares: () => false,
+    opensSpareConnections: () => false,
   });
   pool.maintain();
   t.same(connector.tenants, [], 'none is opened ahead where the tenant is unknown');
