--- a/src/appointed/connections/connect_backoff.ts
+++ b/src/appointed/connections/connect_backoff.ts
@@ -13,7 +13,7 @@
  * docs/design/connection-shares.md describes it; test/unit/router.test.ts holds it.
  */
 import type { Clock, RandomSource } from '../../runtime/runtime.js';
-import type { ConnectionQuota } from './connection_share.js';
+import type { ConnectionQuota } from './connection_quota.js';
 
 /** Nothing is opened for this time after the instance could not be reached, in milliseconds. Guess, not measured. */
 const RECONNECT_DELAY_MS = 100;
--- a/src/appointed/connections/pool_options.ts
+++ b/src/appointed/connections/pool_options.ts
@@ -2,7 +2,7 @@
 import type { Position } from '../../positions/position.js';
 import type { RandomSource } from '../../runtime/runtime.js';
 import type { ConnectError } from '../instance/instance_connection.js';
-import type { ConnectionQuota } from './connection_share.js';
+import type { ConnectionQuota } from './connection_quota.js';
 
 /** Settings of a pool. */
 export interface PoolOptions {
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -21,7 +21,7 @@
   type ConnectionQuota,
   connectionQuota,
   isScarce,
-} from '../connections/connection_share.js';
+} from '../connections/connection_quota.js';
 import { stableHash } from '../../hashing/stable_hash.js';
 
 /** Live proxies of one zone, by address. */
--- a/test/unit/connection_owners.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -6,7 +6,7 @@
 import { OwnerHealth } from '../../src/appointed/relay/owner_health.js';
 import { RelayedConnection } from '../../src/appointed/relay/relayed_connection.js';
 import { durationOf } from '../../src/runtime/duration.js';
-import { connectionQuota } from '../../src/appointed/connections/connection_share.js';
+import { connectionQuota } from '../../src/appointed/connections/connection_quota.js';
 import type { Clock, Messenger } from '../../src/runtime/runtime.js';
 
 const { RelayOutcome } = whinyoke;
--- a/test/unit/evacuation_proxy.test.ts
+++ b/test/unit/evacuation_proxy.test.ts
@@ -7,7 +7,7 @@
 import { DEFAULT_PLACEMENT_RULES } from '../../src/appointed/placement/placement_rules.js';
 import { connectionRequest as request } from '../tools/connection_request.js';
 import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
-import { SingleProxyHarness } from '../tools/lone_proxy.js';
+import { SingleProxyHarness } from '../tools/single_proxy_harness.js';
 
 const { GroupPhase, RelayOutcome } = whinyoke;
 const HALF_MS = DEFAULT_PLACEMENT_RULES.evacuationMs / 2;
--- a/test/unit/router.test.ts
+++ b/test/unit/router.test.ts
@@ -1,7 +1,7 @@
 /** Parts of the router: floors, order of instances, pool, logs that never block. */
 import t from 'tap';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { connectionQuota } from '../../src/appointed/connections/connection_share.js';
+import { connectionQuota } from '../../src/appointed/connections/connection_quota.js';
 import { Events } from '../../src/observability/events.js';
 import { BoundedOutput } from '../../src/observability/bounded_output.js';
 import { DecisionLogger } from '../../src/observability/decision_logger.js';
