--- a/lab/appointed/appointed_nodes.ts
+++ b/lab/appointed/appointed_nodes.ts
@@ -13,10 +13,10 @@
 import { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
 import { RoutedSession } from '../../src/appointed/sessions/routed_session.js';
 import type { Runtime } from '../../src/runtime/runtime.js';
-import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
+import { documentFreshnessMs } from '../../src/appointed/tenancy/admission.js';
 import type { PlacementRules } from '../../src/appointed/placement/placement_rules.js';
 import type { QuotaRules } from '../../src/appointed/tenancy/operation_budget.js';
-import { TenantDirectory, type TenantGrant } from '../../src/appointed/tenancy/tenant.js';
+import { TenantDirectory, type TenantWithCredentials } from '../../src/appointed/tenancy/tenant.js';
 import type { TenancyOfDeployment } from './appointed_deployment.js';
 import { type MachineSurroundings, SimulatedMachine } from '../simulation/simulated_machine.js';
 import {
@@ -57,14 +57,14 @@
 
 function freshnessOf({ tenancy, disabled }: AppointedSurroundings): number {
   const isBounded = tenancy !== undefined && !disabled.has('credential-freshness');
-  return isBounded ? freshnessWithin(tenancy.revocationMs) : Infinity;
+  return isBounded ? documentFreshnessMs(tenancy.revocationMs) : Infinity;
 }
 
 const NO_COUNTERS: RequestCounters = {
   answered: () => undefined,
   served: () => undefined,
   retried: () => undefined,
-  refusedByHomes: () => undefined,
+  refusedByAllowedRegions: () => undefined,
 };
 
 function logInto(
@@ -177,7 +177,9 @@
 }
 
 /** A route as documents of the simulation write it. */
-export type WrittenRoute = Omit<Route, 'homes'> & { readonly homes?: readonly string[] };
+export type WrittenRoute = Omit<Route, 'allowedRegions'> & {
+  readonly allowedRegions?: readonly string[];
+};
 
 /** Routing documents of the simulation: JSON of the product's own route table. */
 export class SimulatedDocumentReader implements RoutingDocumentReader {
@@ -191,7 +193,7 @@
     > & {
       routes: [string, WrittenRoute][];
       limits: [string, never][];
-      tenants: readonly TenantGrant[];
+      tenants: readonly TenantWithCredentials[];
     };
     return {
       version: fields.version,
@@ -205,7 +207,8 @@
   }
 
   private readRoute(route: WrittenRoute): Route {
-    const homes = this.readsHomes && route.homes ? new Set(route.homes) : undefined;
-    return { ...route, homes };
+    const allowedRegions =
+      this.readsHomes && route.allowedRegions ? new Set(route.allowedRegions) : undefined;
+    return { ...route, allowedRegions };
   }
 }
--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -112,7 +112,7 @@
 
 /** Makes a proxy run every operation of a tenant, whatever its limit. */
 export function disableQuota(core: AppointedProxy): void {
-  core.allowances.take = () => ({ isGranted: true });
+  core.allowances.acquire = () => ({ isGranted: true });
 }
 
 /** Makes a proxy send to cold instances as to warm ones. */
@@ -124,7 +124,7 @@
 
 /** Makes an issuer use its reserves and leased rates on after their end. */
 export function disableIssuerLease(core: AppointedProxy): void {
-  core.allowances.allowances.lease = { endsAt: () => Infinity };
+  core.allowances.allowances.lease = { expiresAt: () => Infinity };
 }
 
 /** Makes a proxy extend its leases while control is out of reach without asking the replicas. */
--- a/lab/appointed/simulated_tenancy.ts
+++ b/lab/appointed/simulated_tenancy.ts
@@ -1,5 +1,5 @@
 /** Tenants of a simulation: their credentials over time, and what a history must keep to. */
-import type { TenantGrant } from '../../src/appointed/tenancy/tenant.js';
+import type { TenantWithCredentials } from '../../src/appointed/tenancy/tenant.js';
 import type { TenancyOfDeployment } from './appointed_deployment.js';
 
 /** Who held which credential in one version of the document. */
@@ -45,7 +45,7 @@
   }
 
   /** Tenants as the next version of the document names them. */
-  get grants(): readonly TenantGrant[] {
+  get grants(): readonly TenantWithCredentials[] {
     return this.tenants.map((name, index) => {
       const rate = this.options.rates[index]!;
       const limit = { ratePerSecond: rate, burst: rate };
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -22,7 +22,7 @@
   OperationLedger,
 } from '../tenancy/operation_ledger.js';
 import { type OperationLimit, TenantDirectory } from '../tenancy/tenant.js';
-import { leasedRate, perSecondOf } from '../tenancy/wire_rate.js';
+import { toLeasedWireRate, fromWireRate } from '../tenancy/wire_rate.js';
 
 const REFUSED: whinyoke.IAllowanceReply = { accepted: false };
 /** A first change lets a successor keep a part of a bucket, a second one gives that up too. */
@@ -78,7 +78,7 @@
   /** Begins a leadership. */
   begin(): void {
     this.begunAt = this.surroundings.clock.now();
-    this.ledger.begin(this.begunAt);
+    this.ledger.beginLeadership(this.begunAt);
     this.sequences.clear();
     this.freshSince.clear();
     this.hasNotedFresh = false;
@@ -109,7 +109,7 @@
       const allowance = isWaitingOnly
         ? this.ledger.answerWaiting(tenant, limit, demand.waiting, now)
         : this.ledger.answer(run, tenant, limit, demand, now);
-      return { tenant, ...allowance, rate: leasedRate(allowance.rate) };
+      return { tenant, ...allowance, rate: toLeasedWireRate(allowance.rate) };
     });
     void this.commitSuccessorReserves();
     const needsAll = this.unaccounted?.get(proxy) === incarnation || needsFreshness;
@@ -142,7 +142,7 @@
       if (!this.isRegistered(other, run)) this.unaccounted.delete(other);
     }
     if (this.unaccounted.size > 0) return;
-    this.ledger.noteAllKnown();
+    this.ledger.recordAllReservesKnown();
     log(Events.allowancesKnown, {
       term: node.currentTerm,
       after_ms: Math.round(clock.now() - this.begunAt),
@@ -168,7 +168,7 @@
     if (begins.includes(undefined)) return;
     this.hasNotedFresh = true;
     const since = Math.max(...begins.map((begin) => begin ?? Infinity));
-    this.ledger.noteOnlyOwnSince(since);
+    this.ledger.recordOnlyOwnGrantsSince(since);
     log(Events.allowancesFresh, {
       term: node.currentTerm,
       runs: begins.length,
@@ -178,7 +178,7 @@
 
   private limited(demand: whinyoke.ITenantDemand): LimitedDemand[] {
     const tenant = demand.tenant ?? '';
-    const limit = this.tenants.named(tenant)?.limit;
+    const limit = this.tenants.findByName(tenant)?.limit;
     // The proxy knows a document that this machine doesn't, or the other way round: it asks again.
     if (!limit) return [];
     const { waiting, returned, held, wantedReserve, heldRate, wantedRate, heldMost } = demand;
@@ -190,8 +190,8 @@
         returned: returned ?? 0,
         held: held ?? 0,
         wantedReserve: wantedReserve ?? 0,
-        heldRate: perSecondOf(heldRate),
-        wantedRate: perSecondOf(wantedRate),
+        heldRate: fromWireRate(heldRate),
+        wantedRate: fromWireRate(wantedRate),
         heldMost: heldMost ?? 0,
       },
     ];
@@ -221,7 +221,7 @@
     const { propose, log } = this.surroundings;
     try {
       await propose({ putFloors: { floors: [...changes] } });
-      this.ledger.noteCommitted(changes);
+      this.ledger.recordCommitted(changes);
     } catch (error) {
       log(Events.catalogChangeFailed, { kind: 'floors', reason: messageOf(error) });
     } finally {
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -59,7 +59,7 @@
   }
 
   /** Counts a request that its homes left no instance. */
-  refusedByHomes(route: string): void {
+  refusedByAllowedRegions(route: string): void {
     this.homeRefusals.inc({ route });
   }
 
@@ -80,7 +80,7 @@
     const gauge = (name: string, help: string, value: () => number): void =>
       addGauge(this.registry, name, help, value);
     gauge('whinyoke_sync_age_seconds', 'Age of the newest answer of control', () => {
-      return Math.min(core.syncAge, Number.MAX_SAFE_INTEGER) / MILLISECONDS_PER_SECOND;
+      return Math.min(core.syncAgeMs, Number.MAX_SAFE_INTEGER) / MILLISECONDS_PER_SECOND;
     });
     gauge('whinyoke_document_version', 'Routing document in force', () => {
       return core.table?.version ?? 0;
--- a/src/appointed/proxy/appointed_proxy.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -20,7 +20,7 @@
 import { AllowanceClient } from '../tenancy/allowance_client.js';
 import { EvacuatedZones } from '../placement/evacuated_zones.js';
 import { SlowStartGate } from '../placement/slow_start_gate.js';
-import { IssuerChoice } from '../tenancy/issuer_choice.js';
+import { IssuerSelector } from '../tenancy/issuer_choice.js';
 import type { PlacementRules } from '../placement/placement_rules.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
 import { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
@@ -58,7 +58,7 @@
  * Time between two rounds of upkeep, in milliseconds: the shortest time that upkeep must tell apart is that from a suspect
  * primary (200 ms) to a silent one (350 ms).
  */
-const MAINTENANCE_MS = 100;
+const MAINTENANCE_INTERVAL_MS = 100;
 
 /** Core of one proxy. */
 export class AppointedProxy implements ProxyContext {
@@ -117,7 +117,7 @@
     this.evacuatedZones = new EvacuatedZones(options.placementRules.evacuationMs, this.log);
     this.slowStarts = this.createSlowStarts(incarnation);
     this.instances = this.createInstances(fleet);
-    const issuers = new IssuerChoice(options.address, options.zone);
+    const issuers = new IssuerSelector(options.address, options.zone);
     this.synchronisation = this.createSynchronisation(fleet, issuers);
     const leaderAddress = (): string => this.synchronisation.leaderAddress;
     this.forwarder = new RequestForwarder(runtime.messenger, leaderAddress);
@@ -132,7 +132,7 @@
       proxy: options.id,
       incarnation,
       issuers,
-      limitOf: (tenant) => this.table?.tenants.named(tenant)?.limit,
+      limitOf: (tenant) => this.table?.tenants.findByName(tenant)?.limit,
       leaderAddress,
     });
     this.leaseConfirmer = new ReplicaLeaseConfirmer({
@@ -159,9 +159,9 @@
   }
 
   /** Tells control that this proxy takes no new callers. */
-  beginLeave(): void {
-    this.synchronisation.beginLeave();
-    this.allowances.leave();
+  startLeaving(): void {
+    this.synchronisation.startLeaving();
+    this.allowances.returnReserves();
   }
 
   /** Takes over control machines of changed settings. */
@@ -186,8 +186,8 @@
   }
 
   /** Milliseconds since the newest accepted reply of control. */
-  get syncAge(): number {
-    return this.contact.replyAge;
+  get syncAgeMs(): number {
+    return this.contact.replyAgeMs;
   }
 
   /** Log index of the newest catalog in force. */
@@ -224,7 +224,7 @@
   async isCredentialKnown(database: string, credential: string): Promise<boolean> {
     const route = this.table?.routeByDatabase.get(database);
     if (!route) return true;
-    const { outcome } = await this.admission.checkNewest(credential, route);
+    const { outcome } = await this.admission.checkWithRefresh(credential, route);
     return outcome !== 'unknown';
   }
 
@@ -267,7 +267,7 @@
 
   private createSynchronisation(
     fleet: FleetDirectory,
-    issuers: IssuerChoice,
+    issuers: IssuerSelector,
   ): ControlSynchronisation {
     const { self, log, contact, document, leases, primaryHealth, positions, instances } = this;
     const { evacuatedZones, slowStarts } = this;
@@ -295,7 +295,7 @@
       clock: this.clock,
       log: this.log,
       table: () => this.table,
-      provenAt: () => this.contact.provenAt,
+      confirmedAt: () => this.contact.confirmedAt,
       refresh,
       freshnessMs: this.options.credentialFreshnessMs,
     });
@@ -307,11 +307,11 @@
     for (const primary of this.primaryHealth.suspects(now)) this.instances.probe(primary);
     this.instances.maintain();
     this.relayServer.maintain();
-    this.synchronisation.noteSilence();
-    this.leaseConfirmer.maintain(now - this.contact.provenAt);
-    this.synchronisation.sendNews(now);
-    if (this.table && this.table.tenants.size > 0) this.allowances.noteLeader();
-    this.maintenance = this.clock.setTimer(MAINTENANCE_MS, () => this.maintain());
+    this.synchronisation.logIfControlLost();
+    this.leaseConfirmer.maintain(now - this.contact.confirmedAt);
+    this.synchronisation.sendUpdates(now);
+    if (this.table && this.table.tenants.size > 0) this.allowances.reportToNewLeader();
+    this.maintenance = this.clock.setTimer(MAINTENANCE_INTERVAL_MS, () => this.maintain());
   }
 
   /**
--- a/src/appointed/proxy/control_client.ts
+++ b/src/appointed/proxy/control_client.ts
@@ -4,7 +4,7 @@
  * of requests; relies on control, which may be out of reach: then the leader is searched.
  */
 import type { Runtime } from '../../runtime/runtime.js';
-import { KnownControls } from './known_controls.js';
+import { ControlAddresses } from './known_controls.js';
 import { LeaderSearch } from './leader_search.js';
 import { type ExchangeOptions, SyncExchange } from './sync_exchange.js';
 import type { SyncParticipant } from './sync_participant.js';
@@ -13,24 +13,27 @@
  * Time for the leader to answer beyond the time for which it holds a request, in milliseconds: a trip and the work of the leader.
  * Guess, not measured.
  */
-const REQUEST_TIMEOUT_MS = 300;
+const RESPONSE_TIMEOUT_MS = 300;
 /**
  * How long the leader may hold a request, in milliseconds. A lease counts from the begin of the request, so this is a small
  * part of a lease (3 s). Guess, not measured.
  */
-const HOLD_MS = 300;
-const HELD_OPTIONS: ExchangeOptions = { holdMs: HOLD_MS, timeoutMs: HOLD_MS + REQUEST_TIMEOUT_MS };
-const URGENT_OPTIONS: ExchangeOptions = { holdMs: 0, timeoutMs: REQUEST_TIMEOUT_MS };
+const LONG_POLL_MS = 300;
+const LONG_POLL_OPTIONS: ExchangeOptions = {
+  longPollMs: LONG_POLL_MS,
+  timeoutMs: LONG_POLL_MS + RESPONSE_TIMEOUT_MS,
+};
+const IMMEDIATE_OPTIONS: ExchangeOptions = { longPollMs: 0, timeoutMs: RESPONSE_TIMEOUT_MS };
 const NONE_EXCLUDED: ReadonlySet<string> = new Set();
 
 /** Client of one proxy. */
 export class ControlClient {
-  private readonly controls: KnownControls;
+  private readonly controls: ControlAddresses;
   private readonly exchange: SyncExchange;
   private readonly search: LeaderSearch;
   private isStopped = false;
-  private isUrgentUnderWay = false;
-  private isUrgentWanted = false;
+  private isImmediateSyncInFlight = false;
+  private isImmediateSyncPending = false;
 
   constructor(
     runtime: Runtime,
@@ -38,7 +41,7 @@
     /** Addresses of control machines as of the settings. */
     seeds: readonly string[],
   ) {
-    this.controls = new KnownControls(seeds);
+    this.controls = new ControlAddresses(seeds);
     this.exchange = new SyncExchange(runtime, participant, this.controls);
     this.search = new LeaderSearch(runtime, participant, this.controls, this.exchange);
   }
@@ -61,7 +64,7 @@
 
   /** Failed requests in a row; 0 while in touch. */
   get failedRequests(): number {
-    return this.exchange.failures;
+    return this.exchange.consecutiveFailures;
   }
 
   /** Address of the leader as last heard of; empty when unknown. */
@@ -71,23 +74,23 @@
 
   /** Sends what is new at once, beside the held request. */
   async syncNow(): Promise<void> {
-    if (this.isUrgentUnderWay) {
-      this.isUrgentWanted = true;
+    if (this.isImmediateSyncInFlight) {
+      this.isImmediateSyncPending = true;
       return;
     }
-    this.isUrgentUnderWay = true;
+    this.isImmediateSyncInFlight = true;
     do {
-      this.isUrgentWanted = false;
+      this.isImmediateSyncPending = false;
       const address = this.leaderAddress || (this.controls.next(NONE_EXCLUDED) ?? '');
-      await this.exchange.exchange(address, URGENT_OPTIONS);
-    } while (this.isUrgentWanted && !this.isStopped);
-    this.isUrgentUnderWay = false;
+      await this.exchange.exchange(address, IMMEDIATE_OPTIONS);
+    } while (this.isImmediateSyncPending && !this.isStopped);
+    this.isImmediateSyncInFlight = false;
   }
 
   private async loop(): Promise<void> {
     while (!this.isStopped) {
       if (this.leaderAddress === '') await this.search.run();
-      else await this.exchange.exchange(this.leaderAddress, HELD_OPTIONS);
+      else await this.exchange.exchange(this.leaderAddress, LONG_POLL_OPTIONS);
     }
   }
 }
--- a/src/appointed/proxy/control_synchronisation.ts
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -7,7 +7,7 @@
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Runtime } from '../../runtime/runtime.js';
 import type { SlowStartGate } from '../placement/slow_start_gate.js';
-import type { IssuerChoice } from '../tenancy/issuer_choice.js';
+import type { IssuerSelector } from '../tenancy/issuer_choice.js';
 import type { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import { ControlClient } from './control_client.js';
@@ -22,7 +22,7 @@
 const NO_BYTES = new Uint8Array(0);
 
 /** Parts of the proxy that requests are made from and replies change. */
-interface SynchronisedParts {
+interface ControlSynchronisationDependencies {
   readonly self: whinyoke.IProxyEntry;
   readonly log: DecisionLog;
   readonly contact: ControlContact;
@@ -34,18 +34,18 @@
   readonly instances: ProxyInstances;
   readonly evacuatedZones: EvacuatedZones;
   readonly slowStarts: SlowStartGate;
-  readonly issuers: IssuerChoice;
+  readonly issuers: IssuerSelector;
 }
 
 /** Synchronisation of one proxy. */
 export class ControlSynchronisation implements SyncParticipant {
   private readonly client: ControlClient;
   private catalogVersion = 0;
-  private isStopping = false;
+  private hasStartedLeaving = false;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly parts: SynchronisedParts,
+    private readonly dependencies: ControlSynchronisationDependencies,
     /** Addresses of control machines to begin with. */
     seeds: readonly string[],
   ) {
@@ -73,21 +73,21 @@
   }
 
   /** Tells control that this proxy takes no new callers. */
-  beginLeave(): void {
-    this.isStopping = true;
+  startLeaving(): void {
+    this.hasStartedLeaving = true;
     void this.client.syncNow();
   }
 
   /** Sends changed opinions on primaries and due revocations at once; called often. */
-  sendNews(now: number): void {
-    if (this.parts.primaryHealth.hasNews(now)) void this.client.syncNow();
-    if (this.parts.leases.hasDueRevocation(now)) void this.client.syncNow();
+  sendUpdates(now: number): void {
+    if (this.dependencies.primaryHealth.hasNews(now)) void this.client.syncNow();
+    if (this.dependencies.leases.hasDueRevocation(now)) void this.client.syncNow();
   }
 
   /** Logs when control is silent though a document is in force. */
-  noteSilence(): void {
-    if (this.parts.document.table === undefined) return;
-    this.parts.contact.noteSilence(this.client.leaderAddress, this.client.failedRequests);
+  logIfControlLost(): void {
+    if (this.dependencies.document.table === undefined) return;
+    this.dependencies.contact.logIfLost(this.client.leaderAddress, this.client.failedRequests);
   }
 
   /** Address of the leader as last heard of; empty when unknown. */
@@ -97,12 +97,12 @@
 
   /** Identity of this proxy. */
   get self(): whinyoke.IProxyEntry {
-    return this.parts.self;
+    return this.dependencies.self;
   }
 
   /** Whether this proxy takes no new callers. */
   get isLeaving(): boolean {
-    return this.isStopping;
+    return this.hasStartedLeaving;
   }
 
   /** Log index of the newest catalog in force; 0 before the first. */
@@ -112,12 +112,12 @@
 
   /** Addresses of proxies that forward a request to the leader. */
   get forwarders(): readonly string[] {
-    return this.parts.fleet.forwarders;
+    return this.dependencies.fleet.forwarders;
   }
 
   /** Content of a request that is sent now. Leases whose revocation is due end here. */
   syncContent(): SyncContent {
-    const { leases, primaryHealth, positions, document, fleet, instances } = this.parts;
+    const { leases, primaryHealth, positions, document, fleet, instances } = this.dependencies;
     const now = this.runtime.clock.now();
     for (const group of leases.endRevokedEpochs(now)) instances.abandonPrimary(group);
     const revocations = leases.confirmations().map(({ group, epoch, position }) => ({
@@ -131,7 +131,7 @@
       knownDirectory: fleet.version,
       revocations,
       reports: primaryHealth.takeReports(now),
-      wantsPositions: positions.isWanting(now),
+      wantsPositions: positions.needsSharedPositions(now),
       clockTerm: positions.clockTerm,
       positions: positions.takeReports(now),
     };
@@ -139,19 +139,19 @@
 
   /** Takes over a reply to a request that was sent at `sentAt`. */
   onSync(reply: whinyoke.ISyncReply, content: SyncContent, sentAt: number): void {
-    const { contact, document, leases, positions, slowStarts } = this.parts;
+    const { contact, document, leases, positions, slowStarts } = this.dependencies;
     const now = this.runtime.clock.now();
-    contact.noteReply(now);
+    contact.recordReply(now);
     for (const { group, epoch } of content.revocations) leases.confirmed(group ?? '', epoch ?? 0);
-    positions.noteClock(reply, now);
+    positions.recordLeaderClock(reply, now);
     if (reply.directory) this.adoptDirectory(reply.directory);
     const version = reply.version ?? 0;
     const update = whinyoke.CatalogUpdate.decode(reply.update ?? NO_BYTES);
     if (update.document) document.adopt(update.document);
-    const provenBefore = contact.provenAt;
-    contact.noteProof(sentAt);
+    const previouslyConfirmedAt = contact.confirmedAt;
+    contact.recordConfirmation(sentAt);
     leases.update(update.groups, now);
-    if (version > this.catalogVersion) this.adoptCatalog(version, update, provenBefore);
+    if (version > this.catalogVersion) this.adoptCatalog(version, update, previouslyConfirmedAt);
     // A reply that was overtaken grants leases on epochs that may be over.
     if (version === this.catalogVersion) {
       leases.extendAll(sentAt + (reply.leaseMs ?? 0));
@@ -163,11 +163,11 @@
 
   /** Logs that a request to a control machine, or through another proxy, failed. */
   onControlFailure(address: string, reason: string): void {
-    this.parts.log(Events.controlRequestFailed, { address, reason });
+    this.dependencies.log(Events.controlRequestFailed, { address, reason });
   }
 
   private adoptDirectory(directory: whinyoke.IProxyDirectory): void {
-    const { fleet, instances, issuers } = this.parts;
+    const { fleet, instances, issuers } = this.dependencies;
     fleet.adopt(directory);
     instances.adoptOwners(fleet.zones);
     issuers.update(fleet.zones);
@@ -176,12 +176,12 @@
   private adoptCatalog(
     version: number,
     update: whinyoke.CatalogUpdate,
-    provenBefore: number,
+    previouslyConfirmedAt: number,
   ): void {
-    const { positions, instances, fleet, log, evacuatedZones } = this.parts;
+    const { positions, instances, fleet, log, evacuatedZones } = this.dependencies;
     if (this.catalogVersion === 0) positions.expectFirst();
     this.catalogVersion = version;
-    evacuatedZones.adopt(update, provenBefore);
+    evacuatedZones.adopt(update, previouslyConfirmedAt);
     instances.adopt(update);
     log(Events.catalogInForce, {
       version,
--- a/src/appointed/proxy/known_controls.ts
+++ b/src/appointed/proxy/known_controls.ts
@@ -5,9 +5,9 @@
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /** Control machines that one proxy knows. */
-export class KnownControls {
+export class ControlAddresses {
   private listed: readonly string[];
-  private turn = 0;
+  private nextIndex = 0;
 
   constructor(private seeds: readonly string[]) {
     this.listed = seeds;
@@ -19,7 +19,7 @@
   }
 
   /** Takes over the list of a reply. */
-  note(reply: whinyoke.ISyncReply): void {
+  recordListed(reply: whinyoke.ISyncReply): void {
     const listed = reply.directory?.controlAddresses ?? reply.controlAddresses ?? [];
     if (listed.length > 0) this.listed = listed;
   }
@@ -27,7 +27,7 @@
   /** Next machine, in turn, that is not in `excluded`; undefined when none is left. */
   next(excluded: ReadonlySet<string>): string | undefined {
     const all = new Set([...this.listed, ...this.seeds]);
-    const free = [...all].filter((address) => !excluded.has(address));
-    return free[this.turn++ % free.length];
+    const candidates = [...all].filter((address) => !excluded.has(address));
+    return candidates[this.nextIndex++ % candidates.length];
   }
 }
--- a/src/appointed/proxy/leader_search.ts
+++ b/src/appointed/proxy/leader_search.ts
@@ -4,12 +4,12 @@
  *
  * Answers: the leader stopped, or can't be reached, and leases run out.
  * Inputs: addresses of control machines; failures in a row; whether the proxy has a catalog already.
- * Rule: {@link SEARCH_WIDTH} machines are asked at once and a further one every {@link SEARCH_STEP_MS}; each names the
+ * Rule: {@link SEARCH_CONCURRENCY} machines are asked at once and a further one every {@link SEARCH_STEP_INTERVAL_MS}; each names the
  * leader, answers as the leader, or is asked again after a pause. After {@link FAILURES_BEFORE_FORWARDING} failures in a
- * row requests go through other proxies too. A search ends when the leader answered, or after {@link SEARCH_MS}.
+ * row requests go through other proxies too. A search ends when the leader answered, or after {@link SEARCH_DURATION_MS}.
  */
 import { type Runtime, delay } from '../../runtime/runtime.js';
-import type { KnownControls } from './known_controls.js';
+import type { ControlAddresses } from './known_controls.js';
 import type { ExchangeOptions, ExchangeOutcome, SyncExchange } from './sync_exchange.js';
 import type { SyncParticipant } from './sync_participant.js';
 
@@ -18,19 +18,19 @@
  * the leader and have many to answer first. Asking again would only lengthen that queue. A machine without power is known
  * by its connection, which does not open. Guess, not measured.
  */
-const SEARCH_OPTIONS: ExchangeOptions = { holdMs: 300, timeoutMs: 600 };
+const SEARCH_OPTIONS: ExchangeOptions = { longPollMs: 300, timeoutMs: 600 };
 /** A request through another proxy; that proxy's own request to the leader takes most of the time. Guess, not measured. */
-const FORWARDED_OPTIONS: ExchangeOptions = { holdMs: 0, timeoutMs: 300, isForwarded: true };
+const FORWARDED_OPTIONS: ExchangeOptions = { longPollMs: 0, timeoutMs: 300, isForwarded: true };
 /** Pause between requests that other proxies forward, in milliseconds: a small part of a lease. Guess, not measured. */
 const FORWARD_PAUSE_MS = 250;
 /** Failures in a row after which requests go through another proxy too. Guess, not measured. */
 const FAILURES_BEFORE_FORWARDING = 3;
 /** Control machines that are asked at the same time while the leader is unknown. Guess, not measured. */
-const SEARCH_WIDTH = 3;
+const SEARCH_CONCURRENCY = 3;
 /** For how long a search goes on before other proxies are asked too, in milliseconds. Guess, not measured. */
-const SEARCH_MS = 600;
+const SEARCH_DURATION_MS = 600;
 /** Time for an answer before a further control machine is asked, in milliseconds. Guess, not measured. */
-const SEARCH_STEP_MS = 120;
+const SEARCH_STEP_INTERVAL_MS = 120;
 /** Pause before a machine that knew no leader is asked again, in milliseconds. Guess, not measured. */
 const RETRY_PAUSE_MS = 60;
 /** Pause of a process that starts, in milliseconds: callers wait for its first catalog. Guess, not measured. */
@@ -38,30 +38,30 @@
 
 /** State of one search; several requests are under way at the same time. */
 class SearchState {
-  isOver = false;
-  private end: () => void = () => undefined;
+  isFinished = false;
+  private resolveFound: () => void = () => undefined;
   /** Resolves when the leader has answered. */
   readonly found = new Promise<void>((resolve) => {
-    this.end = resolve;
+    this.resolveFound = resolve;
   });
 
   /** The leader has answered. */
   finish(): void {
-    this.isOver = true;
-    this.end();
+    this.isFinished = true;
+    this.resolveFound();
   }
 }
 
 /** Searches of one proxy. */
 export class LeaderSearch {
   /** Machines at which a request of a search waits. */
-  private readonly asked = new Set<string>();
+  private readonly requestsPendingAt = new Set<string>();
   private isStopped = false;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly participant: SyncParticipant,
-    private readonly controls: KnownControls,
+    private readonly controls: ControlAddresses,
     private readonly exchange: SyncExchange,
   ) {}
 
@@ -70,55 +70,55 @@
     this.isStopped = true;
   }
 
-  /** Searches once; resolves when the leader answered, or after {@link SEARCH_MS}. */
+  /** Searches once; resolves when the leader answered, or after {@link SEARCH_DURATION_MS}. */
   async run(): Promise<void> {
     const { clock } = this.runtime;
     const search = new SearchState();
-    for (let count = 0; count < SEARCH_WIDTH; count++) this.askNext(search);
-    const isForwarding = this.exchange.failures >= FAILURES_BEFORE_FORWARDING;
+    for (let count = 0; count < SEARCH_CONCURRENCY; count++) this.askNext(search);
+    const isForwarding = this.exchange.consecutiveFailures >= FAILURES_BEFORE_FORWARDING;
     if (isForwarding) void this.searchThroughForwarders(search);
-    const until = clock.now() + SEARCH_MS;
-    while (!search.isOver && !this.isStopped && clock.now() < until) {
-      await Promise.race([search.found, delay(clock, SEARCH_STEP_MS)]);
-      if (!search.isOver) this.askNext(search);
+    const until = clock.now() + SEARCH_DURATION_MS;
+    while (!search.isFinished && !this.isStopped && clock.now() < until) {
+      await Promise.race([search.found, delay(clock, SEARCH_STEP_INTERVAL_MS)]);
+      if (!search.isFinished) this.askNext(search);
     }
-    search.isOver = true;
+    search.isFinished = true;
   }
 
   /** Asks the next control machine at which no request waits. */
   private askNext(search: SearchState): void {
-    const address = this.controls.next(this.asked);
+    const address = this.controls.next(this.requestsPendingAt);
     if (address !== undefined) void this.searchAt(address, search);
   }
 
   /** Asks one control machine, and the leader that it names, until the search is over. */
   private async searchAt(address: string, search: SearchState): Promise<void> {
     let target = address;
-    while (!search.isOver && !this.isStopped) {
+    while (!search.isFinished && !this.isStopped) {
       const outcome = await this.ask(target);
       if (outcome === 'accepted') {
         search.finish();
         return;
       }
-      const named = outcome === 'redirected' ? this.exchange.leader : '';
-      if (named !== '' && this.asked.has(named)) return;
-      target = named || address;
-      if (named === '') await delay(this.runtime.clock, this.retryPauseMs);
+      const namedLeader = outcome === 'redirected' ? this.exchange.leader : '';
+      if (namedLeader !== '' && this.requestsPendingAt.has(namedLeader)) return;
+      target = namedLeader || address;
+      if (namedLeader === '') await delay(this.runtime.clock, this.retryPauseMs);
     }
   }
 
   private async ask(address: string): Promise<ExchangeOutcome> {
-    this.asked.add(address);
+    this.requestsPendingAt.add(address);
     try {
       return await this.exchange.exchange(address, SEARCH_OPTIONS);
     } finally {
-      this.asked.delete(address);
+      this.requestsPendingAt.delete(address);
     }
   }
 
   /** Asks other proxies to forward a request: they may reach a leader that this one can't reach. */
   private async searchThroughForwarders(search: SearchState): Promise<void> {
-    while (!search.isOver && !this.isStopped) {
+    while (!search.isFinished && !this.isStopped) {
       const { forwarders } = this.participant;
       const address = forwarders[this.runtime.random.integer(0, forwarders.length - 1)];
       if (address !== undefined) await this.exchange.exchange(address, FORWARDED_OPTIONS);
--- a/src/appointed/proxy/planned_stop.ts
+++ b/src/appointed/proxy/planned_stop.ts
@@ -10,33 +10,33 @@
 import type { SessionListener } from '../sessions/session_listener.js';
 
 /** Fraction of the grace period after which connections begin to close. Guess, not measured. */
-const SERVE_FRACTION = 0.4;
+const SERVING_FRACTION = 0.4;
 /** Fraction of the grace period after which the rest is closed, busy or not. Guess, not measured. */
 const DRAIN_FRACTION = 0.85;
 /**
  * Fraction of the grace period before which a proxy without any work does not end: callers may still come. Guess, not
  * measured.
  */
-const LEAST_FRACTION = SERVE_FRACTION + 0.1;
+const MIN_DURATION_FRACTION = SERVING_FRACTION + 0.1;
 /** Time between two looks for connections that can close, in milliseconds. Guess, not measured. */
-const POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 /** Stops; resolves with the number of callers that were cut off. */
-export async function stopAsPlanned(
+export async function stopGracefully(
   clock: Clock,
   listener: SessionListener,
   graceMs: number,
   /** Number of statements and transactions of other proxies that are under way. */
   relayedCount: () => number,
 ): Promise<number> {
-  const begunAt = clock.now();
-  await delay(clock, graceMs * SERVE_FRACTION);
-  while (clock.now() - begunAt < graceMs * DRAIN_FRACTION) {
+  const startedAt = clock.now();
+  await delay(clock, graceMs * SERVING_FRACTION);
+  while (clock.now() - startedAt < graceMs * DRAIN_FRACTION) {
     // New connections may still arrive, so draining is repeated.
     listener.drain();
-    await delay(clock, POLL_MS);
+    await delay(clock, DRAIN_POLL_INTERVAL_MS);
     const isDone = listener.connectionCount === 0 && relayedCount() === 0;
-    if (isDone && clock.now() - begunAt > graceMs * LEAST_FRACTION) break;
+    if (isDone && clock.now() - startedAt > graceMs * MIN_DURATION_FRACTION) break;
   }
   const cutOff = listener.busyCount;
   listener.close();
--- a/src/appointed/proxy/primary_positions.ts
+++ b/src/appointed/proxy/primary_positions.ts
@@ -15,16 +15,16 @@
  * How long after its first catalog a proxy waits for the positions of primaries, in milliseconds: a new leader asks for
  * them at once, which takes as long as opening a connection (12 to 30 ms) and two trips. Guess, not measured.
  */
-const FIRST_POSITIONS_MS = 50;
+const FIRST_POSITIONS_WAIT_MS = 50;
 
 /** Positions of one proxy. */
 export class PrimaryPositions {
-  private readonly floors = new Map<string, PositionFloor>();
+  private readonly minimumPositions = new Map<string, PositionFloor>();
   private readonly shared = new SharedPositions();
   /** Until when the first positions of primaries are expected from control; undefined before the first catalog. */
   private expectedUntil: number | undefined;
   private resolveFirst: () => void = () => undefined;
-  private readonly first = new Promise<void>((resolve) => {
+  private readonly firstReceived = new Promise<void>((resolve) => {
     this.resolveFirst = resolve;
   });
 
@@ -34,46 +34,46 @@
   ) {}
 
   /** Position floor of a group. */
-  floorOf(group: string): PositionFloor {
-    let floor = this.floors.get(group);
-    if (!floor) {
-      floor = new PositionFloor();
-      this.floors.set(group, floor);
+  minimumPositionOf(group: string): PositionFloor {
+    let minimumPosition = this.minimumPositions.get(group);
+    if (!minimumPosition) {
+      minimumPosition = new PositionFloor();
+      this.minimumPositions.set(group, minimumPosition);
     }
-    return floor;
+    return minimumPosition;
   }
 
   /** Notes a position with which the leased primary of `epoch` answered a request that was sent at `askedAt`. */
-  noteFromPrimary(group: string, epoch: number, askedAt: number, position: Position): void {
+  recordFromPrimary(group: string, epoch: number, askedAt: number, position: Position): void {
     if (this.isOfLaterIncarnation(group, epoch, position)) return;
-    this.floorOf(group).note(epoch, askedAt, position);
-    this.shared.noteOwn(group, epoch, askedAt, position);
+    this.minimumPositionOf(group).note(epoch, askedAt, position);
+    this.shared.recordOwn(group, epoch, askedAt, position);
   }
 
   /** Notes a read that replicas may serve. */
-  noteReplicaRead(group: string): void {
-    this.shared.noteRead(group, this.clock.now());
+  recordReplicaRead(group: string): void {
+    this.shared.recordRead(group, this.clock.now());
   }
 
   /**
    * Resolves when a position of the group's primary is known, or when none is to be expected soon. Replicas can serve
    * reads from then on, so that not all first reads after a start go to the primaries.
    */
-  async awaitFloor(group: string): Promise<void> {
+  async awaitMinimumPosition(group: string): Promise<void> {
     const remainingMs = (this.expectedUntil ?? -Infinity) - this.clock.now();
-    if (remainingMs <= 0 || this.floorOf(group).newestSentAt !== undefined) return;
-    await Promise.race([this.first, delay(this.clock, remainingMs)]);
+    if (remainingMs <= 0 || this.minimumPositionOf(group).newestSentAt !== undefined) return;
+    await Promise.race([this.firstReceived, delay(this.clock, remainingMs)]);
   }
 
   /** Expects the first positions soon, since the first catalog is in force. */
   expectFirst(): void {
-    this.expectedUntil = this.clock.now() + FIRST_POSITIONS_MS;
+    this.expectedUntil = this.clock.now() + FIRST_POSITIONS_WAIT_MS;
   }
 
   /** Whether control is to send positions with its reply. */
-  isWanting(now: number): boolean {
+  needsSharedPositions(now: number): boolean {
     const isFirstMissing = this.expectedUntil === undefined || now < this.expectedUntil;
-    return isFirstMissing || this.shared.isWanting(now);
+    return isFirstMissing || this.shared.needsSharedPositions(now);
   }
 
   /** Term of the leader on whose clock reports give their times. */
@@ -87,8 +87,8 @@
   }
 
   /** Takes over the leader's clock from a reply that arrived at `now`. */
-  noteClock(reply: whinyoke.ISyncReply, now: number): void {
-    this.shared.noteClock(reply, now);
+  recordLeaderClock(reply: whinyoke.ISyncReply, now: number): void {
+    this.shared.recordLeaderClock(reply, now);
   }
 
   /**
@@ -97,7 +97,7 @@
    */
   private isOfLaterIncarnation(group: string, epoch: number, position: Position): boolean {
     const entry = this.leases.entryOf(group);
-    const known = this.floorOf(group).highestOf(epoch);
+    const known = this.minimumPositionOf(group).highestOf(epoch);
     return entry !== undefined && isOfLaterIncarnation(entry, position, known);
   }
 
@@ -107,7 +107,7 @@
     for (const { group, askedAt, position } of positions) {
       const { epoch } = this.leases.entryOf(group) ?? {};
       if (this.isOfLaterIncarnation(group, epoch ?? 0, position)) continue;
-      this.floorOf(group).note(epoch ?? 0, askedAt, position);
+      this.minimumPositionOf(group).note(epoch ?? 0, askedAt, position);
     }
     if (positions.length > 0) this.resolveFirst();
   }
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -24,7 +24,7 @@
   /** A statement was tried again. */
   retried(route: string, cause: string): void;
   /** A request was refused since its homes left no instance. */
-  refusedByHomes(route: string): void;
+  refusedByAllowedRegions(route: string): void;
 }
 
 /** Health of primaries as the proxy's own statements show it. */
@@ -36,7 +36,7 @@
 /** Positions of primaries, without their synchronisation with control. */
 type SessionPositions = Pick<
   PrimaryPositions,
-  'floorOf' | 'noteFromPrimary' | 'awaitFloor' | 'noteReplicaRead'
+  'minimumPositionOf' | 'recordFromPrimary' | 'awaitMinimumPosition' | 'recordReplicaRead'
 >;
 
 /** Confirmation of leases by replicas, while control is out of reach. */
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -30,7 +30,7 @@
 const { PrimaryHealth } = whinyoke;
 
 /** Parts of the proxy that its instances depend on. */
-interface InstancesSurroundings {
+interface ProxyInstancesDependencies {
   readonly runtime: Runtime;
   /** Address for messages of other processes. */
   readonly ownAddress: string;
@@ -53,9 +53,9 @@
   /** Whether a zone was evacuated at the last look, so that pools may have to serve again. */
   private wasEvacuating = false;
 
-  constructor(private readonly surroundings: InstancesSurroundings) {
-    const { runtime, ownAddress, regionByZone, connector, log, document, fleet } = surroundings;
-    const { evacuatedZones, slowStarts } = surroundings;
+  constructor(private readonly dependencies: ProxyInstancesDependencies) {
+    const { runtime, ownAddress, regionByZone, connector, log, document, fleet } = dependencies;
+    const { evacuatedZones, slowStarts } = dependencies;
     const { clock } = runtime;
     this.directory = new InstanceDirectory({
       runtime,
@@ -67,14 +67,14 @@
       connectionLimitOf: (group) => document.table?.limitsByGroup.get(group)?.connectionLimit ?? 0,
       table: () => document.table,
       hasTenants: () => document.table === undefined || document.table.tenants.size > 0,
-      tenantRate: (tenant) => document.table?.tenants.named(tenant)?.limit?.ratePerSecond,
+      tenantRate: (tenant) => document.table?.tenants.findByName(tenant)?.limit?.ratePerSecond,
       // Asked for each instance of each read: the clock is read only where it decides.
       stageOf: (zone) =>
         evacuatedZones.isAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
       liveProxies: () => fleet.liveProxies,
       onConnectFailed: (target, error) => this.onConnectFailed(target, error),
       onStartedAgain: ({ id, group }, incarnation) =>
-        distrustOtherIncarnation({ ...surroundings, clock }, group, id, incarnation),
+        distrustOtherIncarnation({ ...dependencies, clock }, group, id, incarnation),
       onOpened: (target, position, startedAt) => this.onOpened(target, position, startedAt),
     });
   }
@@ -142,7 +142,7 @@
   /** Takes over what changed in the catalog. */
   adopt(update: whinyoke.ICatalogUpdate): void {
     this.directory.adopt(update);
-    this.evacuate();
+    this.updateEvacuations();
   }
 
   /** Takes over which proxies may own connections, by zone. */
@@ -162,7 +162,7 @@
 
   /** Looks after all pools; called often. */
   maintain(): void {
-    this.evacuate();
+    this.updateEvacuations();
     this.directory.maintain();
   }
 
@@ -171,15 +171,15 @@
     this.directory.close();
   }
 
-  private evacuate(): void {
-    const { isAny } = this.surroundings.evacuatedZones;
+  private updateEvacuations(): void {
+    const { isAny } = this.dependencies.evacuatedZones;
     if (!isAny && !this.wasEvacuating) return;
     this.wasEvacuating = isAny;
     this.directory.evacuate((instance, group) => this.primaryOf(group) === instance);
   }
 
   private primaryOf(group: string): string {
-    return this.surroundings.leases.entryOf(group)?.primary ?? '';
+    return this.dependencies.leases.entryOf(group)?.primary ?? '';
   }
 
   /** The position that a leased primary sends when a connection opens is as good as that of an answer. */
@@ -188,19 +188,19 @@
     position: Position,
     startedAt: number,
   ): void {
-    const { leases, primaryHealth, positions, runtime } = this.surroundings;
+    const { leases, primaryHealth, positions, runtime } = this.dependencies;
     const { epoch, primary } = leases.entryOf(group) ?? {};
     if (primary !== instance || epoch === undefined || epoch === null) return;
     const { clock } = runtime;
-    const trust = { ...this.surroundings, clock };
+    const trust = { ...this.dependencies, clock };
     if (distrustShorterLog(trust, { group, epoch }, position, undefined)) return;
     if (!leases.accepts(group, epoch, clock.now())) return;
     primaryHealth.of(group, epoch).opened(clock.now());
-    positions.noteFromPrimary(group, epoch, startedAt, position);
+    positions.recordFromPrimary(group, epoch, startedAt, position);
   }
 
   private onConnectFailed({ id: instance, group }: InstanceTarget, error: ConnectError): void {
-    const { leases, primaryHealth, runtime } = this.surroundings;
+    const { leases, primaryHealth, runtime } = this.dependencies;
     const entry = leases.entryOf(group);
     if (entry?.primary !== instance) return;
     const tracker = primaryHealth.of(group, entry.epoch ?? 0);
--- a/src/appointed/proxy/shared_positions.ts
+++ b/src/appointed/proxy/shared_positions.ts
@@ -11,11 +11,11 @@
 import type { Position, PrimaryPosition } from '../../positions/position.js';
 
 /** Positions that are older are not reported, in milliseconds: others need young ones. */
-const LONGEST_REPORTED_AGE_MS = 1000;
+const MAX_REPORTED_AGE_MS = 1000;
 /** Positions are wanted for groups with a read within this time, in milliseconds. */
-const READ_LIFETIME_MS = 3000;
+const RECENT_READ_MS = 3000;
 /** A group whose primary was heard within this time needs nothing of others, in milliseconds. */
-const OWN_FRESH_MS = 400;
+const OWN_POSITION_FRESHNESS_MS = 400;
 
 /** A position that control told, with its time on this process's clock. */
 interface SharedPosition {
@@ -31,11 +31,11 @@
   private readonly readAt = new Map<string, number>();
   /** Term of the leader whose clock is known; 0 when none is. */
   private term = 0;
-  private leaderClock = 0;
+  private leaderClockMs = 0;
   private leaderClockReadAt = 0;
 
   /** Notes what a trusted primary told to a request that was sent at `askedAt`. */
-  noteOwn(group: string, epoch: number, askedAt: number, position: Position): void {
+  recordOwn(group: string, epoch: number, askedAt: number, position: Position): void {
     const known = this.own.get(group);
     if (known && known.epoch === epoch && known.askedAt >= askedAt) return;
     this.own.set(group, { epoch, position, askedAt });
@@ -43,15 +43,16 @@
   }
 
   /** Notes a read that replicas may serve. */
-  noteRead(group: string, now: number): void {
+  recordRead(group: string, now: number): void {
     this.readAt.set(group, now);
   }
 
   /** Whether positions of other proxies are wanted now. */
-  isWanting(now: number): boolean {
+  needsSharedPositions(now: number): boolean {
     for (const [group, readAt] of this.readAt) {
-      if (now - readAt > READ_LIFETIME_MS) this.readAt.delete(group);
-      else if (now - (this.own.get(group)?.askedAt ?? -Infinity) > OWN_FRESH_MS) return true;
+      if (now - readAt > RECENT_READ_MS) this.readAt.delete(group);
+      else if (now - (this.own.get(group)?.askedAt ?? -Infinity) > OWN_POSITION_FRESHNESS_MS)
+        return true;
     }
     return false;
   }
@@ -67,8 +68,8 @@
     const reports: whinyoke.IPositionReport[] = [];
     for (const group of this.unreported) {
       const { epoch, position, askedAt } = this.own.get(group)!;
-      if (now - askedAt > LONGEST_REPORTED_AGE_MS) continue;
-      const leaderTime = this.leaderClock + askedAt - this.leaderClockReadAt;
+      if (now - askedAt > MAX_REPORTED_AGE_MS) continue;
+      const leaderTime = this.leaderClockMs + askedAt - this.leaderClockReadAt;
       if (leaderTime < 0) continue;
       reports.push({ group, epoch, position, askedAt: Math.floor(leaderTime) });
     }
@@ -77,9 +78,9 @@
   }
 
   /** Takes over the leader's clock from a reply that arrived at `now`. */
-  noteClock(reply: whinyoke.ISyncReply, now: number): void {
+  recordLeaderClock(reply: whinyoke.ISyncReply, now: number): void {
     this.term = reply.term ?? 0;
-    this.leaderClock = reply.clockMs ?? 0;
+    this.leaderClockMs = reply.clockMs ?? 0;
     this.leaderClockReadAt = now;
   }
 }
--- a/src/appointed/proxy/sync_exchange.ts
+++ b/src/appointed/proxy/sync_exchange.ts
@@ -5,7 +5,7 @@
 import { messageOf } from '../../errors/errors.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { MessageBody, Runtime } from '../../runtime/runtime.js';
-import type { KnownControls } from './known_controls.js';
+import type { ControlAddresses } from './known_controls.js';
 import type { SyncContent, SyncParticipant } from './sync_participant.js';
 
 /** What became of one request. */
@@ -14,7 +14,7 @@
 /** How one request is sent. */
 export interface ExchangeOptions {
   /** How long the receiver may hold it, in milliseconds. */
-  readonly holdMs: number;
+  readonly longPollMs: number;
   /** How long to wait for the reply, in milliseconds. */
   readonly timeoutMs: number;
   /** Whether it goes to another proxy, which forwards it to the leader. */
@@ -25,24 +25,24 @@
  * Failures of one address within this time are reported once, in milliseconds: a search asks again every few. One line a
  * second and machine can be read; guess, not measured.
  */
-const FAILURE_SPACING_MS = 1000;
+const FAILURE_REPORT_INTERVAL_MS = 1000;
 
 /** Exchange of one proxy. */
 export class SyncExchange {
   private leaderAddress = '';
-  private failuresInRow = 0;
+  private failureCount = 0;
   /** When a failure was reported last, by address. */
   private readonly failureReportedAt = new Map<string, number>();
 
   constructor(
     private readonly runtime: Runtime,
     private readonly participant: SyncParticipant,
-    private readonly controls: KnownControls,
+    private readonly controls: ControlAddresses,
   ) {}
 
   /** Failed requests in a row; 0 while in touch. */
-  get failures(): number {
-    return this.failuresInRow;
+  get consecutiveFailures(): number {
+    return this.failureCount;
   }
 
   /** Address of the leader as last heard of; empty when unknown. */
@@ -54,25 +54,25 @@
   async exchange(address: string, options: ExchangeOptions): Promise<ExchangeOutcome> {
     const content = this.participant.syncContent();
     const sentAt = this.runtime.clock.now();
-    const body = { syncRequest: this.requestOf(content, options.holdMs) };
+    const body = { syncRequest: this.requestOf(content, options.longPollMs) };
     const reply = await this.send(address, body, options.timeoutMs);
     if (!reply) return this.onFailed(address);
-    this.controls.note(reply);
+    this.controls.recordListed(reply);
     if (!reply.accepted) return this.onRefused(address, reply.leaderAddress ?? '');
     if (!options.isForwarded) {
-      this.failuresInRow = 0;
+      this.failureCount = 0;
       this.leaderAddress = address;
     }
     this.participant.onSync(reply, content, sentAt);
     return 'accepted';
   }
 
-  private requestOf(content: SyncContent, holdMs: number): whinyoke.ISyncRequest {
+  private requestOf(content: SyncContent, longPollMs: number): whinyoke.ISyncRequest {
     const { self, isLeaving, knownVersion } = this.participant;
     return {
       proxy: self,
       leaving: isLeaving,
-      waitMs: holdMs,
+      waitMs: longPollMs,
       knownVersion,
       knownDocument: content.knownDocument,
       knownDirectory: content.knownDirectory,
@@ -104,25 +104,26 @@
 
   private onFailed(address: string): ExchangeOutcome {
     if (this.leaderAddress === address) this.leaderAddress = '';
-    this.failuresInRow++;
+    this.failureCount++;
     return 'failed';
   }
 
   /** The machine does not lead; it may name the one that does. */
-  private onRefused(address: string, named: string): ExchangeOutcome {
-    if (named === '' || named === address) {
+  private onRefused(address: string, namedLeader: string): ExchangeOutcome {
+    if (namedLeader === '' || namedLeader === address) {
       this.reportFailure(address, 'it knows no leader');
       return this.onFailed(address);
     }
     // An answer that comes late may name a leader of the past.
-    if (this.leaderAddress === '' || this.leaderAddress === address) this.leaderAddress = named;
+    if (this.leaderAddress === '' || this.leaderAddress === address)
+      this.leaderAddress = namedLeader;
     return 'redirected';
   }
 
   private reportFailure(address: string, reason: string): void {
     const now = this.runtime.clock.now();
     const reportedAt = this.failureReportedAt.get(address) ?? -Infinity;
-    if (now - reportedAt < FAILURE_SPACING_MS) return;
+    if (now - reportedAt < FAILURE_REPORT_INTERVAL_MS) return;
     this.failureReportedAt.set(address, now);
     this.participant.onControlFailure(address, reason);
   }
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -60,7 +60,7 @@
   const { group, name } = request.deadline.route;
   const now = context.clock.now();
   const entry = context.leases.entryOf(group);
-  const floorAt = context.positions.floorOf(group).newestSentAt;
+  const floorAt = context.positions.minimumPositionOf(group).newestSentAt;
   const event = verdictOf(kind) === 'not_run' ? Events.requestRefused : Events.requestInDoubt;
   context.log(event, {
     request: request.id,
@@ -75,7 +75,7 @@
     leased: context.leases.primaryOf(group, now) !== undefined,
     floor_age_ms: floorAt === undefined ? -1 : Math.round(now - floorAt),
     document: context.table?.version ?? 0,
-    document_age_ms: Math.round(Math.min(context.admission.documentAge, LONGEST_LOGGED_AGE_MS)),
+    document_age_ms: Math.round(Math.min(context.admission.documentAgeMs, LONGEST_LOGGED_AGE_MS)),
     tenant: request.tenant,
   });
 }
@@ -88,7 +88,8 @@
   cause: RefusalCause,
 ): CallerReply {
   logRefusal(context, request, kind, cause);
-  if (cause.kind === 'outsideHomes') context.counters.refusedByHomes(request.deadline.route.name);
+  if (cause.kind === 'outsideHomes')
+    context.counters.refusedByAllowedRegions(request.deadline.route.name);
   const retryMs = retryAfterMs(cause, situationOf(context, request.deadline.route.group));
   const text = `${textOf(cause)}; retry after ${Math.round(retryMs)} ms`;
   return refused(kind, text, request.state);
--- a/src/appointed/routing/request_homes.ts
+++ b/src/appointed/routing/request_homes.ts
@@ -16,8 +16,8 @@
 /** Regions to which a request is bound now. */
 export function homesOf({ table }: ProxyContext, route: Route, tenant: Tenant): Homes {
   const routeInForce = table?.routeByDatabase.get(route.database) ?? route;
-  const tenantInForce = table?.tenants.named(tenant.name) ?? tenant;
-  return commonHomes(routeInForce.homes, tenantInForce.homes);
+  const tenantInForce = table?.tenants.findByName(tenant.name) ?? tenant;
+  return commonHomes(routeInForce.allowedRegions, tenantInForce.allowedRegions);
 }
 
 /** Whether an instance may run a request with these homes. */
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -86,9 +86,9 @@
 function readFloor(context: ProxyContext, request: ReadPlanRequest): Position | undefined {
   const { policy, group } = request.route;
   if (policy.kind === 'primary') return undefined;
-  context.positions.noteReplicaRead(group);
+  context.positions.recordReplicaRead(group);
   const oldest = request.firstByteAt - policy.maximumStalenessMs + FLOOR_MARGIN_MS;
-  const floor = context.positions.floorOf(group).oldestSince(oldest);
+  const floor = context.positions.minimumPositionOf(group).oldestSince(oldest);
   if (!floor || policy.kind === 'boundedStaleness' || !request.ownPosition) return floor;
   return latest(floor, request.ownPosition);
 }
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -81,7 +81,7 @@
       this.drop();
       return refuse(this.context, refusal, 'aborted', { kind: 'outsideHomes' });
     }
-    this.operation.noteRun();
+    this.operation.markMayHaveRun();
     if (accessOf(statement) === 'write') this.hasWritten = true;
     const command = { kind: 'data' as const, id, statement };
     const limitMs = deadline.statementTimeout(this.held!.target.pool.load.slowAnswerThreshold);
@@ -231,7 +231,7 @@
     const tried = new Set<string>();
     const pause = new RetryPause(this.context.clock);
     let cause: RefusalCause | undefined;
-    if (this.mayUseReplicas) await this.context.positions.awaitFloor(this.route.group);
+    if (this.mayUseReplicas) await this.context.positions.awaitMinimumPosition(this.route.group);
     while (deadline.allowsAttempt) {
       const target = await this.nextTarget(deadline, tried, pause);
       if (!target) break;
--- a/src/appointed/sessions/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -189,7 +189,7 @@
     }
     const reply = await transaction.run(id, statement, content);
     if (reply.state === 'failed') {
-      this.context.allowances.giveBack(transaction.operation);
+      this.context.allowances.returnUnused(transaction.operation);
       this.transaction = undefined;
     }
     return reply;
@@ -205,11 +205,11 @@
     const request: SingleRequest = { id, statement, content, deadline, operation, ownPosition };
     if (accessOf(statement) === 'read') {
       const reply = await this.singles.read(request);
-      this.context.allowances.giveBack(operation);
+      this.context.allowances.returnUnused(operation);
       return reply;
     }
     const { reply, committedAt } = await this.singles.write(request);
-    this.context.allowances.giveBack(operation);
+    this.context.allowances.returnUnused(operation);
     this.recordCommit(route.group, committedAt);
     return reply;
   }
@@ -222,12 +222,14 @@
     const request = { id, deadline, state: 'idle' as const };
     const known = context.admission.check(credential, route);
     const verdict =
-      known.outcome === 'unknown' ? await context.admission.checkNewest(credential, route) : known;
+      known.outcome === 'unknown'
+        ? await context.admission.checkWithRefresh(credential, route)
+        : known;
     if (verdict.outcome !== 'admitted') {
       return { refusal: refuseCredential(context, request, verdict.outcome) };
     }
     const { tenant } = verdict;
-    const allowance = await context.allowances.take(tenant, deadline.offerRemaining);
+    const allowance = await context.allowances.acquire(tenant, deadline.offerRemaining);
     if (allowance.isGranted) {
       return { route, deadline, operation: new AdmittedOperation(tenant, context.clock.now()) };
     }
@@ -277,7 +279,7 @@
   private endTransaction(id: string): void {
     if (!this.transaction) return;
     this.transaction.rollback(id);
-    this.context.allowances.giveBack(this.transaction.operation);
+    this.context.allowances.returnUnused(this.transaction.operation);
     this.transaction = undefined;
   }
 
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -75,9 +75,10 @@
     const pause = new RetryPause(this.context.clock);
     let wasOffered = false;
     let cause: RefusalCause | undefined;
-    if (route.policy.kind !== 'primary') await this.context.positions.awaitFloor(route.group);
+    if (route.policy.kind !== 'primary')
+      await this.context.positions.awaitMinimumPosition(route.group);
     while (deadline.allowsAttempt) {
-      if (request.operation.hasRun && !(await this.mayRunAgain(request))) break;
+      if (request.operation.mayHaveRun && !(await this.mayRunAgain(request))) break;
       const targets = planRead(this.context, plan, tried);
       const target = targets[0];
       if (!target) {
@@ -239,7 +240,7 @@
   /** Takes another operation of the tenant: an instance may have run the statement, and another one is to run it. */
   private async mayRunAgain({ operation, deadline }: SingleRequest): Promise<boolean> {
     const { allowances } = this.context;
-    const verdict = await allowances.take(operation.tenant, deadline.offerRemaining);
+    const verdict = await allowances.acquire(operation.tenant, deadline.offerRemaining);
     return verdict.isGranted;
   }
 
@@ -284,7 +285,7 @@
 function markRun(operation: AdmittedOperation, attempt: Attempt): void {
   const error = attempt.outcome === 'answered' ? attempt.answer.error : undefined;
   const isHarmless = attempt.outcome === 'notRun' || (error !== undefined && isNotRun(error.kind));
-  if (!isHarmless) operation.noteRun();
+  if (!isHarmless) operation.markMayHaveRun();
 }
 
 /** Cause of an error that an instance answered, or the holder of a cold one in its place. */
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -196,7 +196,7 @@
     // Nothing may be awaited between this check and the sending: the request is counted in the window of this very moment.
     if (!this.maySend(held, command)) return slowStartAnswer(held.target, held.inTransaction);
     const sentAt = clock.now();
-    const known = this.context.positions.floorOf(group).highestOf(epoch);
+    const known = this.context.positions.minimumPositionOf(group).highestOf(epoch);
     const asked = { at: sentAt, known };
     const tracker = epoch === undefined ? undefined : this.context.primaryHealth.of(group, epoch);
     const mayCommit = command.kind === 'commit' || isWrite(command);
@@ -262,7 +262,7 @@
       primaryHealth.of(group, epoch).failed(PrimaryHealth.NOT_PRIMARY, now);
     } else if (position && leases.accepts(group, epoch, now)) {
       if (distrustShorterLog(this.context, { group, epoch }, position, asked.known)) return;
-      positions.noteFromPrimary(group, epoch, asked.at, position);
+      positions.recordFromPrimary(group, epoch, asked.at, position);
     }
   }
 }
--- a/src/appointed/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -18,7 +18,7 @@
 import { NO_TENANT, type Tenant } from './tenant.js';
 
 /** What a credential allows. */
-type AdmissionVerdict =
+type AdmissionResult =
   | { readonly outcome: 'admitted'; readonly tenant: Tenant }
   /** No tenant holds the credential. */
   | { readonly outcome: 'unknown' }
@@ -26,80 +26,80 @@
   | { readonly outcome: 'unproven' };
 
 /** What the decision needs of its process. */
-interface AdmissionSurroundings {
+interface AdmissionDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
   /** Document in force. */
   table(): RouteTable | undefined;
   /** When the newest request was sent that control answered with the newest document. */
-  provenAt(): number;
+  confirmedAt(): number;
   /** Asks control for the newest document; resolves when it answered, after `timeoutMs` at the latest. */
   refresh(timeoutMs: number): Promise<void>;
   /** How long a confirmation of the document counts, in milliseconds. */
   readonly freshnessMs: number;
 }
 
-const PUBLIC: AdmissionVerdict = {
+const PUBLIC: AdmissionResult = {
   outcome: 'admitted',
   tenant: { name: NO_TENANT, limit: undefined },
 };
-const UNPROVEN: AdmissionVerdict = { outcome: 'unproven' };
-const UNKNOWN: AdmissionVerdict = { outcome: 'unknown' };
+const UNPROVEN: AdmissionResult = { outcome: 'unproven' };
+const UNKNOWN: AdmissionResult = { outcome: 'unknown' };
 /** Time for control to answer whether a newer document knows a credential, in milliseconds. Guess, not measured. */
 const LOOKUP_TIMEOUT_MS = 300;
 /**
  * A document that was confirmed within this time is not asked for again, in milliseconds, so that unknown credentials cost
  * at most ten requests a second. Guess, not measured.
  */
-const RECENT_MS = 100;
+const RECENT_CONFIRMATION_MS = 100;
 
 /** Difference of clocks that run at different speeds within the bound, in milliseconds. Guess, not measured. */
-const CLOCK_MARGIN_MS = 300;
+const CLOCK_DRIFT_MARGIN_MS = 300;
 /**
  * Time of the bound on revoked credentials that is lost, in milliseconds: a leader that has a successor may answer for as
  * long as its proof counts.
  */
-const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
+const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MS + CLOCK_DRIFT_MARGIN_MS;
 
 /** How long a confirmed document may count so that no credential is used later than `boundMs` after it was taken away. */
-export function freshnessWithin(boundMs: number): number {
-  return Math.max(0, boundMs - FRESHNESS_MARGIN_MS);
+export function documentFreshnessMs(revocationBoundMs: number): number {
+  return Math.max(0, revocationBoundMs - FRESHNESS_MARGIN_MS);
 }
 
 /** Admission of one proxy. */
 export class Admission {
-  constructor(private readonly surroundings: AdmissionSurroundings) {}
+  constructor(private readonly dependencies: AdmissionDependencies) {}
 
   /** What a credential allows on a route, as far as this process knows. */
-  check(credential: string, route: Route): AdmissionVerdict {
+  check(credential: string, route: Route): AdmissionResult {
     if (route.isPublic) return PUBLIC;
-    if (this.documentAge > this.surroundings.freshnessMs) return UNPROVEN;
-    const tenant = this.surroundings.table()?.tenants.holderOf(credential);
+    if (this.documentAgeMs > this.dependencies.freshnessMs) return UNPROVEN;
+    const tenant = this.dependencies.table()?.tenants.findByCredential(credential);
     return tenant ? { outcome: 'admitted', tenant } : UNKNOWN;
   }
 
   /** Checks a credential, and asks control for a newer document where the one in force does not know it. */
-  async checkNewest(credential: string, route: Route): Promise<AdmissionVerdict> {
-    const verdict = this.check(credential, route);
-    if (verdict.outcome !== 'unknown') return verdict;
-    if (this.documentAge < RECENT_MS) return this.reportUnknown(route);
-    const askedAt = this.surroundings.clock.now();
-    await this.surroundings.refresh(LOOKUP_TIMEOUT_MS);
-    const newest = this.check(credential, route);
-    if (newest.outcome !== 'unknown') return newest;
-    return this.surroundings.provenAt() >= askedAt ? this.reportUnknown(route) : UNPROVEN;
+  async checkWithRefresh(credential: string, route: Route): Promise<AdmissionResult> {
+    const result = this.check(credential, route);
+    if (result.outcome !== 'unknown') return result;
+    if (this.documentAgeMs < RECENT_CONFIRMATION_MS) return this.logUnknownCredential(route);
+    const askedAt = this.dependencies.clock.now();
+    await this.dependencies.refresh(LOOKUP_TIMEOUT_MS);
+    const refreshedResult = this.check(credential, route);
+    if (refreshedResult.outcome !== 'unknown') return refreshedResult;
+    return this.dependencies.confirmedAt() >= askedAt ? this.logUnknownCredential(route) : UNPROVEN;
   }
 
   /** Milliseconds since control confirmed, at the latest, that the document in force is the newest. */
-  get documentAge(): number {
-    return this.surroundings.clock.now() - this.surroundings.provenAt();
+  get documentAgeMs(): number {
+    return this.dependencies.clock.now() - this.dependencies.confirmedAt();
   }
 
-  private reportUnknown(route: Route): AdmissionVerdict {
-    this.surroundings.log(Events.credentialUnknown, {
+  private logUnknownCredential(route: Route): AdmissionResult {
+    this.dependencies.log(Events.credentialUnknown, {
       route: route.name,
-      document: this.surroundings.table()?.version ?? 0,
-      document_age_ms: Math.round(this.documentAge),
+      document: this.dependencies.table()?.version ?? 0,
+      document_age_ms: Math.round(this.documentAgeMs),
     });
     return UNKNOWN;
   }
--- a/src/appointed/tenancy/admitted_operation.ts
+++ b/src/appointed/tenancy/admitted_operation.ts
@@ -6,7 +6,7 @@
 
 /** An operation within the limit of its tenant. */
 export class AdmittedOperation {
-  private mayHaveRun = false;
+  private executionPossible = false;
 
   constructor(
     /** Tenant that it counts for. */
@@ -16,12 +16,12 @@
   ) {}
 
   /** Whether an instance may have run it. */
-  get hasRun(): boolean {
-    return this.mayHaveRun;
+  get mayHaveRun(): boolean {
+    return this.executionPossible;
   }
 
   /** Notes that an instance ran it, or may have. */
-  noteRun(): void {
-    this.mayHaveRun = true;
+  markMayHaveRun(): void {
+    this.executionPossible = true;
   }
 }
--- a/src/appointed/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -6,14 +6,14 @@
 import { Events } from '../../observability/events.js';
 import type { AdmittedOperation } from './admitted_operation.js';
 import { AllowanceRequests } from './allowance_requests.js';
-import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
+import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
 import { IssuerRequests } from './issuer_requests.js';
 import { IssuerService } from './issuer_service.js';
 import { LimitRefusals } from './limit_refusals.js';
-import { GATHER_RETURNED_MS, isReturnable } from './operation_budget.js';
+import { RETURN_BATCH_WINDOW_MS, isReturnable } from './operation_budget.js';
 import type { Tenant } from './tenant.js';
 import {
-  type OperationVerdict,
+  type GrantResult,
   GRANTED,
   type TenantAllowance,
   type WaitingOperation,
@@ -41,37 +41,37 @@
   private readonly requests: AllowanceRequests;
   private readonly issuerRequests: IssuerRequests;
 
-  constructor(private readonly surroundings: AllowanceSurroundings) {
+  constructor(private readonly dependencies: AllowanceClientDependencies) {
     const { allowances, counts } = this;
-    this.refusals = new LimitRefusals(surroundings, counts);
-    this.requests = new AllowanceRequests(surroundings, allowances, this.refusals, counts);
-    this.issuer = new IssuerService(surroundings, allowances, counts, (withinMs) =>
-      this.requests.askSoon(withinMs),
+    this.refusals = new LimitRefusals(dependencies, counts);
+    this.requests = new AllowanceRequests(dependencies, allowances, this.refusals, counts);
+    this.issuer = new IssuerService(dependencies, allowances, counts, (withinMs) =>
+      this.requests.scheduleRequest(withinMs),
     );
     this.issuerRequests = new IssuerRequests(
-      surroundings,
-      surroundings.issuers,
+      dependencies,
+      dependencies.issuers,
       this.refusals,
       counts,
-      (allowance, operation) => this.askLeader(allowance, operation),
+      (allowance, operation) => this.requestFromLeader(allowance, operation),
     );
   }
 
   /** Tells a new leader at once what this proxy holds; called now and then, since it may have no requests to ask for. */
-  noteLeader(): void {
-    this.requests.noteLeader();
+  reportToNewLeader(): void {
+    this.requests.reportToNewLeader();
   }
 
   /** This proxy is to stop: hands the reserves of its zone over, by way of the leader, to those that come after it. */
-  leave(): void {
-    this.surroundings.issuers.leave();
-    this.issuer.leave();
-    const now = this.surroundings.runtime.clock.now();
-    const held = [...this.allowances.all].filter((allowance) => allowance.holdsReserve(now));
-    if (held.length === 0) return;
-    for (const allowance of held) allowance.forgetDemand();
-    this.surroundings.log(Events.issuerLeft, { tenants: held.length });
-    this.requests.askSoon(GATHER_RETURNED_MS);
+  returnReserves(): void {
+    this.dependencies.issuers.stopIssuing();
+    this.issuer.stopIssuing();
+    const now = this.dependencies.runtime.clock.now();
+    const withReserve = [...this.allowances.all].filter((allowance) => allowance.hasReserve(now));
+    if (withReserve.length === 0) return;
+    for (const allowance of withReserve) allowance.forgetDemand();
+    this.dependencies.log(Events.issuerLeft, { tenants: withReserve.length });
+    this.requests.scheduleRequest(RETURN_BATCH_WINDOW_MS);
   }
 
   /** Stops. */
@@ -80,41 +80,38 @@
   }
 
   /** Asks for one operation of a tenant; resolves after `longestWaitMs` at the latest. */
-  take(tenant: Tenant, longestWaitMs: number): Promise<OperationVerdict> | OperationVerdict {
+  acquire(tenant: Tenant, maxWaitMs: number): Promise<GrantResult> | GrantResult {
     const { limit } = tenant;
     if (!limit) return GRANTED;
-    const now = this.surroundings.runtime.clock.now();
-    const allowance = this.allowances.of(tenant.name, now);
-    const isIssuer = this.surroundings.issuers.isOwn(tenant.name);
-    allowance.note(limit, this.surroundings.rules, now, { count: 1, isIssuer });
-    this.requests.noteLeader();
-    if (allowance.takeReserve(now)) {
+    const now = this.dependencies.runtime.clock.now();
+    const allowance = this.allowances.getOrCreate(tenant.name, now);
+    const isIssuer = this.dependencies.issuers.isOwnProxyIssuer(tenant.name);
+    allowance.recordRequests(limit, this.dependencies.rules, now, { count: 1, isIssuer });
+    this.requests.reportToNewLeader();
+    if (allowance.takeFromReserve(now)) {
       this.counts.fromReserve++;
-      this.requests.askSoon(allowance.gatherMs(now));
+      this.requests.scheduleRequest(allowance.batchWindowMs(now));
       return GRANTED;
     }
-    const exhaustedMs = allowance.exhaustedFor(now);
+    const exhaustedMs = allowance.exhaustedForMs(now);
     if (exhaustedMs > 0) return this.refusals.refuse(allowance, exhaustedMs);
-    return this.waitForGrant(allowance, longestWaitMs);
+    return this.waitForGrant(allowance, maxWaitMs);
   }
 
   /** Gives an operation back that was counted and did not run. */
-  giveBack({ tenant, countedAt, hasRun }: AdmittedOperation): void {
-    const now = this.surroundings.runtime.clock.now();
-    if (!tenant.limit || hasRun || !isReturnable(now - countedAt)) return;
-    this.allowances.of(tenant.name, now).giveBack(countedAt);
-    this.requests.askSoon(GATHER_RETURNED_MS);
+  returnUnused({ tenant, countedAt, mayHaveRun }: AdmittedOperation): void {
+    const now = this.dependencies.runtime.clock.now();
+    if (!tenant.limit || mayHaveRun || !isReturnable(now - countedAt)) return;
+    this.allowances.getOrCreate(tenant.name, now).recordUnused(countedAt);
+    this.requests.scheduleRequest(RETURN_BATCH_WINDOW_MS);
   }
 
-  private waitForGrant(
-    allowance: TenantAllowance,
-    longestWaitMs: number,
-  ): Promise<OperationVerdict> {
-    const { clock } = this.surroundings.runtime;
+  private waitForGrant(allowance: TenantAllowance, maxWaitMs: number): Promise<GrantResult> {
+    const { clock } = this.dependencies.runtime;
     return new Promise((resolve) => {
       const operation = {
         isOpen: true,
-        settle: (verdict: OperationVerdict): void => {
+        settle: (verdict: GrantResult): void => {
           if (!operation.isOpen) return;
           operation.isOpen = false;
           allowance.waiting.delete(operation);
@@ -122,18 +119,18 @@
           resolve(verdict);
         },
       };
-      const timer = clock.setTimer(longestWaitMs, () => {
+      const timer = clock.setTimer(maxWaitMs, () => {
         this.counts.ungranted++;
         operation.settle({ isGranted: false, cause: { kind: 'noGrant' } });
       });
-      const issuer = this.surroundings.issuers.other(allowance.tenant, clock.now());
-      if (issuer === undefined) this.askLeader(allowance, operation);
-      else this.issuerRequests.add(issuer, { allowance, operation });
+      const issuer = this.dependencies.issuers.findOtherIssuer(allowance.tenant, clock.now());
+      if (issuer === undefined) this.requestFromLeader(allowance, operation);
+      else this.issuerRequests.enqueue(issuer, { allowance, operation });
     });
   }
 
-  private askLeader(allowance: TenantAllowance, operation: WaitingOperation): void {
+  private requestFromLeader(allowance: TenantAllowance, operation: WaitingOperation): void {
     allowance.waiting.add(operation);
-    void this.requests.run();
+    void this.requests.requestWhileWaiting();
   }
 }
--- a/src/appointed/tenancy/allowance_exchange.ts
+++ b/src/appointed/tenancy/allowance_exchange.ts
@@ -6,14 +6,14 @@
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceSurroundings } from './allowance_surroundings.js';
-import { AnswerTime } from './answer_time.js';
-import { LEADER_OVERLAP_MS, RESERVE_LIFE_MS, WAITING_ALLOWANCE_MS } from './operation_budget.js';
+import type { AllowanceClientDependencies } from './allowance_surroundings.js';
+import { AdaptiveTimeout } from './answer_time.js';
+import { LEADER_OVERLAP_MS, RESERVE_LEASE_MS, GRANT_VALIDITY_MS } from './operation_budget.js';
 
 /** Connection of usual requests. */
-const USUAL_LANE = 0;
+const DEFAULT_LANE = 0;
 /** Connection of requests that are sent a second time. */
-const SECOND_LANE = 1;
+const ALTERNATE_LANE = 1;
 
 /** Takes over a reply to a request that was sent at `askedAt`. */
 type ReplyReceiver = (
@@ -26,66 +26,66 @@
 export class AllowanceExchange {
   private leader = '';
   private term = 0;
-  private isLeaderUnaware = false;
-  private readonly answerTime = new AnswerTime();
+  private needsFullReport = false;
+  private readonly responseTimeout = new AdaptiveTimeout();
   /** When machines were sent all that is held, where no answer came: they may count on it. */
-  private readonly unansweredAt = new Map<string, number>();
+  private readonly unansweredReportAt = new Map<string, number>();
   private sequence = 0;
-  private readonly begunAt: number;
+  private readonly startedAt: number;
   /** Whether replies of more than one term were taken over. */
-  private hasSeveralTerms = false;
+  private hasSeenSeveralTerms = false;
 
   constructor(
-    private readonly surroundings: AllowanceSurroundings,
-    private readonly receive: ReplyReceiver,
+    private readonly dependencies: AllowanceClientDependencies,
+    private readonly onReply: ReplyReceiver,
   ) {
-    this.begunAt = surroundings.runtime.clock.now();
+    this.startedAt = dependencies.runtime.clock.now();
   }
 
   /** Whether the next request names all that is held, since the leader may not know it. */
-  get mustReportAll(): boolean {
-    return this.isLeaderUnaware;
+  get mustReportAllReserves(): boolean {
+    return this.needsFullReport;
   }
 
   /** Time without an answer after which callers' requests are sent a second time, in milliseconds. */
-  get secondWayMs(): number {
-    return this.answerTime.lateAfterMs;
+  get alternateRouteDelayMs(): number {
+    return this.responseTimeout.timeoutMs;
   }
 
   /** Whether another machine leads than the one that was asked last; it is asked from now on. */
-  noteLeader(): boolean {
-    const leader = this.surroundings.leaderAddress();
+  switchToNewLeader(): boolean {
+    const leader = this.dependencies.leaderAddress();
     if (leader === '' || leader === this.leader) return false;
     this.leader = leader;
-    this.isLeaderUnaware = true;
+    this.needsFullReport = true;
     return true;
   }
 
   /** Whether another machine may have become the leader, and count on reserves that this proxy reported to it. */
-  mayCountElsewhere(now: number): boolean {
-    const oldest = now - RESERVE_LIFE_MS - LEADER_OVERLAP_MS;
-    return [...this.unansweredAt.values()].some((askedAt) => askedAt > oldest);
+  mayOtherLeaderCountReserves(now: number): boolean {
+    const oldest = now - RESERVE_LEASE_MS - LEADER_OVERLAP_MS;
+    return [...this.unansweredReportAt.values()].some((askedAt) => askedAt > oldest);
   }
 
   /** Sends a request to the leader; false when it gave no answer that counts. Never rejects. */
   async send(content: whinyoke.IAllowanceRequest, askedAt: number): Promise<boolean> {
-    const { runtime, proxy, incarnation, log } = this.surroundings;
+    const { runtime, proxy, incarnation, log } = this.dependencies;
     const address = this.leader;
-    const freshness = content.complete ? this.freshness : {};
+    const freshnessFields = content.complete ? this.freshness : {};
     const identity = { proxy, incarnation, sequence: ++this.sequence };
-    const allowanceRequest = { ...content, ...identity, ...freshness };
-    const lane = content.waitingOnly ? SECOND_LANE : USUAL_LANE;
-    if (content.complete) this.unansweredAt.set(address, askedAt);
+    const allowanceRequest = { ...content, ...identity, ...freshnessFields };
+    const lane = content.waitingOnly ? ALTERNATE_LANE : DEFAULT_LANE;
+    if (content.complete) this.unansweredReportAt.set(address, askedAt);
     try {
       const answer = await runtime.messenger.request(
         address,
         { allowanceRequest },
-        WAITING_ALLOWANCE_MS,
+        GRANT_VALIDITY_MS,
         lane,
       );
-      this.unansweredAt.delete(address);
-      this.answerTime.note(runtime.clock.now() - askedAt);
-      return this.takeReply(answer.allowanceReply, content, askedAt);
+      this.unansweredReportAt.delete(address);
+      this.responseTimeout.recordResponse(runtime.clock.now() - askedAt);
+      return this.applyReply(answer.allowanceReply, content, askedAt);
     } catch (error) {
       log(Events.controlRequestFailed, { address, reason: messageOf(error) });
       return false;
@@ -97,12 +97,12 @@
    * former leaders being in use here, since replies of earlier terms are dropped from now on.
    */
   private get freshness(): Pick<whinyoke.IAllowanceRequest, 'freshMs' | 'freshTerm'> {
-    if (this.hasSeveralTerms) return {};
-    const ageMs = Math.floor(this.surroundings.runtime.clock.now() - this.begunAt);
+    if (this.hasSeenSeveralTerms) return {};
+    const ageMs = Math.floor(this.dependencies.runtime.clock.now() - this.startedAt);
     return { freshMs: ageMs + 1, freshTerm: this.term };
   }
 
-  private takeReply(
+  private applyReply(
     reply: whinyoke.IAllowanceReply | null | undefined,
     content: whinyoke.IAllowanceRequest,
     askedAt: number,
@@ -110,10 +110,10 @@
     // A former leader that answers late knows less than the one that answered already.
     if (!reply?.accepted || (reply.term ?? 0) < this.term) return false;
     const term = reply.term ?? 0;
-    this.hasSeveralTerms ||= this.term > 0 && term !== this.term;
+    this.hasSeenSeveralTerms ||= this.term > 0 && term !== this.term;
     this.term = term;
-    this.isLeaderUnaware = reply.needsAll ?? false;
-    this.receive(reply, askedAt, content.waitingOnly ?? false);
+    this.needsFullReport = reply.needsAll ?? false;
+    this.onReply(reply, askedAt, content.waitingOnly ?? false);
     // A leader that does not know a tenant yet leaves it out of the reply, and is asked again after a pause.
     return (reply.allowances ?? []).length === (content.demands ?? []).length;
   }
--- a/src/appointed/tenancy/allowance_surroundings.ts
+++ b/src/appointed/tenancy/allowance_surroundings.ts
@@ -1,12 +1,12 @@
 /** What the proxy's side of the limit on operations needs of its proxy. The leader may be unknown or not answer. */
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { Runtime } from '../../runtime/runtime.js';
-import type { IssuerChoice } from './issuer_choice.js';
+import type { IssuerSelector } from './issuer_choice.js';
 import type { QuotaRules } from './operation_budget.js';
 import type { OperationLimit } from './tenant.js';
 
 /** Surroundings of the allowances of one proxy. */
-export interface AllowanceSurroundings {
+export interface AllowanceClientDependencies {
   readonly runtime: Pick<Runtime, 'clock' | 'random' | 'messenger'>;
   readonly log: DecisionLog;
   readonly rules: QuotaRules;
@@ -15,7 +15,7 @@
   /** Identifier of this run of the proxy. */
   readonly incarnation: string;
   /** Who holds the reserves of this proxy's zone. */
-  readonly issuers: IssuerChoice;
+  readonly issuers: IssuerSelector;
   /** Limit of a tenant in the document in force; undefined where it has none or is unknown. */
   limitOf(tenant: string): OperationLimit | undefined;
   /** Address of the leading control machine; empty while unknown. */
--- a/src/appointed/tenancy/issuer_requests.ts
+++ b/src/appointed/tenancy/issuer_requests.ts
@@ -5,15 +5,15 @@
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
-import { AnswerTime } from './answer_time.js';
-import type { IssuerChoice } from './issuer_choice.js';
+import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import { AdaptiveTimeout } from './answer_time.js';
+import type { IssuerSelector } from './issuer_choice.js';
 import type { LimitRefusals } from './limit_refusals.js';
-import { WAITING_ALLOWANCE_MS } from './operation_budget.js';
+import { GRANT_VALIDITY_MS } from './operation_budget.js';
 import { GRANTED, type TenantAllowance, type WaitingOperation } from './tenant_allowance.js';
 
 /** Reason of an issuer that is to stop, in log lines. */
-const REFUSED = 'refused';
+const REFUSED_REASON = 'refused';
 
 /** An operation that waits for an issuer. */
 interface QueuedOperation {
@@ -22,99 +22,105 @@
 }
 
 /** Hands an operation that no issuer granted to the leader. */
-type PassOn = (allowance: TenantAllowance, operation: WaitingOperation) => void;
+type LeaderFallback = (allowance: TenantAllowance, operation: WaitingOperation) => void;
 
 /** Requests of one proxy to issuers. */
 export class IssuerRequests {
   private readonly queues = new Map<string, QueuedOperation[]>();
-  private readonly busy = new Set<string>();
-  private readonly answerTime = new AnswerTime();
+  private readonly busyIssuers = new Set<string>();
+  private readonly responseTimeout = new AdaptiveTimeout();
 
   constructor(
-    private readonly surroundings: Pick<AllowanceSurroundings, 'runtime' | 'log'>,
-    private readonly choice: IssuerChoice,
+    private readonly dependencies: Pick<AllowanceClientDependencies, 'runtime' | 'log'>,
+    private readonly selector: IssuerSelector,
     private readonly refusals: LimitRefusals,
     private readonly counts: OperationCounts,
-    private readonly passOn: PassOn,
+    private readonly fallBackToLeader: LeaderFallback,
   ) {}
 
   /** Has an issuer asked for one operation. */
-  add(issuer: string, queued: QueuedOperation): void {
+  enqueue(issuer: string, queued: QueuedOperation): void {
     const queue = this.queues.get(issuer) ?? [];
     queue.push(queued);
     this.queues.set(issuer, queue);
-    if (!this.busy.has(issuer)) void this.run(issuer);
+    if (!this.busyIssuers.has(issuer)) void this.drainQueue(issuer);
   }
 
   /** Asks for as long as something waits: one request after the other. Never rejects. */
-  private async run(issuer: string): Promise<void> {
-    this.busy.add(issuer);
+  private async drainQueue(issuer: string): Promise<void> {
+    this.busyIssuers.add(issuer);
     for (;;) {
       const batch = this.queues.get(issuer) ?? [];
       this.queues.delete(issuer);
       if (batch.length === 0) break;
-      await this.ask(issuer, batch);
+      await this.sendBatch(issuer, batch);
     }
-    this.busy.delete(issuer);
+    this.busyIssuers.delete(issuer);
   }
 
   /** Resolves when the issuer answered, or is late; what it grants later still counts for those that wait. */
-  private async ask(issuer: string, batch: readonly QueuedOperation[]): Promise<void> {
-    const { clock } = this.surroundings.runtime;
+  private async sendBatch(issuer: string, batch: readonly QueuedOperation[]): Promise<void> {
+    const { clock } = this.dependencies.runtime;
     await new Promise<void>((resolve) => {
-      const timer = clock.setTimer(this.answerTime.lateAfterMs, () => {
+      const timer = clock.setTimer(this.responseTimeout.timeoutMs, () => {
         this.counts.issuerLate++;
-        this.giveUp(issuer, batch, 'late');
+        this.failOverToLeader(issuer, batch, 'late');
         resolve();
       });
-      void this.exchange(issuer, batch).finally(() => {
+      void this.exchangeBatch(issuer, batch).finally(() => {
         timer.cancel();
         resolve();
       });
     });
   }
 
-  private async exchange(issuer: string, batch: readonly QueuedOperation[]): Promise<void> {
-    const { clock, messenger } = this.surroundings.runtime;
+  private async exchangeBatch(issuer: string, batch: readonly QueuedOperation[]): Promise<void> {
+    const { clock, messenger } = this.dependencies.runtime;
     const askedAt = clock.now();
     const demands = demandsOf(batch);
     try {
       const body = { allowanceRequest: { demands } };
-      const { allowanceReply } = await messenger.request(issuer, body, WAITING_ALLOWANCE_MS);
-      const tookMs = clock.now() - askedAt;
-      this.answerTime.note(tookMs);
-      if (!allowanceReply?.accepted) this.giveUp(issuer, batch, REFUSED);
-      else if (tookMs <= WAITING_ALLOWANCE_MS) this.adopt(allowanceReply, batch);
+      const { allowanceReply } = await messenger.request(issuer, body, GRANT_VALIDITY_MS);
+      const responseMs = clock.now() - askedAt;
+      this.responseTimeout.recordResponse(responseMs);
+      if (!allowanceReply?.accepted) this.failOverToLeader(issuer, batch, REFUSED_REASON);
+      else if (responseMs <= GRANT_VALIDITY_MS) this.applyReply(allowanceReply, batch);
     } catch (error) {
-      this.giveUp(issuer, batch, messageOf(error));
+      this.failOverToLeader(issuer, batch, messageOf(error));
     }
   }
 
-  private adopt(reply: whinyoke.IAllowanceReply, batch: readonly QueuedOperation[]): void {
+  private applyReply(reply: whinyoke.IAllowanceReply, batch: readonly QueuedOperation[]): void {
     const allowances = new Map((reply.allowances ?? []).map((item) => [item.tenant ?? '', item]));
-    const left = new Map([...allowances].map(([tenant, { granted }]) => [tenant, granted ?? 0]));
+    const remainingGrants = new Map(
+      [...allowances].map(([tenant, { granted }]) => [tenant, granted ?? 0]),
+    );
     for (const { allowance, operation } of batch) {
       const { tenant } = allowance;
-      const granted = left.get(tenant) ?? 0;
+      const granted = remainingGrants.get(tenant) ?? 0;
       if (!operation.isOpen) continue;
       if (granted > 0) {
-        left.set(tenant, granted - 1);
+        remainingGrants.set(tenant, granted - 1);
         this.counts.byIssuer++;
         operation.settle(GRANTED);
         continue;
       }
       const waitMs = allowances.get(tenant)?.retryAfterMs ?? 0;
       if (waitMs > 0) operation.settle(this.refusals.refuse(allowance, waitMs));
-      else this.passOn(allowance, operation);
+      else this.fallBackToLeader(allowance, operation);
     }
   }
 
-  private giveUp(issuer: string, batch: readonly QueuedOperation[], reason: string): void {
+  private failOverToLeader(
+    issuer: string,
+    batch: readonly QueuedOperation[],
+    reason: string,
+  ): void {
     const open = batch.filter(({ operation }) => operation.isOpen);
-    const now = this.surroundings.runtime.clock.now();
-    this.choice.passOver(issuer, now, reason === REFUSED);
-    this.surroundings.log(Events.issuerPassedOver, { issuer, reason, waiting: open.length });
-    for (const { allowance, operation } of open) this.passOn(allowance, operation);
+    const now = this.dependencies.runtime.clock.now();
+    this.selector.exclude(issuer, now, reason === REFUSED_REASON);
+    this.dependencies.log(Events.issuerPassedOver, { issuer, reason, waiting: open.length });
+    for (const { allowance, operation } of open) this.fallBackToLeader(allowance, operation);
   }
 }
 
--- a/src/appointed/tenancy/issuer_service.ts
+++ b/src/appointed/tenancy/issuer_service.ts
@@ -7,53 +7,56 @@
  * so that one written before a freeze counts for nothing after it.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
+import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
 import type { TenantAllowances } from './tenant_allowances.js';
 
 /** Most operations of one tenant that one request may ask for (a count): a check of what is decoded. Guess, not measured. */
-const MOST_WAITING = 10_000;
+const MAX_WAITING_COUNT = 10_000;
 
 const REFUSED: whinyoke.IAllowanceReply = { accepted: false };
 
 /** Service of one proxy. */
 export class IssuerService {
-  private hasLeft = false;
+  private hasStoppedIssuing = false;
 
   constructor(
-    private readonly surroundings: Pick<AllowanceSurroundings, 'runtime' | 'rules' | 'limitOf'>,
+    private readonly dependencies: Pick<
+      AllowanceClientDependencies,
+      'runtime' | 'rules' | 'limitOf'
+    >,
     private readonly allowances: TenantAllowances,
     private readonly counts: OperationCounts,
     /** Asks the leader soon for the reserves that are low. */
-    private readonly askSoon: (withinMs: number) => void,
+    private readonly scheduleRequest: (withinMs: number) => void,
   ) {}
 
   /** Refuses from now on, so that others become the issuers. */
-  leave(): void {
-    this.hasLeft = true;
+  stopIssuing(): void {
+    this.hasStoppedIssuing = true;
   }
 
   /** Answers another proxy of the zone. */
   answer(request: whinyoke.IAllowanceRequest): whinyoke.IAllowanceReply {
-    if (this.hasLeft) return REFUSED;
+    if (this.hasStoppedIssuing) return REFUSED;
     const allowances = (request.demands ?? []).flatMap((demand) => this.issue(demand));
     return { accepted: true, allowances };
   }
 
   private issue({ tenant, waiting }: whinyoke.ITenantDemand): whinyoke.ITenantAllowance[] {
-    const { runtime, rules, limitOf } = this.surroundings;
+    const { runtime, rules, limitOf } = this.dependencies;
     const name = tenant ?? '';
     const limit = limitOf(name);
     // The asker's document is newer or older: the leader decides.
     if (!limit) return [];
     const now = runtime.clock.now();
-    const count = Math.min(waiting ?? 0, MOST_WAITING);
-    const allowance = this.allowances.of(name, now);
-    allowance.note(limit, rules, now, { count, isIssuer: true });
+    const count = Math.min(waiting ?? 0, MAX_WAITING_COUNT);
+    const allowance = this.allowances.getOrCreate(name, now);
+    allowance.recordRequests(limit, rules, now, { count, isIssuer: true });
     let granted = 0;
-    while (granted < count && allowance.takeReserve(now)) granted++;
+    while (granted < count && allowance.takeFromReserve(now)) granted++;
     this.counts.issued += granted;
-    this.askSoon(allowance.gatherMs(now));
-    const retryAfterMs = granted < count ? Math.ceil(allowance.exhaustedFor(now)) : 0;
+    this.scheduleRequest(allowance.batchWindowMs(now));
+    const retryAfterMs = granted < count ? Math.ceil(allowance.exhaustedForMs(now)) : 0;
     return [{ tenant: name, granted, retryAfterMs }];
   }
 }
--- a/src/appointed/tenancy/limit_refusals.ts
+++ b/src/appointed/tenancy/limit_refusals.ts
@@ -4,22 +4,25 @@
  */
 import { Events } from '../../observability/events.js';
 import { overLimitRetryMs } from '../routing/retry_after.js';
-import type { AllowanceSurroundings, OperationCounts } from './allowance_surroundings.js';
-import type { OperationVerdict, TenantAllowance } from './tenant_allowance.js';
+import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import type { GrantResult, TenantAllowance } from './tenant_allowance.js';
 
 /** Time between two log lines for one tenant, in milliseconds: one line a second can be read. Guess, not measured. */
-const LOG_SPACING_MS = 1000;
+const LOG_INTERVAL_MS = 1000;
 
 /** Refusals of one proxy. */
 export class LimitRefusals {
   constructor(
-    private readonly surroundings: Pick<AllowanceSurroundings, 'runtime' | 'log' | 'leaderAddress'>,
+    private readonly dependencies: Pick<
+      AllowanceClientDependencies,
+      'runtime' | 'log' | 'leaderAddress'
+    >,
     private readonly counts: OperationCounts,
   ) {}
 
   /** Refuses one operation; `waitMs` is the time until the leader may grant the next one, in milliseconds. */
-  refuse(allowance: TenantAllowance, waitMs: number): OperationVerdict {
-    const { random } = this.surroundings.runtime;
+  refuse(allowance: TenantAllowance, waitMs: number): GrantResult {
+    const { random } = this.dependencies.runtime;
     this.counts.refused++;
     const retryAfterMs = overLimitRetryMs(waitMs, random.next());
     this.logRefusal(allowance, retryAfterMs);
@@ -34,12 +37,12 @@
   }
 
   private logRefusal(allowance: TenantAllowance, retryAfterMs: number): void {
-    const now = this.surroundings.runtime.clock.now();
-    if (now - allowance.refusalLoggedAt < LOG_SPACING_MS) return;
+    const now = this.dependencies.runtime.clock.now();
+    if (now - allowance.refusalLoggedAt < LOG_INTERVAL_MS) return;
     allowance.refusalLoggedAt = now;
-    this.surroundings.log(Events.tenantOverLimit, {
+    this.dependencies.log(Events.tenantOverLimit, {
       tenant: allowance.tenant,
-      leader: this.surroundings.leaderAddress(),
+      leader: this.dependencies.leaderAddress(),
       retry_after_ms: retryAfterMs,
     });
   }
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -6,8 +6,8 @@
  * Inputs: rate (operations/s), burst (operations), window (ms), overage (fraction of the limit), tolerance (operations).
  * Rule: all allowances of a tenant come out of one bucket. A part of its size lies at the leader, the rest may lie with
  * proxies as reserves. So in a window there run at most rate x window and what lay in both parts at its begin. An
- * allowance for a request that waits is used within {@link WAITING_ALLOWANCE_MS}, or given back within
- * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof, test/unit/tenancy.test.ts for drawn schedules.
+ * allowance for a request that waits is used within {@link GRANT_VALIDITY_MS}, or given back within
+ * {@link RETURN_DEADLINE_MS}: see docs/design/quota.md for the proof, test/unit/tenancy.test.ts for drawn schedules.
  */
 import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
@@ -27,32 +27,32 @@
  * A proxy drops an allowance for a waiting request that arrives later than this after it asked, in milliseconds. It is part
  * of the proof in docs/design/quota.md. Guess, not measured.
  */
-export const WAITING_ALLOWANCE_MS = 200;
+export const GRANT_VALIDITY_MS = 200;
 /**
  * An operation that did not run is given back within this time or not at all, in milliseconds. It is part of the proof in
  * docs/design/quota.md. Guess, not measured.
  */
-const GIVE_BACK_MS = 350;
+const RETURN_DEADLINE_MS = 350;
 /** How long a proxy gathers requests for reserves that are short, in milliseconds: no caller waits for them. Guess, not measured. */
-export const GATHER_MS = 150;
+export const SHORT_RESERVE_BATCH_WINDOW_MS = 150;
 /**
  * How long it gathers those for reserves that hold more than half of what is wanted, in milliseconds. With 150 twice as many
  * requests went to the leader (docs/design/issuers.md).
  */
-export const GATHER_AMPLE_MS = 600;
+export const SUFFICIENT_RESERVE_BATCH_WINDOW_MS = 600;
 /**
  * How long a proxy gathers operations that it gives back, in milliseconds: the longer, the fewer it may give back of those that
  * waited for a connection in vain, for a quarter of their objective. Guess, not measured.
  */
-export const GATHER_RETURNED_MS = 40;
+export const RETURN_BATCH_WINDOW_MS = 40;
 /** Difference of clocks that run at different speeds while a former leader goes on, in milliseconds. Guess, not measured. */
-const CLOCK_MARGIN_MS = 50;
+const CLOCK_DRIFT_MARGIN_MS = 50;
 /** A former leader may go on granting for this long beside its successor, in milliseconds: the age of its proof that it leads. */
-export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
+export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MS + CLOCK_DRIFT_MARGIN_MS;
 /**
  * A reserve that was not renewed ends after this time, in milliseconds: as long as leases on primaries. Guess, not measured.
  */
-export const RESERVE_LIFE_MS = 3000;
+export const RESERVE_LEASE_MS = 3000;
 /**
  * Fraction of the bucket that may lie with proxies. The other half lets a new leader grant for the 550 ms in which the rate
  * adds nothing for it (test/unit/tenancy.test.ts: 350 operations a second allowed, 220 used, none refused).
@@ -70,13 +70,13 @@
 /** How the bucket of a tenant is divided. */
 export interface QuotaBudget {
   /** Operations of the leader's part and of all reserves together. */
-  readonly size: number;
+  readonly capacity: number;
   /** Operations of the leader's part while reserves of former leaders are unknown, and most that a successor is left. */
-  readonly bucket: number;
+  readonly leaderCapacity: number;
   /** Operations that may lie with all proxies together as reserves. */
-  readonly reserves: number;
+  readonly reserveCapacity: number;
   /** For how long the reserves last when the tenant uses all of its rate, in milliseconds. */
-  readonly reserveMs: number;
+  readonly reserveDurationMs: number;
   /** Most of the rate that may be leased to all issuers together, in operations a second. */
   readonly leasableRate: number;
 }
@@ -85,23 +85,29 @@
 export function quotaBudget(limit: OperationLimit, rules: QuotaRules): QuotaBudget {
   const { ratePerSecond, burst } = limit;
   const perWindow = (ratePerSecond * rules.windowMs) / MILLISECONDS_PER_SECOND + burst;
-  const onTheWay = (ratePerSecond * GIVE_BACK_MS) / MILLISECONDS_PER_SECOND;
+  const inFlight = (ratePerSecond * RETURN_DEADLINE_MS) / MILLISECONDS_PER_SECOND;
   const allowedExcess = perWindow * rules.overage + rules.tolerance;
-  const headroom = Math.max(0, allowedExcess - onTheWay - ROUNDING_OPERATIONS);
-  const size = Math.floor(burst + headroom);
-  const reserves = Math.floor(size * RESERVE_FRACTION);
-  const lastsMs = (reserves / ratePerSecond) * MILLISECONDS_PER_SECOND;
-  const reserveMs = Math.min(RESERVE_LIFE_MS, lastsMs);
-  const leasableRate = reserveMs < RESERVE_LIFE_MS ? ratePerSecond * LEASABLE_FRACTION : 0;
-  return { size, bucket: size - reserves, reserves, reserveMs, leasableRate };
+  const headroom = Math.max(0, allowedExcess - inFlight - ROUNDING_OPERATIONS);
+  const capacity = Math.floor(burst + headroom);
+  const reserveCapacity = Math.floor(capacity * RESERVE_FRACTION);
+  const lastsMs = (reserveCapacity / ratePerSecond) * MILLISECONDS_PER_SECOND;
+  const reserveDurationMs = Math.min(RESERVE_LEASE_MS, lastsMs);
+  const leasableRate = reserveDurationMs < RESERVE_LEASE_MS ? ratePerSecond * LEASABLE_FRACTION : 0;
+  return {
+    capacity,
+    leaderCapacity: capacity - reserveCapacity,
+    reserveCapacity,
+    reserveDurationMs,
+    leasableRate,
+  };
 }
 
 /** Whether an operation that was counted `ageMs` milliseconds ago and did not run reaches the leader in time, if it is sent now. */
-export function arrivesInTime(ageMs: number): boolean {
-  return ageMs <= GIVE_BACK_MS - WAITING_ALLOWANCE_MS / 2;
+export function reachesLeaderInTime(ageMs: number): boolean {
+  return ageMs <= RETURN_DEADLINE_MS - GRANT_VALIDITY_MS / 2;
 }
 
 /** Whether an operation that was counted `ageMs` milliseconds ago and did not run may be gathered to be given back. */
 export function isReturnable(ageMs: number): boolean {
-  return arrivesInTime(ageMs + GATHER_RETURNED_MS);
+  return reachesLeaderInTime(ageMs + RETURN_BATCH_WINDOW_MS);
 }
--- a/src/appointed/tenancy/operation_ledger.ts
+++ b/src/appointed/tenancy/operation_ledger.ts
@@ -14,10 +14,10 @@
   LEADER_OVERLAP_MS,
   type QuotaBudget,
   type QuotaRules,
-  RESERVE_LIFE_MS,
+  RESERVE_LEASE_MS,
   quotaBudget,
 } from './operation_budget.js';
-import { loweredReserve, reviewedReserve } from './successor_reserve.js';
+import { loweredReserve, adjustedReserve } from './successor_reserve.js';
 import { TenantAccount } from './tenant_account.js';
 import type { OperationLimit } from './tenant.js';
 
@@ -63,17 +63,17 @@
 export type SuccessorReserveReader = (tenant: string) => number | undefined;
 
 /** Fraction of the leader's bucket that proxies' reserves leave for requests that wait. Guess, not measured. */
-const KEPT_FRACTION = 0.5;
+const KEPT_FOR_WAITING_FRACTION = 0.5;
 
 /** Ledger of one leader. */
 export class OperationLedger {
   private readonly accounts = new Map<string, TenantAccount>();
-  private begunAt = 0;
+  private leadershipBeganAt = 0;
   /** From when on the rate adds to the buckets. */
-  private addsFrom = 0;
+  private refillsFrom = 0;
   /** Whether former leaders may have granted reserves that this one does not know. */
   private hasUnknownReserves = false;
-  private readonly wantedChanges = new Map<string, number>();
+  private readonly pendingReserveChanges = new Map<string, number>();
 
   constructor(
     private readonly rules: QuotaRules,
@@ -84,17 +84,17 @@
    * Begins a leadership. The successor's reserve of a tenant is read with the first answer for it; all that was committed
    * before must be applied then.
    */
-  begin(now: number): void {
+  beginLeadership(now: number): void {
     this.accounts.clear();
-    this.wantedChanges.clear();
-    this.begunAt = now;
+    this.pendingReserveChanges.clear();
+    this.leadershipBeganAt = now;
     // A former leader may go on for a moment, with what it has above the reserve and what the rate brings meanwhile.
-    this.addsFrom = now + LEADER_OVERLAP_MS;
+    this.refillsFrom = now + LEADER_OVERLAP_MS;
     this.hasUnknownReserves = true;
   }
 
   /** All reserves of former leaders are known: each run that may hold some has reported it, or has ended. */
-  noteAllKnown(): void {
+  recordAllReservesKnown(): void {
     this.hasUnknownReserves = false;
   }
 
@@ -102,10 +102,10 @@
    * Only operations that this leader granted ran since `since`: all proxies have started after that, and none was granted anything by
    * another leader. So the rate adds from then on.
    */
-  noteOnlyOwnSince(since: number): void {
-    const gainedMs = Math.max(0, this.addsFrom - since);
-    this.addsFrom -= gainedMs;
-    for (const account of this.accounts.values()) account.refillFor(gainedMs);
+  recordOnlyOwnGrantsSince(since: number): void {
+    const gainedMs = Math.max(0, this.refillsFrom - since);
+    this.refillsFrom -= gainedMs;
+    for (const account of this.accounts.values()) account.extendRefill(gainedMs);
   }
 
   /** Whether a demand has to wait until the successor's reserve of its tenant is lower. */
@@ -116,21 +116,24 @@
     now: number,
   ): boolean {
     const budget = quotaBudget(limit, this.rules);
-    const account = this.refilled(tenant, limit, budget, now);
+    const account = this.refilledAccount(tenant, limit, budget, now);
     if (account.successorReserve === 0 || account.free >= waiting) return false;
-    this.wantedChanges.set(tenant, loweredReserve(account, waiting, budget.bucket));
+    this.pendingReserveChanges.set(tenant, loweredReserve(account, waiting, budget.leaderCapacity));
     return true;
   }
 
   /** Successors' reserves that the log should hold, since the last call. Those that rise are in force from now on. */
   takeSuccessorReserveChanges(): readonly SuccessorReserveChange[] {
-    const changes = [...this.wantedChanges].map(([tenant, operations]) => ({ tenant, operations }));
-    this.wantedChanges.clear();
+    const changes = [...this.pendingReserveChanges].map(([tenant, operations]) => ({
+      tenant,
+      operations,
+    }));
+    this.pendingReserveChanges.clear();
     return changes;
   }
 
   /** The log holds these reserves. */
-  noteCommitted(changes: readonly SuccessorReserveChange[]): void {
+  recordCommitted(changes: readonly SuccessorReserveChange[]): void {
     for (const { tenant, operations } of changes) {
       this.accounts.get(tenant)?.setSuccessorReserve(operations);
     }
@@ -138,22 +141,22 @@
 
   /** Answers one run of a proxy for one tenant. */
   answer(
-    run: string,
+    proxyIncarnation: string,
     tenant: string,
     limit: OperationLimit,
     demand: AllowanceDemand,
     now: number,
   ): Allowance {
     const budget = quotaBudget(limit, this.rules);
-    const account = this.refilled(tenant, limit, budget, now);
-    account.add(demand.returned, this.mostAtLeader(account, budget, now));
+    const account = this.refilledAccount(tenant, limit, budget, now);
+    account.add(demand.returned, this.maxAtLeader(account, budget, now));
     const grant = this.grant(account, demand.waiting);
-    const added = this.addReserve(account, run, demand, budget, now);
-    const rate = this.leaseRate(account, run, demand, budget, now);
-    const most = this.mostHeld(account, run, demand, added, rate, budget, now);
-    account.hold(run, { count: most, rate }, now);
-    account.setRate(this.ownRate(account, limit, budget, now));
-    this.reviewSuccessorReserve(tenant, account, budget);
+    const added = this.addReserve(account, proxyIncarnation, demand, budget, now);
+    const rate = this.leaseRate(account, proxyIncarnation, demand, budget, now);
+    const most = this.maxGranted(account, proxyIncarnation, demand, added, rate, budget, now);
+    account.recordReserve(proxyIncarnation, { count: most, rate }, now);
+    account.setRate(this.unleasedRate(account, limit, budget, now));
+    this.adjustSuccessorReserve(tenant, account, budget);
     return { ...grant, added, rate, most };
   }
 
@@ -163,7 +166,7 @@
    */
   answerWaiting(tenant: string, limit: OperationLimit, waiting: number, now: number): Allowance {
     const budget = quotaBudget(limit, this.rules);
-    const account = this.refilled(tenant, limit, budget, now);
+    const account = this.refilledAccount(tenant, limit, budget, now);
     return { ...this.grant(account, waiting), added: 0, rate: 0, most: 0 };
   }
 
@@ -171,13 +174,13 @@
     account: TenantAccount,
     waiting: number,
   ): Pick<Allowance, 'granted' | 'retryAfterMs'> {
-    const granted = account.take(waiting);
+    const granted = account.withdraw(waiting);
     const isShort = granted < waiting;
-    const retryAfterMs = isShort ? Math.ceil(account.nextAfter()) : 0;
+    const retryAfterMs = isShort ? Math.ceil(account.nextOperationAfterMs()) : 0;
     return { granted, retryAfterMs };
   }
 
-  private refilled(
+  private refilledAccount(
     tenant: string,
     limit: OperationLimit,
     budget: QuotaBudget,
@@ -188,41 +191,47 @@
       account = this.openAccount(tenant, limit, budget);
       this.accounts.set(tenant, account);
     }
-    account.refill(this.mostAtLeader(account, budget, now), now);
-    account.setRate(this.ownRate(account, limit, budget, now));
+    account.refill(this.maxAtLeader(account, budget, now), now);
+    account.setRate(this.unleasedRate(account, limit, budget, now));
     return account;
   }
 
   /** The part of the rate that is not leased, in operations a second; no more than that while leases are unknown. */
-  private ownRate(
+  private unleasedRate(
     account: TenantAccount,
     { ratePerSecond }: OperationLimit,
     { leasableRate }: QuotaBudget,
     now: number,
   ): number {
     if (!this.knowsAllReserves(now)) return ratePerSecond - leasableRate;
-    return Math.max(0, ratePerSecond - account.heldBeside(undefined, now).rate);
+    return Math.max(0, ratePerSecond - account.grantedExcept(undefined, now).rate);
   }
 
   /** Once all reserves are known, the leader's part may grow into what no proxy holds. */
-  private mostAtLeader(account: TenantAccount, { size, bucket }: QuotaBudget, now: number): number {
-    return this.knowsAllReserves(now) ? size - account.heldBeside(undefined, now).count : bucket;
+  private maxAtLeader(
+    account: TenantAccount,
+    { capacity, leaderCapacity }: QuotaBudget,
+    now: number,
+  ): number {
+    return this.knowsAllReserves(now)
+      ? capacity - account.grantedExcept(undefined, now).count
+      : leaderCapacity;
   }
 
   private knowsAllReserves(now: number): boolean {
-    const unknownUntil = this.begunAt + LEADER_OVERLAP_MS + RESERVE_LIFE_MS;
+    const unknownUntil = this.leadershipBeganAt + LEADER_OVERLAP_MS + RESERVE_LEASE_MS;
     return !this.hasUnknownReserves || now >= unknownUntil;
   }
 
   private openAccount(
     tenant: string,
     { ratePerSecond }: OperationLimit,
-    { bucket, leasableRate }: QuotaBudget,
+    { leaderCapacity, leasableRate }: QuotaBudget,
   ): TenantAccount {
     // Nothing was ever granted to a tenant without a successor's reserve, so its bucket is full; but the log must hold one
     // before the first grant.
-    const reserve = Math.min(this.committedReserve(tenant) ?? Infinity, bucket);
-    return new TenantAccount(reserve, this.addsFrom, reserve, ratePerSecond - leasableRate);
+    const reserve = Math.min(this.committedReserve(tenant) ?? Infinity, leaderCapacity);
+    return new TenantAccount(reserve, this.refillsFrom, reserve, ratePerSecond - leasableRate);
   }
 
   /**
@@ -231,26 +240,29 @@
    */
   private addReserve(
     account: TenantAccount,
-    run: string,
+    proxyIncarnation: string,
     { held, wantedReserve }: AllowanceDemand,
-    { bucket, reserves }: QuotaBudget,
+    { leaderCapacity, reserveCapacity }: QuotaBudget,
     now: number,
   ): number {
     if (!this.knowsAllReserves(now)) return 0;
-    const most = reserves - account.heldBeside(run, now).count - held;
-    return account.take(Math.min(wantedReserve - held, most), bucket * KEPT_FRACTION);
+    const most = reserveCapacity - account.grantedExcept(proxyIncarnation, now).count - held;
+    return account.withdraw(
+      Math.min(wantedReserve - held, most),
+      leaderCapacity * KEPT_FOR_WAITING_FRACTION,
+    );
   }
 
   /** What a run has leased is never taken away before its end; more is leased only once all leases are known. */
   private leaseRate(
     account: TenantAccount,
-    run: string,
+    proxyIncarnation: string,
     { heldRate = 0, wantedRate = 0 }: AllowanceDemand,
     { leasableRate }: QuotaBudget,
     now: number,
   ): number {
     if (!this.knowsAllReserves(now)) return heldRate;
-    const most = leasableRate - account.heldBeside(run, now).rate;
+    const most = leasableRate - account.grantedExcept(proxyIncarnation, now).rate;
     return Math.max(heldRate, Math.min(wantedRate, most));
   }
 
@@ -258,31 +270,34 @@
    * Operations up to which a run's reserve counts. A leased rate that finds no room in the reserve is lost, so there is room
    * beside what the leader has left, also where that is nothing.
    */
-  private mostHeld(
+  private maxGranted(
     account: TenantAccount,
-    run: string,
+    proxyIncarnation: string,
     demand: AllowanceDemand,
     added: number,
     rate: number,
-    { size, reserves }: QuotaBudget,
+    { capacity, reserveCapacity }: QuotaBudget,
     now: number,
   ): number {
-    const least = Math.max(demand.held + added, demand.heldMost ?? 0);
-    if (rate === 0 || !this.knowsAllReserves(now)) return least;
-    const { count } = account.heldBeside(run, now);
-    const room = Math.min(reserves - count, Math.floor(size - count - account.operations));
-    return Math.max(least, Math.min(demand.wantedReserve, room));
+    const minGranted = Math.max(demand.held + added, demand.heldMost ?? 0);
+    if (rate === 0 || !this.knowsAllReserves(now)) return minGranted;
+    const { count } = account.grantedExcept(proxyIncarnation, now);
+    const room = Math.min(
+      reserveCapacity - count,
+      Math.floor(capacity - count - account.operations),
+    );
+    return Math.max(minGranted, Math.min(demand.wantedReserve, room));
   }
 
   /** A higher successor's reserve is in force at once, a lower one when it is committed. */
-  private reviewSuccessorReserve(
+  private adjustSuccessorReserve(
     tenant: string,
     account: TenantAccount,
-    { bucket }: QuotaBudget,
+    { leaderCapacity }: QuotaBudget,
   ): void {
-    const wanted = reviewedReserve(account, bucket);
+    const wanted = adjustedReserve(account, leaderCapacity);
     if (wanted === undefined) return;
     if (wanted > account.successorReserve) account.setSuccessorReserve(wanted);
-    this.wantedChanges.set(tenant, wanted);
+    this.pendingReserveChanges.set(tenant, wanted);
   }
 }
--- a/src/appointed/tenancy/tenant.ts
+++ b/src/appointed/tenancy/tenant.ts
@@ -19,11 +19,11 @@
   /** Undefined where the tenant may run any number. */
   readonly limit: OperationLimit | undefined;
   /** Regions to which its requests are bound; undefined where they may be served anywhere. */
-  readonly homes?: ReadonlySet<string> | undefined;
+  readonly allowedRegions?: ReadonlySet<string> | undefined;
 }
 
 /** A tenant with the credentials that it holds. */
-export interface TenantGrant {
+export interface TenantWithCredentials {
   readonly tenant: Tenant;
   readonly credentials: readonly string[];
 }
@@ -37,8 +37,8 @@
   readonly #tenantByName = new Map<string, Tenant>();
 
   /** @throws InvalidDocumentError when two tenants hold one credential or have one name; names no credential */
-  constructor(grants: readonly TenantGrant[]) {
-    for (const { tenant, credentials } of grants) {
+  constructor(tenants: readonly TenantWithCredentials[]) {
+    for (const { tenant, credentials } of tenants) {
       if (this.#tenantByName.has(tenant.name)) {
         throw new InvalidDocumentError(`two tenants are named ${tenant.name}`);
       }
@@ -48,12 +48,12 @@
   }
 
   /** Tenant that holds a credential. */
-  holderOf(credential: string): Tenant | undefined {
+  findByCredential(credential: string): Tenant | undefined {
     return this.#tenantByCredential.get(credential);
   }
 
   /** Tenant of that name. */
-  named(name: string): Tenant | undefined {
+  findByName(name: string): Tenant | undefined {
     return this.#tenantByName.get(name);
   }
 
--- a/src/appointed/tenancy/tenant_account.ts
+++ b/src/appointed/tenancy/tenant_account.ts
@@ -4,43 +4,43 @@
  *
  * Inputs: rate (operations/s), demands (operations), the leader's clock (ms).
  * Rule: the rate adds operations up to the size of the bucket; whole operations are taken out, and none of the successor's
- * reserve. A proxy's reserve counts until {@link RESERVE_LIFE_MS} after the leader last renewed it.
+ * reserve. A proxy's reserve counts until {@link RESERVE_LEASE_MS} after the leader last renewed it.
  */
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
-import { RESERVE_LIFE_MS } from './operation_budget.js';
+import { RESERVE_LEASE_MS } from './operation_budget.js';
 
 /** What one run of a proxy may hold. */
-interface HeldReserve {
+interface GrantedReserve {
   /** Most operations in its reserve. */
   readonly count: number;
   /** Rate that fills the reserve up to that again, in operations a second. */
   readonly rate: number;
 }
 
-interface RecordedReserve extends HeldReserve {
+interface ExpiringReserve extends GrantedReserve {
   readonly until: number;
 }
 
 /** Account of one tenant. Times are those of the leader's clock, in milliseconds. */
 export class TenantAccount {
-  private readonly reserves = new Map<string, RecordedReserve>();
+  private readonly reserves = new Map<string, ExpiringReserve>();
 
   /**
    * @param level - operations in the bucket
-   * @param filledAt - from when on the rate adds to them
-   * @param reserve - operations that may not be granted, since a successor will grant them
+   * @param refilledAt - from when on the rate adds to them
+   * @param reservedForSuccessor - operations that may not be granted, since a successor will grant them
    * @param rate - operations that are added in a second
    */
   constructor(
     private level: number,
-    private filledAt: number,
-    private reserve: number,
+    private refilledAt: number,
+    private reservedForSuccessor: number,
     private rate: number,
   ) {}
 
   /** Operations that must stay in the bucket for a successor. */
   get successorReserve(): number {
-    return this.reserve;
+    return this.reservedForSuccessor;
   }
 
   /** Operations in the bucket. */
@@ -50,12 +50,12 @@
 
   /** Operations that may be granted. */
   get free(): number {
-    return this.level - this.reserve;
+    return this.level - this.reservedForSuccessor;
   }
 
   /** Changes the successor's reserve; a lower one only once it is committed. */
   setSuccessorReserve(operations: number): void {
-    this.reserve = operations;
+    this.reservedForSuccessor = operations;
   }
 
   /** Changes the rate that adds to the bucket from the last refill on. */
@@ -65,14 +65,14 @@
 
   /** Adds what the rate brought since the last call, up to `most` operations. */
   refill(most: number, now: number): void {
-    const earned = (this.rate * Math.max(0, now - this.filledAt)) / MILLISECONDS_PER_SECOND;
+    const earned = (this.rate * Math.max(0, now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
     this.add(earned, most);
-    this.filledAt = Math.max(this.filledAt, now);
+    this.refilledAt = Math.max(this.refilledAt, now);
   }
 
   /** Has the next refill add for so many milliseconds more. */
-  refillFor(moreMs: number): void {
-    this.filledAt -= moreMs;
+  extendRefill(moreMs: number): void {
+    this.refilledAt -= moreMs;
   }
 
   /** Puts operations back that were taken and never ran, up to `most` in the bucket. */
@@ -81,34 +81,35 @@
   }
 
   /** Takes up to `wanted` whole operations, and leaves `kept` in the bucket. */
-  take(wanted: number, kept = 0): number {
-    const most = Math.floor(this.level - Math.max(kept, this.reserve));
+  withdraw(wanted: number, kept = 0): number {
+    const most = Math.floor(this.level - Math.max(kept, this.reservedForSuccessor));
     const taken = Math.max(0, Math.min(wanted, most));
     this.level -= taken;
     return taken;
   }
 
   /** Time until the rate brings a whole operation that may be granted, in milliseconds. */
-  nextAfter(): number {
+  nextOperationAfterMs(): number {
     return ((1 - this.free) / this.rate) * MILLISECONDS_PER_SECOND;
   }
 
   /** What all runs of proxies may hold together, but for `run`. */
-  heldBeside(run: string | undefined, now: number): HeldReserve {
+  grantedExcept(excludedIncarnation: string | undefined, now: number): GrantedReserve {
     let [count, rate] = [0, 0];
-    for (const [holder, held] of this.reserves) {
-      if (held.until <= now) this.reserves.delete(holder);
-      if (held.until <= now || holder === run) continue;
-      count += held.count;
-      rate += held.rate;
+    for (const [incarnation, granted] of this.reserves) {
+      if (granted.until <= now) this.reserves.delete(incarnation);
+      if (granted.until <= now || incarnation === excludedIncarnation) continue;
+      count += granted.count;
+      rate += granted.rate;
     }
     return { count, rate };
   }
 
   /** Notes what a run may hold from now on. */
-  hold(run: string, held: HeldReserve, now: number): void {
-    const until = now + RESERVE_LIFE_MS;
-    if (held.count > 0 || held.rate > 0) this.reserves.set(run, { ...held, until });
-    else this.reserves.delete(run);
+  recordReserve(proxyIncarnation: string, granted: GrantedReserve, now: number): void {
+    const until = now + RESERVE_LEASE_MS;
+    if (granted.count > 0 || granted.rate > 0)
+      this.reserves.set(proxyIncarnation, { ...granted, until });
+    else this.reserves.delete(proxyIncarnation);
   }
 }
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -10,18 +10,18 @@
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import type { RefusalCause } from '../routing/refusal_cause.js';
 import {
-  GATHER_AMPLE_MS,
-  GATHER_MS,
+  SUFFICIENT_RESERVE_BATCH_WINDOW_MS,
+  SHORT_RESERVE_BATCH_WINDOW_MS,
   type QuotaRules,
-  RESERVE_LIFE_MS,
-  arrivesInTime,
+  RESERVE_LEASE_MS,
+  reachesLeaderInTime,
   quotaBudget,
 } from './operation_budget.js';
 import type { Allowance, AllowanceDemand } from './operation_ledger.js';
 import type { OperationLimit } from './tenant.js';
 
 /** How a request for an operation ended. */
-export type OperationVerdict =
+export type GrantResult =
   | { readonly isGranted: true }
   /** Nothing may run; the caller should come back later. */
   | { readonly isGranted: false; readonly cause: RefusalCause };
@@ -31,30 +31,30 @@
   /** Whether it still waits. */
   readonly isOpen: boolean;
   /** Ends the wait; a second end changes nothing. */
-  settle(verdict: OperationVerdict): void;
+  settle(result: GrantResult): void;
 }
 
 /** Until when a reserve, and a leased rate, may be used. */
 export interface ReserveLease {
   /** End, on the clock of the proxy that sent the request at `askedAt` by which it was renewed. */
-  endsAt(askedAt: number): number;
+  expiresAt(askedAt: number): number;
 }
 
 /** What the leader adds to a reserve, and how it is filled up again. */
 type LeasedReserve = Pick<Allowance, 'added' | 'rate' | 'most'>;
 
 /** Operations that are asked for at one time. */
-interface NotedOperations {
+interface RequestedOperations {
   readonly count: number;
   /** Whether this proxy is the issuer of the tenant, which holds the reserve of its zone. */
   readonly isIssuer: boolean;
 }
 
 /** The operation may run. */
-export const GRANTED: OperationVerdict = { isGranted: true };
+export const GRANTED: GrantResult = { isGranted: true };
 
 /** Time over which the rate of operations is smoothed, in milliseconds. Guess, not measured. */
-const RATE_WINDOW_MS = 2000;
+const RATE_SMOOTHING_MS = 2000;
 /**
  * A reserve is renewed when less than this fraction of its life is left: it should outlast a leader by more than two seconds. With 0.5
  * as many requests were sent (docs/design/issuers.md).
@@ -64,16 +64,16 @@
  * A reserve is filled up when at most this fraction of the wanted operations is left. Of 0.5 and 0.75 the second refuses less without a
  * leader, for a tenth more requests (docs/design/issuers.md).
  */
-const LOW_FRACTION = 0.75;
+const LOW_RESERVE_FRACTION = 0.75;
 /** A reserve is short with at most this fraction of the wanted operations. Guess, not measured. */
-const SHORT_FRACTION = 0.5;
+const SHORT_RESERVE_FRACTION = 0.5;
 /** Below so many expected operations an issuer keeps nothing in reserve. Guess, not measured. */
-const LEAST_EXPECTED = 0.3;
+const MIN_EXPECTED_AT_ISSUER_COUNT = 0.3;
 /**
  * Below so many expected operations a proxy that is not the issuer keeps nothing in reserve: the reserves of many proxies
  * would leave too little to the issuers. Guess, not measured.
  */
-const LEAST_EXPECTED_BESIDE_ISSUER = 4;
+const MIN_EXPECTED_AT_OTHERS_COUNT = 4;
 /**
  * Fraction of the rate that is sure to come which an issuer has leased: a leased rate that finds the reserve full is lost to the
  * other zones. Guess, not measured.
@@ -84,110 +84,110 @@
  * expected. The smoothed rate of random arrivals has the variance rate / (2 x window), with the window of 2 s a quarter of the
  * rate; two of those are its square root.
  */
-const DEVIATIONS = 1;
+const DEVIATION_COUNT = 1;
 /** An issuer's reserve should last so many times longer, since few tenants use all of their rate. Guess, not measured. */
 const ISSUER_HORIZON_FACTOR = 1.5;
-const RESERVE_LEASE: ReserveLease = { endsAt: (askedAt) => askedAt + RESERVE_LIFE_MS };
-const ONE_AT_ISSUER: NotedOperations = { count: 1, isIssuer: true };
+const DEFAULT_RESERVE_LEASE: ReserveLease = { expiresAt: (askedAt) => askedAt + RESERVE_LEASE_MS };
+const ONE_OPERATION_AT_ISSUER: RequestedOperations = { count: 1, isIssuer: true };
 
 /** Allowance of one tenant at one proxy. */
 export class TenantAllowance {
   /** Requests that wait for the leader. */
   readonly waiting = new Set<WaitingOperation>();
   private reserve = 0;
-  private reserveUntil = -Infinity;
+  private reserveExpiresAt = -Infinity;
   /** Most that the reserve may hold, as the leader counts it. */
-  private reserveMost = 0;
+  private maxReserve = 0;
   /** Rate that fills the reserve up to that again until it ends, in operations a second. */
   private leasedRate = 0;
-  private filledAt = 0;
+  private refilledAt = 0;
   /** Most of the tenant's rate that may be leased to all. */
   private leasableRate = 0;
   private operationsPerSecond = 0;
-  private notedAt = 0;
+  private rateUpdatedAt = 0;
   /** When a log line last reported that the tenant is over its limit. */
   refusalLoggedAt = -Infinity;
   /** Until when the leader has nothing for this tenant. */
   private exhaustedUntil = -Infinity;
   /** Most that all proxies together may hold. */
-  private mostHeld = 0;
+  private maxFleetReserve = 0;
   /** For how long a reserve should last, in milliseconds. */
   private horizonMs = 0;
   private isIssuer = true;
   /** Operations that were counted, or held, and will not run; the leader takes them back. */
   private unused = 0;
   /** When the oldest of them was counted. */
-  private unusedSince = Infinity;
+  private oldestUnusedAt = Infinity;
 
   constructor(
     /** Name of the tenant. */
     readonly tenant: string,
     /** When an operation was asked for last. */
-    public usedAt: number,
-    private readonly lease: ReserveLease = RESERVE_LEASE,
+    public lastRequestedAt: number,
+    private readonly lease: ReserveLease = DEFAULT_RESERVE_LEASE,
   ) {}
 
   /** Notes operations that are asked for, with the limit in force. */
-  note(
+  recordRequests(
     limit: OperationLimit,
     rules: QuotaRules,
     now: number,
-    { count, isIssuer }: NotedOperations = ONE_AT_ISSUER,
+    { count, isIssuer }: RequestedOperations = ONE_OPERATION_AT_ISSUER,
   ): void {
-    this.usedAt = now;
+    this.lastRequestedAt = now;
     this.isIssuer = isIssuer;
-    this.decay(now);
-    this.operationsPerSecond += (count * MILLISECONDS_PER_SECOND) / RATE_WINDOW_MS;
-    const { reserves, reserveMs, leasableRate } = quotaBudget(limit, rules);
+    this.decayRate(now);
+    this.operationsPerSecond += (count * MILLISECONDS_PER_SECOND) / RATE_SMOOTHING_MS;
+    const { reserveCapacity, reserveDurationMs, leasableRate } = quotaBudget(limit, rules);
     this.leasableRate = leasableRate;
-    this.mostHeld = reserves;
+    this.maxFleetReserve = reserveCapacity;
     const factor = isIssuer ? ISSUER_HORIZON_FACTOR : 1;
-    this.horizonMs = Math.min(RESERVE_LIFE_MS, reserveMs * factor);
+    this.horizonMs = Math.min(RESERVE_LEASE_MS, reserveDurationMs * factor);
   }
 
   /** Takes one operation out of the reserve; false when there is none. */
-  takeReserve(now: number): boolean {
-    if (this.heldReserve(now) < 1) return false;
+  takeFromReserve(now: number): boolean {
+    if (this.grantedReserve(now) < 1) return false;
     this.reserve--;
     return true;
   }
 
   /** Whether a reserve is held that has not ended. */
-  holdsReserve(now: number): boolean {
-    return this.heldReserve(now) > 0 || this.heldRate(now) > 0;
+  hasReserve(now: number): boolean {
+    return this.grantedReserve(now) > 0 || this.heldRate(now) > 0;
   }
 
   /** Notes an operation that did not run. It can't be used here, since the leader counts it as used. */
-  giveBack(countedAt: number): void {
+  recordUnused(countedAt: number): void {
     this.unused++;
-    this.unusedSince = Math.min(this.unusedSince, countedAt);
+    this.oldestUnusedAt = Math.min(this.oldestUnusedAt, countedAt);
   }
 
   /** Milliseconds until the leader may have something again. */
-  exhaustedFor(now: number): number {
+  exhaustedForMs(now: number): number {
     return Math.max(0, this.exhaustedUntil - now);
   }
 
   /** Whether the leader should be asked, also when nothing waits. */
-  wantsReserve(now: number): boolean {
+  shouldRequestReserve(now: number): boolean {
     const wanted = this.wantedReserve(now);
     // What nobody expects to use here would be missing elsewhere, and would be lost when it ends.
-    if (this.unused > 0 || this.heldReserve(now) > wanted) return true;
-    if (wanted === 0 || this.exhaustedFor(now) > 0) return false;
-    const isLow = this.heldReserve(now) <= wanted * LOW_FRACTION;
-    return isLow || this.reserveUntil - now < RESERVE_LIFE_MS * RENEWAL_FRACTION;
+    if (this.unused > 0 || this.grantedReserve(now) > wanted) return true;
+    if (wanted === 0 || this.exhaustedForMs(now) > 0) return false;
+    const isLow = this.grantedReserve(now) <= wanted * LOW_RESERVE_FRACTION;
+    return isLow || this.reserveExpiresAt - now < RESERVE_LEASE_MS * RENEWAL_FRACTION;
   }
 
   /** How long a request for the reserve may be gathered with others, in milliseconds. */
-  gatherMs(now: number): number {
-    const isShort = this.heldReserve(now) <= this.wantedReserve(now) * SHORT_FRACTION;
-    return isShort ? GATHER_MS : GATHER_AMPLE_MS;
+  batchWindowMs(now: number): number {
+    const isShort = this.grantedReserve(now) <= this.wantedReserve(now) * SHORT_RESERVE_FRACTION;
+    return isShort ? SHORT_RESERVE_BATCH_WINDOW_MS : SUFFICIENT_RESERVE_BATCH_WINDOW_MS;
   }
 
   /** Content of a request that is sent now. What it gives up may not be used any more, whether the request arrives or not. */
-  ask(now: number): AllowanceDemand {
+  prepareDemand(now: number): AllowanceDemand {
     const wantedReserve = this.wantedReserve(now);
-    const available = this.heldReserve(now);
+    const available = this.grantedReserve(now);
     const held = Math.min(Math.ceil(available), wantedReserve);
     const returned = this.takeUnused(now) + Math.max(0, Math.floor(available - held));
     this.reserve = Math.min(available, held);
@@ -195,15 +195,14 @@
     const heldRate = Math.min(this.heldRate(now), wantedRate);
     this.leasedRate = heldRate;
     // Without a leased rate the reserve only falls.
-    const heldMost =
-      heldRate > 0 ? Math.max(held, Math.min(this.reserveMost, wantedReserve)) : held;
-    this.reserveMost = heldMost;
+    const heldMost = heldRate > 0 ? Math.max(held, Math.min(this.maxReserve, wantedReserve)) : held;
+    this.maxReserve = heldMost;
     const { size: waiting } = this.waiting;
     return { waiting, returned, held, wantedReserve, heldRate, wantedRate, heldMost };
   }
 
   /** Lets waiting requests run; returns how many. */
-  settle(granted: number): number {
+  grantWaiting(granted: number): number {
     // What is left over is lost: those who waited have gone, or were served by the answer to another request.
     const served = [...this.waiting].slice(0, granted);
     for (const operation of served) operation.settle(GRANTED);
@@ -217,63 +216,65 @@
 
   /** Adds to the reserve, and renews it, after a request that was sent at `askedAt`. */
   addReserve({ added, rate, most }: LeasedReserve, askedAt: number, now: number): void {
-    this.reserve = this.heldReserve(now) + added;
+    this.reserve = this.grantedReserve(now) + added;
     // A leader of an earlier version leases nothing, and tells no most.
-    this.reserveMost = Math.max(most, Math.ceil(this.reserve));
+    this.maxReserve = Math.max(most, Math.ceil(this.reserve));
     this.leasedRate = rate;
-    this.reserveUntil = this.lease.endsAt(askedAt);
+    this.reserveExpiresAt = this.lease.expiresAt(askedAt);
   }
 
   /** Renews the reserve without adding to it: another leader may count on what this proxy told it. */
   renewReserve(askedAt: number, now: number): void {
-    const { reserveMost: most } = this;
+    const { maxReserve: most } = this;
     this.addReserve({ added: 0, rate: this.heldRate(now), most }, askedAt, now);
   }
 
   /** Notes that the leader has nothing for this tenant until then. */
-  noteExhausted(until: number): void {
+  recordExhausted(until: number): void {
     this.exhaustedUntil = until;
   }
 
   /** Operations to give back; none where one would come back later than the bound allows for. */
   private takeUnused(now: number): number {
-    const isInTime = arrivesInTime(now - this.unusedSince);
+    const isInTime = reachesLeaderInTime(now - this.oldestUnusedAt);
     const { unused } = this;
     this.unused = 0;
-    this.unusedSince = Infinity;
+    this.oldestUnusedAt = Infinity;
     return isInTime ? unused : 0;
   }
 
   /** The reserve, with what the leased rate brought. */
-  private heldReserve(now: number): number {
-    const earned = (this.leasedRate * (now - this.filledAt)) / MILLISECONDS_PER_SECOND;
-    this.filledAt = now;
-    if (now >= this.reserveUntil) this.reserveMost = 0;
-    this.reserve = Math.min(this.reserveMost, this.reserve + earned);
+  private grantedReserve(now: number): number {
+    const earned = (this.leasedRate * (now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
+    this.refilledAt = now;
+    if (now >= this.reserveExpiresAt) this.maxReserve = 0;
+    this.reserve = Math.min(this.maxReserve, this.reserve + earned);
     return this.reserve;
   }
 
   private heldRate(now: number): number {
-    return now < this.reserveUntil ? this.leasedRate : 0;
+    return now < this.reserveExpiresAt ? this.leasedRate : 0;
   }
 
   private get wantedRate(): number {
     if (!this.isIssuer) return 0;
     const { operationsPerSecond } = this;
-    const sure = operationsPerSecond - DEVIATIONS * Math.sqrt(operationsPerSecond);
-    return Math.min(this.leasableRate, Math.max(0, sure) * LEASED_FRACTION);
+    const lowerBoundRate = operationsPerSecond - DEVIATION_COUNT * Math.sqrt(operationsPerSecond);
+    return Math.min(this.leasableRate, Math.max(0, lowerBoundRate) * LEASED_FRACTION);
   }
 
   private wantedReserve(now: number): number {
-    this.decay(now);
+    this.decayRate(now);
     const expected = (this.operationsPerSecond * this.horizonMs) / MILLISECONDS_PER_SECOND;
-    const least = this.isIssuer ? LEAST_EXPECTED : LEAST_EXPECTED_BESIDE_ISSUER;
-    const more = this.isIssuer ? DEVIATIONS * Math.sqrt(expected) : 0;
-    return expected < least ? 0 : Math.min(this.mostHeld, Math.ceil(expected + more));
+    const minExpected = this.isIssuer ? MIN_EXPECTED_AT_ISSUER_COUNT : MIN_EXPECTED_AT_OTHERS_COUNT;
+    const margin = this.isIssuer ? DEVIATION_COUNT * Math.sqrt(expected) : 0;
+    return expected < minExpected
+      ? 0
+      : Math.min(this.maxFleetReserve, Math.ceil(expected + margin));
   }
 
-  private decay(now: number): void {
-    this.operationsPerSecond *= Math.exp(-(now - this.notedAt) / RATE_WINDOW_MS);
-    this.notedAt = now;
+  private decayRate(now: number): void {
+    this.operationsPerSecond *= Math.exp(-(now - this.rateUpdatedAt) / RATE_SMOOTHING_MS);
+    this.rateUpdatedAt = now;
   }
 }
--- a/src/appointed/tenancy/tenant_allowances.ts
+++ b/src/appointed/tenancy/tenant_allowances.ts
@@ -5,7 +5,7 @@
  * Tenants that nobody asked for are forgotten after this time, in milliseconds: longer than any reserve lasts. Guess, not
  * measured.
  */
-const KEPT_MS = 10_000;
+const IDLE_RETENTION_MS = 10_000;
 
 /** Allowances of one proxy. */
 export class TenantAllowances {
@@ -14,7 +14,7 @@
   private readonly byTenant = new Map<string, TenantAllowance>();
 
   /** Allowance of a tenant; a new one where the tenant was not used lately. */
-  of(tenant: string, now: number): TenantAllowance {
+  getOrCreate(tenant: string, now: number): TenantAllowance {
     let allowance = this.byTenant.get(tenant);
     if (!allowance) {
       allowance = new TenantAllowance(tenant, now, this.lease);
@@ -29,12 +29,12 @@
   }
 
   /** Those that the leader should be asked for; all that hold reserves too, where it has to know everything. */
-  toAsk(now: number, isComplete: boolean): readonly TenantAllowance[] {
+  needingRequest(now: number, isComplete: boolean): readonly TenantAllowance[] {
     return [...this.byTenant.values()].filter(
       (allowance) =>
         allowance.waiting.size > 0 ||
-        allowance.wantsReserve(now) ||
-        (isComplete && allowance.holdsReserve(now)),
+        allowance.shouldRequestReserve(now) ||
+        (isComplete && allowance.hasReserve(now)),
     );
   }
 
@@ -49,9 +49,9 @@
   }
 
   /** Drops those that nobody asked for lately. */
-  forgetUnused(now: number): void {
-    for (const [tenant, { usedAt }] of this.byTenant) {
-      if (now - usedAt >= KEPT_MS) this.byTenant.delete(tenant);
+  evictIdle(now: number): void {
+    for (const [tenant, { lastRequestedAt }] of this.byTenant) {
+      if (now - lastRequestedAt >= IDLE_RETENTION_MS) this.byTenant.delete(tenant);
     }
   }
 }
--- a/test/simulation/large_fleet.test.ts
+++ b/test/simulation/large_fleet.test.ts
@@ -40,34 +40,34 @@
   callers: 0,
 };
 /** Statements of all callers together: each proxy hears from each primary every few seconds only. */
-const STATEMENT_SPACING_MS = 4;
-const WRITE_SHARE = 0.1;
+const STATEMENT_INTERVAL_MS = 4;
+const WRITE_FRACTION = 0.1;
 const WARM_UP_MS = 2000;
-const MEASURED_MS = 6000;
+const MEASUREMENT_MS = 6000;
 /** 5 measured by this test; 10.9 when each change of the catalog woke all proxies at once. */
-const MOST_CATALOGS_AT_START = 8;
+const MAX_CATALOGS_AT_START = 8;
 /** Bytes of messages between a calm proxy and the leader, each second: 340 measured; 731 when replies named everything. */
-const MOST_BYTES_A_SECOND = 450;
+const MAX_BYTES_PER_SECOND = 450;
 /** Part of the reads open to replicas that primaries serve: 0.003 measured; 0.6 when each proxy knew what it heard only. */
-const LARGEST_PRIMARY_SHARE = 0.1;
+const MAX_PRIMARY_READ_FRACTION = 0.1;
 
 /**
  * Questions to replicas by each proxy without control, each second: 3 measured; 47 when the primaries of all groups were
  * confirmed, wanted or not.
  */
-const MOST_QUESTIONS_A_SECOND = 5;
+const MAX_CONFIRMATIONS_PER_SECOND = 5;
 
 /** More than a search takes, so that requests of an earlier one find the leader. */
 const CONTROL_DELAY_MS = 900;
 /** From the first proxy that knows positions to the last one, in milliseconds. */
-const LONGEST_AFTER_FIRST_MS = 150;
+const MAX_DELAY_AFTER_FIRST_MS = 150;
 
 const REPLICA_POLICIES = POLICIES.filter((policy) => policy.kind !== 'primary');
 const READ = { kind: 'read', argument: 'x' } as const;
 const PRIMARY_POLICY = POLICIES.find((policy) => policy.kind === 'primary')!;
 
 /** Commands that the instances of a role have run. */
-function runBy(world: AppointedWorld, role: 'primary' | 'replica'): number {
+function commandsRunBy(world: AppointedWorld, role: 'primary' | 'replica'): number {
   const machines = world.instanceMachines().map(({ machine }) => machine);
   return machines
     .filter((machine) => machine.storage.role === role)
@@ -101,13 +101,13 @@
   const load: Load = { reads: 0, writes: 0, failed: 0 };
   const until = world.scheduler.now + durationMs;
   for (let number = 0; world.scheduler.now < until; number++) {
-    const kind = world.random.next() < WRITE_SHARE ? 'write' : 'read';
+    const kind = world.random.next() < WRITE_FRACTION ? 'write' : 'read';
     if (kind === 'read') load.reads++;
     else load.writes++;
     void send(world, kind, number).then((isServed) => {
       if (!isServed) load.failed++;
     });
-    await world.run(STATEMENT_SPACING_MS);
+    await world.run(STATEMENT_INTERVAL_MS);
   }
   return load;
 }
@@ -122,7 +122,7 @@
   await world.start();
   const catalogs = world.lines.filter((line) => line.event === 'catalog_in_force').length;
   const mean = catalogs / LARGE.proxies;
-  t.ok(mean <= MOST_CATALOGS_AT_START, `${mean} catalogs for each proxy`);
+  t.ok(mean <= MAX_CATALOGS_AT_START, `${mean} catalogs for each proxy`);
 });
 
 void t.test(
@@ -151,7 +151,7 @@
   const machines = [...world.coordinators, ...world.routers];
   for (const machine of machines) machine.losePower();
   await world.run(WARM_UP_MS);
-  const before = runBy(world, 'primary');
+  const before = commandsRunBy(world, 'primary');
   for (const machine of machines) machine.start();
   const refusals: string[] = [];
   for (const { running } of world.routers) {
@@ -164,8 +164,8 @@
   }
   await world.run(WARM_UP_MS);
   t.same(refusals, [], 'all are served');
-  const share = (runBy(world, 'primary') - before) / LARGE.proxies;
-  t.ok(share <= LARGEST_PRIMARY_SHARE, `primaries served ${share} of the reads`);
+  const share = (commandsRunBy(world, 'primary') - before) / LARGE.proxies;
+  t.ok(share <= MAX_PRIMARY_READ_FRACTION, `primaries served ${share} of the reads`);
 });
 
 void t.test('proxies that started long before control are told all at once', async (t) => {
@@ -181,10 +181,10 @@
   const knows = (core: AppointedProxy): boolean =>
     core.leases.groupNames.length > 0 &&
     core.leases.groupNames.every(
-      (group) => core.positions.floorOf(group).newestSentAt !== undefined,
+      (group) => core.positions.minimumPositionOf(group).newestSentAt !== undefined,
     );
   while (!cores.some(knows)) await world.run(1);
-  await world.run(LONGEST_AFTER_FIRST_MS);
+  await world.run(MAX_DELAY_AFTER_FIRST_MS);
   t.equal(cores.filter(knows).length, LARGE.proxies, 'all proxies know positions of all primaries');
 });
 
@@ -193,20 +193,20 @@
   await world.start();
   await world.run(WARM_UP_MS);
   world.network.resetTraffic();
-  await world.run(MEASURED_MS);
+  await world.run(MEASUREMENT_MS);
   const { bytes } = world.network.traffic.get(leaderHost(world))!;
-  const each = bytes / LARGE.proxies / (MEASURED_MS / 1000);
-  t.ok(each <= MOST_BYTES_A_SECOND, `${each} bytes a second for each proxy`);
+  const each = bytes / LARGE.proxies / (MEASUREMENT_MS / 1000);
+  t.ok(each <= MAX_BYTES_PER_SECOND, `${each} bytes a second for each proxy`);
 });
 
 void t.test('reads go to replicas though a proxy seldom hears from a primary', async (t) => {
   const world = new AppointedWorld(LARGE, SEED);
   await world.start();
   await offerLoad(world, WARM_UP_MS);
-  const before = runBy(world, 'primary');
-  const { reads, writes, failed } = await offerLoad(world, MEASURED_MS);
-  const share = (runBy(world, 'primary') - before - writes) / reads;
-  t.ok(share <= LARGEST_PRIMARY_SHARE, `primaries served ${share} of the reads`);
+  const before = commandsRunBy(world, 'primary');
+  const { reads, writes, failed } = await offerLoad(world, MEASUREMENT_MS);
+  const share = (commandsRunBy(world, 'primary') - before - writes) / reads;
+  t.ok(share <= MAX_PRIMARY_READ_FRACTION, `primaries served ${share} of the reads`);
   t.equal(failed, 0, 'every statement was served');
 });
 
@@ -218,8 +218,8 @@
   world.network.cut(proxies, controls);
   world.network.cut(controls, proxies);
   await world.run(WARM_UP_MS);
-  const before = runBy(world, 'replica');
-  await world.run(MEASURED_MS);
-  const each = (runBy(world, 'replica') - before) / LARGE.proxies / (MEASURED_MS / 1000);
-  t.ok(each <= MOST_QUESTIONS_A_SECOND, `${each} questions a second by each proxy`);
+  const before = commandsRunBy(world, 'replica');
+  await world.run(MEASUREMENT_MS);
+  const each = (commandsRunBy(world, 'replica') - before) / LARGE.proxies / (MEASUREMENT_MS / 1000);
+  t.ok(each <= MAX_CONFIRMATIONS_PER_SECOND, `${each} questions a second by each proxy`);
 });
--- a/test/simulation/tenancy.test.ts
+++ b/test/simulation/tenancy.test.ts
@@ -23,22 +23,22 @@
 import { AppointedWorld, databaseOf } from '../../lab/appointed/appointed_world.js';
 import type { AppointedProtection } from '../../lab/appointed/disabled_protections.js';
 
-const SEEDS = 8;
+const SEED_COUNT = 8;
 const SETTLED_MS = 2000;
-const PROBE_SPACING_MS = 250;
+const STATEMENT_INTERVAL_MS = 250;
 /** Longer than the bound on revoked credentials, less than the time for which replicas confirm leases. */
-const SILENCE_MS = 9000;
-const CAUGHT_WITHIN = 10;
+const CUT_OFF_MS = 9000;
+const MAX_SEEDS_TO_DETECT = 10;
 /** Number of the tenant whose limit is the least, 15 operations a second. */
-const LEAST_TENANT = 3;
-const USUAL_SPACING_MS = 80;
-const RUSH_SPACING_MS = 10;
+const SMALLEST_LIMIT_TENANT = 3;
+const USUAL_INTERVAL_MS = 80;
+const RUSH_INTERVAL_MS = 10;
 const RUSH_MS = 4600;
 /** The lease of 3 s, and the time in which the leader's part of the bucket is full again. */
 const LEASE_OVER_MS = 4400;
 
 void t.test('mixed faults, changes of credentials among them', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
     const report = await runAppointed({ deployment: APPOINTED_TENANTS, seed });
     t.same(report.violations, [], `seed ${seed}: ${report.faults.join('; ')}`);
     t.same(report.unwritable, [], `seed ${seed}: ${report.faults.join('; ')}`);
@@ -52,7 +52,7 @@
  * A proxy that nobody of the system reaches goes on asking for statements with a credential that was taken away; resolves
  * with the kinds of violations.
  */
-async function playRevocation(
+async function runRevocationScenario(
   seed: number,
   disabled: readonly AppointedProtection[],
 ): Promise<{
@@ -74,31 +74,34 @@
     databaseOf(group, { kind: 'primary' }),
     credential,
   )!;
-  for (let elapsed = 0; elapsed < SILENCE_MS; elapsed += PROBE_SPACING_MS) {
+  for (let elapsed = 0; elapsed < CUT_OFF_MS; elapsed += STATEMENT_INTERVAL_MS) {
     const id = `probe-${elapsed}`;
     const sentAt = world.scheduler.now;
     const expectation = { group, values: new Map(), prepared: undefined, transaction: undefined };
     world.judge.expect(id, { ...expectation, credential, sentAt });
     void session.execute(id, { kind: 'read', argument: 'x' });
-    await world.run(PROBE_SPACING_MS);
+    await world.run(STATEMENT_INTERVAL_MS);
   }
   const { violations, counts } = world.judge;
   return { violations: violations.map(({ kind }) => kind), ran: counts.runs };
 }
 
 void t.test('a credential that was taken away ends on a proxy that nobody reaches', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
-    const guarded = await playRevocation(seed, ['fleet-quota']);
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
+    const guarded = await runRevocationScenario(seed, ['fleet-quota']);
     t.same(guarded.violations, [], `seed ${seed}`);
     t.ok(guarded.ran > 5, 'it is used on for a while');
-    const { violations } = await playRevocation(seed, ['fleet-quota', 'credential-freshness']);
+    const { violations } = await runRevocationScenario(seed, [
+      'fleet-quota',
+      'credential-freshness',
+    ]);
     t.ok(violations.includes('tenant'), `seed ${seed}: without the protection it runs`);
   }
 });
 
 void t.test('connections that fall silent cost no more than a patience, each once', async (t) => {
   let changes = 0;
-  for (let seed = 1; seed <= SEEDS; seed++) {
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
     const options = { seed, faults: ['mute-connections'] as const, faultCount: 2 };
     const report = await runAppointed({ deployment: APPOINTED_TENANTS, ...options });
     t.same(report.violations, [], `seed ${seed}`);
@@ -107,7 +110,7 @@
     t.ok(report.counts['acknowledged']! > 1500, 'callers were served');
   }
   // Commits that hang on silent connections of most proxies look like those of a primary without replicas.
-  t.ok(changes <= SEEDS, `${changes} primaries replaced in ${2 * SEEDS} such moments`);
+  t.ok(changes <= SEED_COUNT, `${changes} primaries replaced in ${2 * SEED_COUNT} such moments`);
 });
 
 /** Reads of the tenant with the least limit through some proxies, at a pace, whatever becomes of them. */
@@ -118,7 +121,7 @@
   forMs: number,
 ): Promise<void> {
   const { name: group } = world.groups[0]!;
-  const credential = world.tenancy!.credentialFor(LEAST_TENANT);
+  const credential = world.tenancy!.credentialFor(SMALLEST_LIMIT_TENANT);
   const database = databaseOf(group, { kind: 'primary' });
   const content = { group, values: new Map(), prepared: undefined, transaction: undefined };
   for (let elapsed = 0; elapsed < forMs; elapsed += spacingMs) {
@@ -134,7 +137,7 @@
 }
 
 /** A zone is cut off from control with what its issuer holds, waits until the lease is over, and then asks for all that it may get. */
-async function playCutZone(
+async function runCutZoneScenario(
   seed: number,
   disabled: readonly AppointedProtection[],
 ): Promise<readonly string[]> {
@@ -144,29 +147,29 @@
   const { zone: primaryZone } = world.groups[0]!.leader!.options;
   const inside = world.routers.filter(({ zone }) => zone === primaryZone);
   const outside = world.routers.filter((router) => !inside.includes(router));
-  await readThrough(world, inside.slice(0, 1), USUAL_SPACING_MS, SETTLED_MS * 2);
+  await readThrough(world, inside.slice(0, 1), USUAL_INTERVAL_MS, SETTLED_MS * 2);
   const controls = world.coordinators.map(({ host }) => host);
   const own = inside.map(({ host }) => host);
   world.network.cut(own, controls);
   world.network.cut(controls, own);
   await world.run(LEASE_OVER_MS);
-  await readThrough(world, [inside[0]!, outside[0]!], RUSH_SPACING_MS, RUSH_MS);
+  await readThrough(world, [inside[0]!, outside[0]!], RUSH_INTERVAL_MS, RUSH_MS);
   await world.run(SETTLED_MS);
   world.judge.checkQuotas();
   return world.judge.violations.map(({ kind }) => kind);
 }
 
 void t.test('an issuer that is cut off grants nothing after its lease', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
-    t.same(await playCutZone(seed, ['credential-freshness']), [], `seed ${seed}`);
-    const violations = await playCutZone(seed, ['credential-freshness', 'issuer-lease']);
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
+    t.same(await runCutZoneScenario(seed, ['credential-freshness']), [], `seed ${seed}`);
+    const violations = await runCutZoneScenario(seed, ['credential-freshness', 'issuer-lease']);
     t.ok(violations.includes('quota'), `seed ${seed}: without the protection it goes on`);
   }
 });
 
 void t.test('without a protection the checks report it', async (t) => {
   const find = async (disabled: AppointedProtection): Promise<string> => {
-    for (let seed = 1; seed <= CAUGHT_WITHIN; seed++) {
+    for (let seed = 1; seed <= MAX_SEEDS_TO_DETECT; seed++) {
       const options = { deployment: APPOINTED_TENANTS, seed, disabled: [disabled] };
       const [violation] = (await runAppointed(options)).violations;
       if (violation) return violation.kind;
--- a/test/tools/local_fleet.ts
+++ b/test/tools/local_fleet.ts
@@ -9,7 +9,7 @@
 import { CALLER_ACCOUNT, configurationFor, layoutOf } from '../../lab/fleet/layout.js';
 
 const FIRST_NETWORK = 20;
-const NETWORKS = 200;
+const NETWORK_COUNT = 200;
 /**
  * An emulated instance does everything on one thread: while it parses a statement of 10,000 rows, or answers
  * with 100,000, it sends no heartbeat. That took up to 1.4 s beside a busy machine's other work, so the
@@ -35,7 +35,7 @@
 /** Starts the deployment and waits until it serves. */
 export async function startLocalFleet(lagMs = 30): Promise<LocalFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'whinyoke-test-'));
-  const layout = layoutOf(SMALL, FIRST_NETWORK + (process.pid % NETWORKS));
+  const layout = layoutOf(SMALL, FIRST_NETWORK + (process.pid % NETWORK_COUNT));
   const fleet = new Fleet(layout, {
     folder,
     labProgram: LAB_PROGRAM,
--- a/test/tools/lone_proxy.ts
+++ b/test/tools/lone_proxy.ts
@@ -130,7 +130,7 @@
         }),
       },
       log: (kind: EventKind) => void this.events.push(kind.name),
-      counters: { answered: noop, served: noop, retried: noop, refusedByHomes: noop },
+      counters: { answered: noop, served: noop, retried: noop, refusedByAllowedRegions: noop },
       credentialFreshnessMs: Infinity,
       quotaRules: { windowMs: 5000, overage: 0, tolerance: 0 },
       placementRules: DEFAULT_PLACEMENT_RULES,
--- a/test/tools/placed_proxy.ts
+++ b/test/tools/placed_proxy.ts
@@ -113,7 +113,7 @@
         answered: () => undefined,
         served: () => undefined,
         retried: () => undefined,
-        refusedByHomes: () => undefined,
+        refusedByAllowedRegions: () => undefined,
       },
       credentialFreshnessMs: Infinity,
       quotaRules: { windowMs: 5000, overage: 0, tolerance: 0 },
--- a/test/tools/played_fleet.ts
+++ b/test/tools/played_fleet.ts
@@ -4,8 +4,8 @@
  */
 import {
   LEADER_OVERLAP_MS,
-  RESERVE_LIFE_MS,
-  WAITING_ALLOWANCE_MS,
+  RESERVE_LEASE_MS,
+  GRANT_VALIDITY_MS,
 } from '../../src/appointed/tenancy/operation_budget.js';
 import {
   type Allowance,
@@ -17,21 +17,21 @@
 /** Rules of the played deployment. */
 export const RULES = { windowMs: 5000, overage: 0.1, tolerance: 20 };
 /** Issuers of one played fleet. */
-export const PROXIES = 5;
+export const PROXY_COUNT = 5;
 
 /** The replicated floor of one tenant, and a leader that writes it. */
-export class PlayedLeader {
+export class QuotaLeader {
   /** The ledger under test. */
   readonly ledger: OperationLedger;
   /** Runs that told what they hold. */
-  readonly told = new Set<number>();
+  readonly reportedProxies = new Set<number>();
 
   constructor(
     private readonly log: Map<string, number>,
     readonly begunAt: number,
   ) {
     this.ledger = new OperationLedger(RULES, (tenant) => log.get(tenant));
-    this.ledger.begin(begunAt);
+    this.ledger.beginLeadership(begunAt);
   }
 
   /** Answers as the service does; a change of the floor that is not committed is as if it had not been tried. */
@@ -50,21 +50,21 @@
   }
 
   /** A run told what it holds. */
-  noteTold(proxy: number): void {
-    this.told.add(proxy);
-    if (this.told.size === PROXIES) this.ledger.noteAllKnown();
+  recordReport(proxy: number): void {
+    this.reportedProxies.add(proxy);
+    if (this.reportedProxies.size === PROXY_COUNT) this.ledger.recordAllReservesKnown();
   }
 
   private write(commits: boolean): void {
     const changes = this.ledger.takeSuccessorReserveChanges();
     if (!commits) return;
     for (const { tenant, operations } of changes) this.log.set(tenant, operations);
-    this.ledger.noteCommitted(changes);
+    this.ledger.recordCommitted(changes);
   }
 }
 
 /** What one issuer may hold. */
-interface PlayedReserve {
+interface ModelReserve {
   readonly count: number;
   readonly most: number;
   readonly rate: number;
@@ -72,39 +72,39 @@
   readonly until: number;
 }
 
-const NOTHING_HELD: PlayedReserve = { count: 0, most: 0, rate: 0, at: 0, until: 0 };
+const NOTHING_HELD: ModelReserve = { count: 0, most: 0, rate: 0, at: 0, until: 0 };
 
 /** One request of an issuer, and how it uses what it has. */
-export interface PlayedStep {
+export interface QuotaStep {
   readonly proxy: number;
   readonly waiting: number;
   readonly wantedReserve: number;
   readonly wantedRate: number;
   /** All that it holds after the answer is used at once. */
-  readonly isSpent: boolean;
+  readonly usesWholeReserve: boolean;
   /** All that its leased rate brought since its last request was used as it came. */
-  readonly isUsedUp: boolean;
-  readonly asksFormer: boolean;
+  readonly usesLeasedRate: boolean;
+  readonly asksFormerLeader: boolean;
   readonly isReplyLost: boolean;
   readonly commits: boolean;
 }
 
 /** Issuers, leaders, and when operations ran. */
-export class PlayedFleet {
+export class QuotaFleet {
   /** Time of the fleet, in milliseconds. */
   now = 10_000;
   private runs: number[] = [];
-  private readonly reserves = new Map<number, PlayedReserve>();
+  private readonly reserves = new Map<number, ModelReserve>();
   private readonly log = new Map<string, number>();
-  private leader = new PlayedLeader(this.log, this.now);
-  private former: PlayedLeader | undefined;
+  private leader = new QuotaLeader(this.log, this.now);
+  private former: QuotaLeader | undefined;
 
   constructor(private readonly limit: OperationLimit) {}
 
   /** Another machine leads; the former one goes on for a moment. */
   elect(): void {
     this.former = this.leader;
-    this.leader = new PlayedLeader(this.log, this.now);
+    this.leader = new QuotaLeader(this.log, this.now);
   }
 
   /** All processes end, and start anew at once; a leader is there some time later. */
@@ -115,15 +115,15 @@
     this.former = undefined;
     this.reserves.clear();
     this.runs = this.runs.map((ranAt) => Math.min(ranAt, lostAt));
-    for (let each = 0; each < PROXIES; each++) this.leader.noteTold(each);
-    this.leader.ledger.noteOnlyOwnSince(lostAt);
+    for (let each = 0; each < PROXY_COUNT; each++) this.leader.recordReport(each);
+    this.leader.ledger.recordOnlyOwnGrantsSince(lostAt);
   }
 
   /** An issuer asks, and uses what it has. */
-  ask(step: PlayedStep): void {
+  ask(step: QuotaStep): void {
     const { now, limit, leader } = this;
     const { proxy, waiting, wantedReserve, wantedRate } = step;
-    const own = this.useRate(proxy, step.isUsedUp);
+    const own = this.useRate(proxy, step.usesLeasedRate);
     const available = availableOf(own, now);
     const held = Math.min(Math.ceil(available), wantedReserve);
     const heldRate = Math.min(own.until > now ? own.rate : 0, wantedRate);
@@ -131,27 +131,27 @@
     const heldMost = heldRate > 0 ? Math.max(held, Math.min(own.most, wantedReserve)) : held;
     const rates = { heldRate, wantedRate, heldMost };
     const demand = { waiting, returned, held, wantedReserve, ...rates };
-    const asked = this.askedBy(step);
-    if (asked === leader) leader.noteTold(proxy);
+    const asked = this.leaderAskedBy(step);
+    if (asked === leader) leader.recordReport(proxy);
     const answer = asked.answer(proxy, limit, demand, now, step.commits && asked === leader);
     const kept = { count: Math.min(available, held), most: heldMost, rate: heldRate, at: now };
     if (step.isReplyLost) {
       this.reserves.set(proxy, { ...kept, until: own.until });
       return;
     }
-    this.run(answer.granted);
+    this.recordRuns(answer.granted);
     const count = kept.count + answer.added;
-    const spent = step.isSpent ? Math.floor(count) : 0;
-    this.run(spent);
-    const lease = { rate: answer.rate, at: now, until: now + RESERVE_LIFE_MS };
+    const spent = step.usesWholeReserve ? Math.floor(count) : 0;
+    this.recordRuns(spent);
+    const lease = { rate: answer.rate, at: now, until: now + RESERVE_LEASE_MS };
     this.reserves.set(proxy, { count: count - spent, most: answer.most, ...lease });
   }
 
   /** An issuer that reaches no leader uses all that it has. */
-  spend(proxy: number): void {
+  useAll(proxy: number): void {
     const own = this.useRate(proxy, true);
     const count = Math.floor(availableOf(own, this.now));
-    this.run(count);
+    this.recordRuns(count);
     this.reserves.set(proxy, { ...own, count: own.count - count, at: this.now });
   }
 
@@ -168,22 +168,23 @@
   }
 
   /** A former leader goes on for a moment, but commits nothing, and nobody who told the new one asks it. */
-  private askedBy({ proxy, asksFormer }: PlayedStep): PlayedLeader {
+  private leaderAskedBy({ proxy, asksFormerLeader }: QuotaStep): QuotaLeader {
     const { leader, former, now } = this;
-    const mayAskFormer = now - leader.begunAt < LEADER_OVERLAP_MS && !leader.told.has(proxy);
-    return asksFormer && mayAskFormer && former ? former : leader;
+    const mayAskFormer =
+      now - leader.begunAt < LEADER_OVERLAP_MS && !leader.reportedProxies.has(proxy);
+    return asksFormerLeader && mayAskFormer && former ? former : leader;
   }
 
   /** Operations run at once, or as late as those may that were granted to requests that wait. */
-  private run(count: number): void {
+  private recordRuns(count: number): void {
     for (let index = 0; index < count; index++) {
-      this.runs.push(this.now + (index % 2) * WAITING_ALLOWANCE_MS);
+      this.runs.push(this.now + (index % 2) * GRANT_VALIDITY_MS);
     }
   }
 
-  private useRate(proxy: number, isUsedUp: boolean): PlayedReserve {
+  private useRate(proxy: number, usesLeasedRate: boolean): ModelReserve {
     const own = this.reserves.get(proxy) ?? NOTHING_HELD;
-    if (!isUsedUp) return own;
+    if (!usesLeasedRate) return own;
     const usedMs = Math.max(0, Math.min(this.now, own.until) - own.at);
     const count = own.most < 1 ? 0 : Math.floor((own.rate * usedMs) / 1000);
     for (let index = 1; index <= count; index++) this.runs.push(own.at + (index * 1000) / own.rate);
@@ -191,6 +192,6 @@
   }
 }
 
-function availableOf({ count, most, rate, at, until }: PlayedReserve, now: number): number {
+function availableOf({ count, most, rate, at, until }: ModelReserve, now: number): number {
   return now < until ? Math.min(most, count + (rate * (now - at)) / 1000) : 0;
 }
--- a/test/unit/allowance_client.test.ts
+++ b/test/unit/allowance_client.test.ts
@@ -6,27 +6,27 @@
 import type { Messenger } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { AllowanceClient } from '../../src/appointed/tenancy/allowance_client.js';
-import { IssuerChoice } from '../../src/appointed/tenancy/issuer_choice.js';
-import type { OperationVerdict } from '../../src/appointed/tenancy/tenant_allowance.js';
+import { IssuerSelector } from '../../src/appointed/tenancy/issuer_choice.js';
+import type { GrantResult } from '../../src/appointed/tenancy/tenant_allowance.js';
 
 const RULES = { windowMs: 5000, overage: 0.1, tolerance: 20 };
 const TENANT = { name: 'ana', limit: { ratePerSecond: 100, burst: 100 } };
-const PATIENCE_MS = 60;
+const MAX_WAIT_MS = 60;
 
 /** A request as a leader saw it. */
-interface Asked extends whinyoke.IAllowanceRequest {
+interface ReceivedRequest extends whinyoke.IAllowanceRequest {
   readonly address: string;
   readonly lane: number;
 }
 
 /** What a leader answers, and after how many milliseconds; undefined for never. */
 type Leader = (
-  asked: Asked,
+  asked: ReceivedRequest,
 ) => { readonly afterMs: number; readonly reply: whinyoke.IAllowanceReply } | undefined;
 
-class PlayedProxy {
+class TestProxy {
   readonly scheduler = new Scheduler();
-  readonly asked: Asked[] = [];
+  readonly received: ReceivedRequest[] = [];
   readonly client: AllowanceClient;
   address = 'control-1';
   private readonly clock = new VirtualProcess('p', this.scheduler, new SeededRandom(1), 0).clock;
@@ -36,7 +36,7 @@
       request: (address, { allowanceRequest }, timeoutMs, lane = 0) =>
         new Promise((resolve, reject) => {
           const asked = { ...allowanceRequest, address, lane };
-          this.asked.push(asked);
+          this.received.push(asked);
           const answer = leader(asked);
           this.clock.setTimer(timeoutMs, () => reject(new Error('no answer')));
           if (!answer) return;
@@ -51,18 +51,20 @@
       rules: RULES,
       proxy: 'p',
       incarnation: 'run-1',
-      issuers: new IssuerChoice('p', 'zone-1'),
+      issuers: new IssuerSelector('p', 'zone-1'),
       limitOf: () => TENANT.limit,
       leaderAddress: () => this.address,
     });
   }
 
   /** Asks for one operation, and runs for a while. */
-  async take(forMs: number): Promise<OperationVerdict | undefined> {
-    let verdict: OperationVerdict | undefined;
-    void Promise.resolve(this.client.take(TENANT, PATIENCE_MS)).then((told) => (verdict = told));
+  async acquire(forMs: number): Promise<GrantResult | undefined> {
+    let result: GrantResult | undefined;
+    void Promise.resolve(this.client.acquire(TENANT, MAX_WAIT_MS)).then(
+      (settled) => (result = settled),
+    );
     await this.scheduler.runUntil(this.scheduler.now + forMs);
-    return verdict;
+    return result;
   }
 }
 
@@ -71,13 +73,13 @@
 }
 
 void t.test('a request whose answer is late goes a second way', async (t) => {
-  const proxy = new PlayedProxy(({ lane }) => ({
+  const proxy = new TestProxy(({ lane }) => ({
     afterMs: lane === 0 ? 180 : 3,
     reply: granting(1),
   }));
-  t.match(await proxy.take(PATIENCE_MS), { isGranted: true });
+  t.match(await proxy.acquire(MAX_WAIT_MS), { isGranted: true });
   t.same(
-    proxy.asked.map(({ lane, waitingOnly = false }) => [lane, waitingOnly]),
+    proxy.received.map(({ lane, waitingOnly = false }) => [lane, waitingOnly]),
     [
       [0, false],
       [1, true],
@@ -89,43 +91,43 @@
 
 void t.test('a leader that does not know the tenant yet is asked at a pace', async (t) => {
   const reply = { accepted: true, term: 1, allowances: [] };
-  const proxy = new PlayedProxy(() => ({ afterMs: 1, reply }));
-  t.match(await proxy.take(PATIENCE_MS + 5), { isGranted: false });
-  t.ok(proxy.asked.length <= 4, `${proxy.asked.length} requests in ${PATIENCE_MS} ms`);
+  const proxy = new TestProxy(() => ({ afterMs: 1, reply }));
+  t.match(await proxy.acquire(MAX_WAIT_MS + 5), { isGranted: false });
+  t.ok(proxy.received.length <= 4, `${proxy.received.length} requests in ${MAX_WAIT_MS} ms`);
   proxy.client.stop();
 });
 
 void t.test('a new leader is told all that is held; a former one adds nothing more', async (t) => {
   let isSilent = false;
-  const proxy = new PlayedProxy(({ address }) => {
+  const proxy = new TestProxy(({ address }) => {
     if (address === 'control-2')
       return isSilent ? undefined : { afterMs: 1, reply: granting(1, 0, 2) };
     return { afterMs: 1, reply: granting(1, 5) };
   });
-  await proxy.take(20);
+  await proxy.acquire(20);
   proxy.address = 'control-2';
   isSilent = true;
-  await proxy.take(250);
-  const [told] = proxy.asked.filter(({ address }) => address === 'control-2');
+  await proxy.acquire(250);
+  const [told] = proxy.received.filter(({ address }) => address === 'control-2');
   t.match(told, { complete: true, demands: [{ tenant: 'ana' }] });
   // The proxy hears of the former leader again; the other one may count on what it was told.
   proxy.address = 'control-1';
-  const before = proxy.asked.length;
-  for (let count = 0; count < 8; count++) await proxy.take(20);
-  const direct = proxy.asked.slice(before).filter(({ address }) => address === 'control-1');
+  const before = proxy.received.length;
+  for (let count = 0; count < 8; count++) await proxy.acquire(20);
+  const direct = proxy.received.slice(before).filter(({ address }) => address === 'control-1');
   t.ok(direct.length >= 4, 'no reserve was added, so operations are asked for one by one');
   proxy.client.stop();
 });
 
 void t.test('a run tells its age for as long as one leader has answered it', async (t) => {
-  const proxy = new PlayedProxy(({ address, freshTerm }) => {
+  const proxy = new TestProxy(({ address, freshTerm }) => {
     const term = address === 'control-1' ? 1 : 2;
     return { afterMs: 1, reply: { ...granting(1, 0, term), needsAll: freshTerm === 0 } };
   });
-  await proxy.take(100);
+  await proxy.acquire(100);
   proxy.address = 'control-2';
-  await proxy.take(100);
-  const complete = proxy.asked.filter((asked) => asked.complete);
+  await proxy.acquire(100);
+  const complete = proxy.received.filter((asked) => asked.complete);
   t.same(
     complete.map(({ address, freshMs, freshTerm }) => [address, freshMs, freshTerm]),
     [
@@ -139,12 +141,12 @@
 });
 
 void t.test('who waits for an answer of a former leader is served by the new one', async (t) => {
-  const proxy = new PlayedProxy(({ address }) =>
+  const proxy = new TestProxy(({ address }) =>
     address === 'control-2' ? { afterMs: 2, reply: granting(2, 0, 2) } : undefined,
   );
-  const first = proxy.take(20);
+  const first = proxy.acquire(20);
   await first;
   proxy.address = 'control-2';
-  t.match(await proxy.take(10), { isGranted: true }, 'within 10 ms, not after 200');
+  t.match(await proxy.acquire(10), { isGranted: true }, 'within 10 ms, not after 200');
   proxy.client.stop();
 });
--- a/test/unit/issuers.test.ts
+++ b/test/unit/issuers.test.ts
@@ -7,47 +7,47 @@
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { AdmittedOperation } from '../../src/appointed/tenancy/admitted_operation.js';
 import { AllowanceClient } from '../../src/appointed/tenancy/allowance_client.js';
-import { IssuerChoice } from '../../src/appointed/tenancy/issuer_choice.js';
+import { IssuerSelector } from '../../src/appointed/tenancy/issuer_choice.js';
 import {
-  RESERVE_LIFE_MS,
-  WAITING_ALLOWANCE_MS,
+  RESERVE_LEASE_MS,
+  GRANT_VALIDITY_MS,
 } from '../../src/appointed/tenancy/operation_budget.js';
 import type { OperationLimit, Tenant } from '../../src/appointed/tenancy/tenant.js';
-import type { OperationVerdict } from '../../src/appointed/tenancy/tenant_allowance.js';
-import { perSecondOf, leasedRate } from '../../src/appointed/tenancy/wire_rate.js';
+import type { GrantResult } from '../../src/appointed/tenancy/tenant_allowance.js';
+import { fromWireRate, toLeasedWireRate } from '../../src/appointed/tenancy/wire_rate.js';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { PlayedLeader, RULES } from '../tools/played_fleet.js';
+import { QuotaLeader, RULES } from '../tools/played_fleet.js';
 
 const ZONE = 'zone-1';
-const TRIP_MS = 1;
-const PATIENCE_MS = 60;
+const NETWORK_DELAY_MS = 1;
+const MAX_WAIT_MS = 60;
 
 /** One proxy of the zone. */
-interface PlayedProxy {
+interface TestProxy {
   readonly address: string;
   readonly client: AllowanceClient;
-  readonly issuers: IssuerChoice;
+  readonly issuers: IssuerSelector;
 }
 
 /** Proxies of one zone and their leader. */
-class PlayedZone {
+class TestZone {
   readonly scheduler = new Scheduler();
   readonly clock = new VirtualProcess('p', this.scheduler, new SeededRandom(1), 0).clock;
-  readonly leader = new PlayedLeader(new Map(), 0);
-  readonly proxies: PlayedProxy[];
+  readonly leader = new QuotaLeader(new Map(), 0);
+  readonly proxies: TestProxy[];
   /** Who answers nothing; `leader` for the leader. */
-  readonly silent = new Set<string>();
+  readonly unresponsive = new Set<string>();
   limit: OperationLimit | undefined = { ratePerSecond: 4, burst: 4 };
   /** Time of an answer of an issuer, in milliseconds. */
-  answerMs = TRIP_MS;
+  answerMs = NETWORK_DELAY_MS;
   /** Operations that proxies gave back to the leader. */
   returned = 0;
-  private runs = 0;
+  private operationCount = 0;
 
   constructor(count: number) {
-    this.leader.ledger.noteAllKnown();
-    this.proxies = Array.from({ length: count }, (_, index) => this.proxy(`p${index}`));
+    this.leader.ledger.recordAllReservesKnown();
+    this.proxies = Array.from({ length: count }, (_, index) => this.createProxy(`p${index}`));
     for (const { issuers } of this.proxies) issuers.update(this.zones);
   }
 
@@ -55,16 +55,16 @@
     return { name: 'ana', limit: this.limit ?? { ratePerSecond: 4, burst: 4 } };
   }
 
-  get issuer(): PlayedProxy {
-    return this.proxies.find(({ issuers }) => issuers.isOwn('ana'))!;
+  get issuer(): TestProxy {
+    return this.proxies.find(({ issuers }) => issuers.isOwnProxyIssuer('ana'))!;
   }
 
-  get member(): PlayedProxy {
-    return this.proxies.find(({ issuers }) => !issuers.isOwn('ana'))!;
+  get otherProxy(): TestProxy {
+    return this.proxies.find(({ issuers }) => !issuers.isOwnProxyIssuer('ana'))!;
   }
 
   /** Operations that the issuer would grant now, all at once. */
-  get inReserve(): number {
+  get operationsInReserve(): number {
     const demands = [{ tenant: 'ana', waiting: 50 }];
     return this.issuer.client.issuer.answer({ demands }).allowances?.[0]?.granted ?? 0;
   }
@@ -72,24 +72,26 @@
   /** Another run of a proxy, at the same address. */
   replace(index: number): void {
     this.proxies[index]!.client.stop();
-    this.proxies[index] = this.proxy(`p${index}`);
+    this.proxies[index] = this.createProxy(`p${index}`);
     this.proxies[index].issuers.update(this.zones);
   }
 
   /** Asks for one operation through a proxy, and lets time pass. */
-  async take({ client }: PlayedProxy, forMs = PATIENCE_MS + 5): Promise<boolean> {
-    let verdict: OperationVerdict | undefined;
-    void Promise.resolve(client.take(this.tenant, PATIENCE_MS)).then((told) => (verdict = told));
+  async acquire({ client }: TestProxy, forMs = MAX_WAIT_MS + 5): Promise<boolean> {
+    let result: GrantResult | undefined;
+    void Promise.resolve(client.acquire(this.tenant, MAX_WAIT_MS)).then(
+      (settled) => (result = settled),
+    );
     await this.scheduler.runUntil(this.scheduler.now + forMs);
-    return verdict?.isGranted ?? false;
+    return result?.isGranted ?? false;
   }
 
   /** An operation each 400 ms through the proxies in turn; returns how many were refused. */
-  async use(forMs: number): Promise<number> {
+  async runOperations(forMs: number): Promise<number> {
     let refused = 0;
     for (let elapsed = 0; elapsed < forMs; elapsed += 400) {
-      const proxy = this.proxies[this.runs++ % this.proxies.length]!;
-      if (!(await this.take(proxy, 400))) refused++;
+      const proxyInTurn = this.proxies[this.operationCount++ % this.proxies.length]!;
+      if (!(await this.acquire(proxyInTurn, 400))) refused++;
     }
     return refused;
   }
@@ -102,12 +104,12 @@
     return [{ zone: ZONE, addresses: this.proxies.map(({ address }) => address) }];
   }
 
-  private proxy(address: string): PlayedProxy {
-    const issuers = new IssuerChoice(address, ZONE);
+  private createProxy(address: string): TestProxy {
+    const issuers = new IssuerSelector(address, ZONE);
     const random = new SeededRandom(2);
     const messenger = {
       request: (to: string, body: whinyoke.IBody, timeoutMs: number): Promise<whinyoke.IBody> =>
-        this.carry(address, to, body.allowanceRequest!, timeoutMs),
+        this.deliver(address, to, body.allowanceRequest!, timeoutMs),
       serve: () => undefined,
     };
     const client = new AllowanceClient({
@@ -123,7 +125,7 @@
     return { address, client, issuers };
   }
 
-  private carry(
+  private deliver(
     from: string,
     to: string,
     request: whinyoke.IAllowanceRequest,
@@ -131,16 +133,21 @@
   ): Promise<whinyoke.IBody> {
     return new Promise((resolve, reject) => {
       this.clock.setTimer(timeoutMs, () => reject(new Error('no answer')));
-      this.clock.setTimer(TRIP_MS, () => {
-        if (this.silent.has(to)) return;
+      this.clock.setTimer(NETWORK_DELAY_MS, () => {
+        if (this.unresponsive.has(to)) return;
         const issuer = this.proxies.find(({ address }) => address === to)?.client.issuer;
-        const allowanceReply = issuer?.answer(request) ?? this.lead(from, request);
-        this.clock.setTimer(issuer ? this.answerMs : TRIP_MS, () => resolve({ allowanceReply }));
+        const allowanceReply = issuer?.answer(request) ?? this.answerAsLeader(from, request);
+        this.clock.setTimer(issuer ? this.answerMs : NETWORK_DELAY_MS, () =>
+          resolve({ allowanceReply }),
+        );
       });
     });
   }
 
-  private lead(from: string, request: whinyoke.IAllowanceRequest): whinyoke.IAllowanceReply {
+  private answerAsLeader(
+    from: string,
+    request: whinyoke.IAllowanceRequest,
+  ): whinyoke.IAllowanceReply {
     const proxy = Number(from.slice(1));
     const allowances = (request.demands ?? []).map((demand) => {
       const { waiting, returned, held, wantedReserve, heldMost } = {
@@ -149,13 +156,13 @@
       };
       this.returned += returned;
       const rates = {
-        heldRate: perSecondOf(demand.heldRate),
-        wantedRate: perSecondOf(demand.wantedRate),
+        heldRate: fromWireRate(demand.heldRate),
+        wantedRate: fromWireRate(demand.wantedRate),
       };
       const asked = { waiting, returned, held, wantedReserve, heldMost, ...rates };
       const limit = this.tenant.limit!;
       const answer = this.leader.answer(proxy, limit, asked, this.clock.now(), true);
-      return { tenant: demand.tenant, ...answer, rate: leasedRate(answer.rate) };
+      return { tenant: demand.tenant, ...answer, rate: toLeasedWireRate(answer.rate) };
     });
     return { accepted: true, term: 1, allowances };
   }
@@ -164,10 +171,10 @@
 const NO_DEMAND = { waiting: 0, returned: 0, held: 0, wantedReserve: 0, heldMost: 0 };
 
 void t.test('the issuer of a zone serves a small tenant while nobody leads', async (t) => {
-  const zone = new PlayedZone(20);
-  t.equal(await zone.use(10_000), 0);
-  zone.silent.add('leader');
-  t.equal(await zone.use(2000), 0, 'an operation each 400 ms through 20 proxies');
+  const zone = new TestZone(20);
+  t.equal(await zone.runOperations(10_000), 0);
+  zone.unresponsive.add('leader');
+  t.equal(await zone.runOperations(2000), 0, 'an operation each 400 ms through 20 proxies');
   const counts = zone.proxies.map(({ client }) => client.counts);
   const [byIssuer, granted, fromReserve] = (['byIssuer', 'granted', 'fromReserve'] as const).map(
     (way) => counts.reduce((sum, each) => sum + each[way], 0),
@@ -178,51 +185,48 @@
 });
 
 void t.test('an issuer that dies without a word costs one late answer', async (t) => {
-  const zone = new PlayedZone(4);
-  await zone.use(4000);
-  const { member, issuer } = zone;
-  zone.silent.add(issuer.address);
-  t.ok(await zone.take(member), 'the leader is asked when the issuer is late');
-  t.equal(member.client.counts.issuerLate, 1);
-  t.ok(await zone.take(member, 20), 'the next of the zone, or the leader, within 20 ms');
-  t.equal(member.client.counts.issuerLate, 1);
+  const zone = new TestZone(4);
+  await zone.runOperations(4000);
+  const { otherProxy, issuer } = zone;
+  zone.unresponsive.add(issuer.address);
+  t.ok(await zone.acquire(otherProxy), 'the leader is asked when the issuer is late');
+  t.equal(otherProxy.client.counts.issuerLate, 1);
+  t.ok(await zone.acquire(otherProxy, 20), 'the next of the zone, or the leader, within 20 ms');
+  t.equal(otherProxy.client.counts.issuerLate, 1);
   zone.stop();
 });
 
 void t.test('an issuer that wakes after its lease grants nothing', async (t) => {
-  const zone = new PlayedZone(4);
-  await zone.use(4000);
-  zone.silent.add('leader');
-  await zone.scheduler.runUntil(zone.scheduler.now + RESERVE_LIFE_MS + 1);
-  t.equal(zone.inReserve, 0);
-  t.notOk(await zone.take(zone.member));
+  const zone = new TestZone(4);
+  await zone.runOperations(4000);
+  zone.unresponsive.add('leader');
+  await zone.scheduler.runUntil(zone.scheduler.now + RESERVE_LEASE_MS + 1);
+  t.equal(zone.operationsInReserve, 0);
+  t.notOk(await zone.acquire(zone.otherProxy));
   zone.stop();
 });
 
 void t.test('what an issuer granted before it froze comes too late to count', async (t) => {
-  const zone = new PlayedZone(8);
-  await zone.use(4000);
-  zone.silent.add('leader');
-  const { member } = zone;
-  const { byIssuer } = member.client.counts;
-  zone.answerMs = WAITING_ALLOWANCE_MS + 1;
-  t.notOk(await zone.take(member, 500));
-  t.equal(member.client.counts.byIssuer, byIssuer);
+  const zone = new TestZone(8);
+  await zone.runOperations(4000);
+  zone.unresponsive.add('leader');
+  const { otherProxy } = zone;
+  const { byIssuer } = otherProxy.client.counts;
+  zone.answerMs = GRANT_VALIDITY_MS + 1;
+  t.notOk(await zone.acquire(otherProxy, 500));
+  t.equal(otherProxy.client.counts.byIssuer, byIssuer);
   zone.stop();
 });
 
 void t.test('an issuer that is to stop hands its reserve over', async (t) => {
-  const zone = new PlayedZone(4);
-  await zone.use(4000);
+  const zone = new TestZone(4);
+  await zone.runOperations(4000);
   const { issuer } = zone;
-  t.ok(issuer.client.allowances.find('ana')?.holdsReserve(zone.clock.now()));
-  issuer.client.leave();
+  t.ok(issuer.client.allowances.find('ana')?.hasReserve(zone.clock.now()));
+  issuer.client.returnReserves();
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
-  t.notOk(
-    issuer.client.allowances.find('ana')?.holdsReserve(zone.clock.now()),
-    'the leader has it',
-  );
-  t.equal(await zone.use(4000), 0);
+  t.notOk(issuer.client.allowances.find('ana')?.hasReserve(zone.clock.now()), 'the leader has it');
+  t.equal(await zone.runOperations(4000), 0);
   const successors = zone.proxies.filter(
     ({ client }) => client !== issuer.client && client.counts.issued > 0,
   );
@@ -231,74 +235,74 @@
 });
 
 void t.test('a lower limit takes reserves back', async (t) => {
-  const zone = new PlayedZone(4);
+  const zone = new TestZone(4);
   zone.limit = { ratePerSecond: 50, burst: 50 };
-  for (let count = 0; count < 200; count++) await zone.take(zone.member, 40);
+  for (let count = 0; count < 200; count++) await zone.acquire(zone.otherProxy, 40);
   zone.limit = { ratePerSecond: 1, burst: 1 };
-  await zone.use(RESERVE_LIFE_MS);
-  t.ok(zone.inReserve <= 11, 'half of the bucket of the lower limit at most');
+  await zone.runOperations(RESERVE_LEASE_MS);
+  t.ok(zone.operationsInReserve <= 11, 'half of the bucket of the lower limit at most');
   zone.stop();
 });
 
 void t.test('a tenant that the issuer does not know is granted by the leader', async (t) => {
-  const zone = new PlayedZone(4);
+  const zone = new TestZone(4);
   zone.limit = undefined;
-  t.ok(await zone.take(zone.member), 'a tenant that was just added');
-  const { byIssuer, granted } = zone.member.client.counts;
+  t.ok(await zone.acquire(zone.otherProxy), 'a tenant that was just added');
+  const { byIssuer, granted } = zone.otherProxy.client.counts;
   t.same([byIssuer, granted], [0, 1]);
   zone.limit = { ratePerSecond: 4, burst: 4 };
-  t.equal(await zone.use(4000), 0);
+  t.equal(await zone.runOperations(4000), 0);
   zone.limit = undefined;
-  t.equal(zone.inReserve, 0, 'one that was removed gets nothing of what is left');
+  t.equal(zone.operationsInReserve, 0, 'one that was removed gets nothing of what is left');
   zone.stop();
 });
 
 void t.test('proxies that are replaced in turn refuse nothing', async (t) => {
-  const zone = new PlayedZone(4);
-  let refused = await zone.use(4000);
+  const zone = new TestZone(4);
+  let refused = await zone.runOperations(4000);
   for (let index = 0; index < 4; index++) {
     zone.replace(index);
-    refused += await zone.use(1200);
+    refused += await zone.runOperations(1200);
   }
   t.equal(refused, 0);
   zone.stop();
 });
 
 void t.test('an operation that waited in vain for 200 ms comes back in time', async (t) => {
-  const zone = new PlayedZone(1);
-  const [{ client }] = zone.proxies as [PlayedProxy];
-  await zone.take(zone.proxies[0]!);
+  const zone = new TestZone(1);
+  const [{ client }] = zone.proxies as [TestProxy];
+  await zone.acquire(zone.proxies[0]!);
   const operation = new AdmittedOperation(zone.tenant, zone.clock.now());
   const before = zone.returned;
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
-  client.giveBack(operation);
+  client.returnUnused(operation);
   await zone.scheduler.runUntil(zone.scheduler.now + 60);
   t.equal(zone.returned - before, 1, '260 ms after it was counted; 350 ms are allowed');
   const late = new AdmittedOperation(zone.tenant, zone.clock.now());
   await zone.scheduler.runUntil(zone.scheduler.now + 250);
-  client.giveBack(late);
+  client.returnUnused(late);
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
   t.equal(zone.returned - before, 1, 'one that would be late is not given back');
-  zone.silent.add('leader');
-  client.giveBack(new AdmittedOperation(zone.tenant, zone.clock.now()));
-  void zone.take(zone.proxies[0]!, 0);
+  zone.unresponsive.add('leader');
+  client.returnUnused(new AdmittedOperation(zone.tenant, zone.clock.now()));
+  void zone.acquire(zone.proxies[0]!, 0);
   await zone.scheduler.runUntil(zone.scheduler.now + 600);
-  zone.silent.clear();
-  await zone.use(800);
+  zone.unresponsive.clear();
+  await zone.runOperations(800);
   t.equal(zone.returned - before, 1, 'nor is one that no leader took in time');
   zone.stop();
 });
 
 void t.test('rates leased to all issuers stay within their part of the limit', (t) => {
-  const leader = new PlayedLeader(new Map(), 0);
-  leader.ledger.noteAllKnown();
+  const leader = new QuotaLeader(new Map(), 0);
+  leader.ledger.recordAllReservesKnown();
   const limit = { ratePerSecond: 100, burst: 100 };
   const asking = { waiting: 0, returned: 0, held: 0, wantedReserve: 20, wantedRate: 20 };
   const rates = [1, 2, 3].map((run) => leader.answer(run, limit, asking, 5000, true).rate);
   t.same(rates, [20, 10, 0], '30 of 100 operations a second');
   const keeping = { ...asking, heldRate: 20, heldMost: 20 };
   t.equal(leader.answer(1, limit, keeping, 6000, true).rate, 20, 'kept');
-  const later = 6000 + RESERVE_LIFE_MS;
+  const later = 6000 + RESERVE_LEASE_MS;
   t.equal(
     leader.answer(3, limit, asking, later, true).rate,
     20,
@@ -311,17 +315,17 @@
   const log = new Map<string, number>();
   const limit = { ratePerSecond: 100, burst: 100 };
   const calm = { waiting: 0, returned: 0, held: 0, wantedReserve: 0 };
-  const before = new PlayedLeader(log, 0);
-  before.noteTold(0);
-  before.ledger.noteAllKnown();
+  const before = new QuotaLeader(log, 0);
+  before.recordReport(0);
+  before.ledger.recordAllReservesKnown();
   for (let now = 600; now < 9000; now += 100) {
     before.answer(1, limit, { ...calm, waiting: 6 }, now, true);
   }
   const refusedBy = (isFresh: boolean): number => {
-    const leader = new PlayedLeader(new Map(log), 10_000);
+    const leader = new QuotaLeader(new Map(log), 10_000);
     // All proxies started 300 ms before the leader was elected.
-    if (isFresh) leader.ledger.noteOnlyOwnSince(9700);
-    if (isFresh) leader.ledger.noteAllKnown();
+    if (isFresh) leader.ledger.recordOnlyOwnGrantsSince(9700);
+    if (isFresh) leader.ledger.recordAllReservesKnown();
     let refused = 0;
     for (let now = 10_050; now < 11_050; now += 50) {
       // Twice the usual, since callers return.
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -187,9 +187,9 @@
         const clockReadAt = clockSentAt + drawn.clockReplyDelay;
         const writer = new SharedPositions();
         const reply = { term: 1, clockMs: Math.floor(clockSentAt + drawn.leaderOffset) };
-        writer.noteClock(reply, clockReadAt + drawn.writerOffset);
+        writer.recordLeaderClock(reply, clockReadAt + drawn.writerOffset);
         const askedAt = clockReadAt + drawn.asked;
-        writer.noteOwn('g', 1, askedAt + drawn.writerOffset, POSITION);
+        writer.recordOwn('g', 1, askedAt + drawn.writerOffset, POSITION);
         const reportAt = Math.max(askedAt, clockReadAt) + 5;
         const reports = writer.takeReports(reportAt + drawn.writerOffset);
         const told = (reports[0]?.askedAt ?? 0) - drawn.leaderOffset;
@@ -212,13 +212,13 @@
 
 void t.test('positions are wanted while replicas are read and the primary is not heard', (t) => {
   const shared = new SharedPositions();
-  t.notOk(shared.isWanting(0));
-  shared.noteRead('g', 0);
-  t.ok(shared.isWanting(10));
-  shared.noteOwn('g', 1, 10, POSITION);
-  t.notOk(shared.isWanting(20), 'the primary is heard');
-  t.ok(shared.isWanting(1000), 'not any more');
-  t.notOk(shared.isWanting(4000), 'nobody reads');
+  t.notOk(shared.needsSharedPositions(0));
+  shared.recordRead('g', 0);
+  t.ok(shared.needsSharedPositions(10));
+  shared.recordOwn('g', 1, 10, POSITION);
+  t.notOk(shared.needsSharedPositions(20), 'the primary is heard');
+  t.ok(shared.needsSharedPositions(1000), 'not any more');
+  t.notOk(shared.needsSharedPositions(4000), 'nobody reads');
   t.same(shared.takeReports(20), [], 'the clock of no leader is known');
   t.end();
 });
