--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -11,18 +11,18 @@
 import { IdleConnections } from '../../src/appointed/connections/idle_connections.js';
 import { FakeConnection } from '../tools/fake_connection.js';
 import {
-  PlayedFleet,
-  PlayedLeader,
-  type PlayedStep,
-  PROXIES,
+  QuotaFleet,
+  QuotaLeader,
+  type QuotaStep,
+  PROXY_COUNT,
   RULES,
 } from '../tools/played_fleet.js';
 import { CountingConnector, poolOf } from '../tools/instance_pool.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { freshnessWithin } from '../../src/appointed/tenancy/admission.js';
+import { documentFreshnessMs } from '../../src/appointed/tenancy/admission.js';
 import {
   LEADER_OVERLAP_MS,
-  RESERVE_LIFE_MS,
+  RESERVE_LEASE_MS,
 } from '../../src/appointed/tenancy/operation_budget.js';
 import { TenantAllowance } from '../../src/appointed/tenancy/tenant_allowance.js';
 import { type OperationLimit, TenantDirectory } from '../../src/appointed/tenancy/tenant.js';
@@ -47,11 +47,11 @@
   const table = reader.read(
     documentWith([{ name: 'ana', api_keys: [SECRET], rate_per_s: 5, burst: 7 }]),
   );
-  t.match(table.tenants.holderOf(SECRET), {
+  t.match(table.tenants.findByCredential(SECRET), {
     name: 'ana',
     limit: { ratePerSecond: 5, burst: 7 },
   });
-  t.equal(table.tenants.holderOf('other'), undefined);
+  t.equal(table.tenants.findByCredential('other'), undefined);
   t.equal(table.routeByDatabase.get('db1')?.isPublic, false);
   t.equal(table.routeByDatabase.get('db2')?.isPublic, true);
   t.notMatch(inspect(table, { depth: 9, showHidden: true }) + JSON.stringify(table), SECRET);
@@ -79,7 +79,10 @@
     { kind: 'start', database: 'db1', credential: SECRET },
   ]);
   t.equal(codec.encodeError('unauthenticated', 'why'), 'ERROR UNAUTHED why\r\n');
-  t.ok(freshnessWithin(5000) < 5000 - 500, 'a leader that has a successor may answer for 500 ms');
+  t.ok(
+    documentFreshnessMs(5000) < 5000 - 500,
+    'a leader that has a successor may answer for 500 ms',
+  );
   t.end();
 });
 
@@ -92,22 +95,22 @@
   const oneIn = (count: number): fc.Arbitrary<boolean> =>
     fc.integer({ min: 1, max: count }).map((drawn) => drawn === 1);
   const step = fc.record({
-    proxy: fc.integer({ min: 0, max: PROXIES - 1 }),
+    proxy: fc.integer({ min: 0, max: PROXY_COUNT - 1 }),
     waitMs: fc.integer({ min: 0, max: 900 }),
     waiting: fc.integer({ min: 0, max: 60 }),
     wantedReserve: fc.integer({ min: 0, max: 60 }),
     wantedRate: fc.integer({ min: 0, max: 100 }),
-    isSpent: fc.boolean(),
-    isUsedUp: fc.boolean(),
+    usesWholeReserve: fc.boolean(),
+    usesLeasedRate: fc.boolean(),
     isNewLeader: oneIn(5),
     isPowerLost: oneIn(20),
-    asksFormer: fc.boolean(),
+    asksFormerLeader: fc.boolean(),
     isReplyLost: oneIn(8),
     commits: fc.integer({ min: 0, max: 9 }).map((drawn) => drawn > 0),
   });
   fc.assert(
     fc.property(limits, fc.array(step, { maxLength: 120 }), (limit, steps) => {
-      const fleet = new PlayedFleet(limit);
+      const fleet = new QuotaFleet(limit);
       for (const { waitMs, isNewLeader, isPowerLost, ...drawn } of steps) {
         if (isPowerLost) fleet.losePower(waitMs);
         else fleet.now += waitMs;
@@ -123,20 +126,20 @@
 });
 
 /** Requests of an issuer that wants all that it may get. */
-const GREEDY: PlayedStep = {
+const GREEDY_STEP: QuotaStep = {
   proxy: 0,
   waiting: 0,
   wantedReserve: 200,
   wantedRate: 200,
-  isSpent: false,
-  isUsedUp: false,
-  asksFormer: true,
+  usesWholeReserve: false,
+  usesLeasedRate: false,
+  asksFormerLeader: true,
   isReplyLost: false,
   commits: true,
 };
 const CALM_MS = 9000;
 const RUSH_MS = 7000;
-const SPACING_MS = 50;
+const STEP_INTERVAL_MS = 50;
 
 /** A rush of a tenant, and what happens around its begin. */
 interface Rush {
@@ -151,15 +154,15 @@
 }
 
 /** One request in a rush, or what an issuer uses without one. */
-function rush(fleet: PlayedFleet, proxy: number, sinceRush: number, drawn: Rush): void {
+function runRushStep(fleet: QuotaFleet, proxy: number, sinceRush: number, drawn: Rush): void {
   const sinceChange = drawn.change === 'none' ? -Infinity : sinceRush - drawn.changeAtMs;
   const isCutOff = drawn.change === 'cut' && sinceChange >= 0 && proxy < drawn.cutOff;
   const isSilent = sinceRush >= 0 && proxy > 1 && sinceRush < drawn.silentMs;
-  if (isSilent || (isCutOff && sinceChange >= drawn.cutSpendMs)) fleet.spend(proxy);
+  if (isSilent || (isCutOff && sinceChange >= drawn.cutSpendMs)) fleet.useAll(proxy);
   if (isSilent || isCutOff) return;
   const isRush = sinceRush >= 0;
   const waiting = isRush ? 400 : 0;
-  fleet.ask({ ...GREEDY, proxy, waiting, isSpent: isRush, isUsedUp: isRush });
+  fleet.ask({ ...GREEDY_STEP, proxy, waiting, usesWholeReserve: isRush, usesLeasedRate: isRush });
 }
 
 void t.test('nor does a rush at the worst moment of a change of leader or a cut', (t) => {
@@ -169,20 +172,20 @@
     leaderlessMs: fc.integer({ min: 0, max: 2000 }),
     cutOff: fc.integer({ min: 0, max: 3 }),
     cutSpendMs: fc.integer({ min: 0, max: 4000 }),
-    silentMs: fc.integer({ min: 0, max: RESERVE_LIFE_MS }),
+    silentMs: fc.integer({ min: 0, max: RESERVE_LEASE_MS }),
   });
   fc.assert(
     fc.property(limits, drawnRush, (limit, drawn) => {
-      const fleet = new PlayedFleet(limit);
+      const fleet = new QuotaFleet(limit);
       const rushAt = fleet.now + CALM_MS;
       let isChanged = drawn.change === 'none';
-      for (let turn = 0; fleet.now < rushAt + RUSH_MS; turn++) {
-        fleet.now += SPACING_MS;
+      for (let step = 0; fleet.now < rushAt + RUSH_MS; step++) {
+        fleet.now += STEP_INTERVAL_MS;
         const isDue = !isChanged && fleet.now >= rushAt + drawn.changeAtMs;
         if (isDue && drawn.change === 'power') fleet.losePower(drawn.leaderlessMs);
         if (isDue && drawn.change !== 'power') fleet.elect();
         isChanged ||= isDue;
-        rush(fleet, turn % PROXIES, fleet.now - rushAt, drawn);
+        runRushStep(fleet, step % PROXY_COUNT, fleet.now - rushAt, drawn);
       }
       return !fleet.exceedsLimit;
     }),
@@ -195,29 +198,29 @@
 void t.test(
   'reserves take nothing from requests that wait, and go back when nobody wants them',
   (t) => {
-    const leader = new PlayedLeader(new Map(), 0);
-    leader.ledger.noteAllKnown();
+    const leader = new QuotaLeader(new Map(), 0);
+    leader.ledger.recordAllReservesKnown();
     const limit = { ratePerSecond: 4, burst: 4 };
     // The rate has added nothing yet.
     const now = LEADER_OVERLAP_MS;
     const nothing = { waiting: 0, returned: 0, held: 0, wantedReserve: 0 };
     // The first request is what gives the tenant a floor in the log.
     leader.answer(1, limit, nothing, now, true);
-    const stock = leader.answer(1, limit, { ...nothing, wantedReserve: 50 }, now, true);
-    t.equal(stock.added, 5, 'of the bucket of twelve, what is above the floor');
+    const stocked = leader.answer(1, limit, { ...nothing, wantedReserve: 50 }, now, true);
+    t.equal(stocked.added, 5, 'of the bucket of twelve, what is above the floor');
     const asking = { ...nothing, waiting: 9 };
     t.equal(leader.answer(2, limit, asking, now, true).granted, 7, 'all the rest is left');
     t.equal(leader.answer(2, limit, { ...nothing, waiting: 1 }, now, true).granted, 0);
-    const idle = { ...nothing, returned: stock.added };
+    const idle = { ...nothing, returned: stocked.added };
     t.equal(leader.answer(1, limit, idle, now, true).added, 0);
     const again = { ...nothing, waiting: 20 };
-    t.equal(leader.answer(2, limit, again, now, true).granted, stock.added, 'put back');
+    t.equal(leader.answer(2, limit, again, now, true).granted, stocked.added, 'put back');
     t.end();
   },
 );
 
 void t.test('a tenant below its limit gets everything at once, also through many proxies', (t) => {
-  const leader = new PlayedLeader(new Map(), 0);
+  const leader = new QuotaLeader(new Map(), 0);
   const limit = { ratePerSecond: 4, burst: 4 };
   let refused = 0;
   for (let now = 0; now < 60_000; now += 400) {
@@ -237,25 +240,33 @@
   const log = new Map<string, number>();
   const limit = { ratePerSecond: 100, burst: 100 };
   const nothing = { waiting: 0, returned: 0, held: 0, wantedReserve: 0 };
-  const first = new PlayedLeader(log, 0);
-  first.ledger.noteAllKnown();
+  const first = new QuotaLeader(log, 0);
+  first.ledger.recordAllReservesKnown();
   first.answer(1, limit, nothing, 9000, true);
   const { added } = first.answer(1, limit, { ...nothing, wantedReserve: 20 }, 9000, true);
   t.equal(added, 20);
   const wanting = { ...nothing, wantedReserve: 20 };
-  const cold = new PlayedLeader(log, 10_000);
-  t.equal(cold.answer(2, limit, wanting, 10_900, true).added, 0, 'the first proxy is unknown');
-  const told = new PlayedLeader(log, 10_000);
-  told.answer(1, limit, { ...nothing, held: 20, wantedReserve: 20 }, 10_100, true);
-  told.ledger.noteAllKnown();
-  t.equal(told.answer(2, limit, wanting, 10_900, true).added, 20, 'all have told');
-  const later = 10_000 + LEADER_OVERLAP_MS + RESERVE_LIFE_MS;
-  t.equal(cold.answer(2, limit, wanting, later, true).added, 20, 'what was unknown has ended');
+  const uninformed = new QuotaLeader(log, 10_000);
+  t.equal(
+    uninformed.answer(2, limit, wanting, 10_900, true).added,
+    0,
+    'the first proxy is unknown',
+  );
+  const informed = new QuotaLeader(log, 10_000);
+  informed.answer(1, limit, { ...nothing, held: 20, wantedReserve: 20 }, 10_100, true);
+  informed.ledger.recordAllReservesKnown();
+  t.equal(informed.answer(2, limit, wanting, 10_900, true).added, 20, 'all have told');
+  const later = 10_000 + LEADER_OVERLAP_MS + RESERVE_LEASE_MS;
+  t.equal(
+    uninformed.answer(2, limit, wanting, later, true).added,
+    20,
+    'what was unknown has ended',
+  );
   t.end();
 });
 
 /** Load of one large tenant: 220 operations a second of 350, through 63 proxies; returns how many were refused. */
-function refusedAfter(leader: PlayedLeader, from: number, forMs: number): number {
+function refusedAfter(leader: QuotaLeader, from: number, forMs: number): number {
   const limit = { ratePerSecond: 350, burst: 350 };
   let refused = 0;
   for (let count = 0; count < (forMs * 220) / 1000; count++) {
@@ -268,23 +279,23 @@
 
 void t.test('a new leader grants at once what a tenant below its limit needs', (t) => {
   const log = new Map<string, number>();
-  t.equal(refusedAfter(new PlayedLeader(log, 0), 0, 10_000), 0);
+  t.equal(refusedAfter(new QuotaLeader(log, 0), 0, 10_000), 0);
   // Nothing of the first leader is left but the log, as after a loss of all power.
-  const successor = new PlayedLeader(log, 12_000);
+  const successor = new QuotaLeader(log, 12_000);
   t.equal(refusedAfter(successor, 12_000, 5000), 0, 'with a bucket that begins empty it was 121');
   t.end();
 });
 
 /** Operations of one tenant come through all proxies by chance; returns the shares that were refused and asked one by one. */
-function playProxies(limit: OperationLimit, perSecond: number, proxies: number): [number, number] {
+function runProxies(limit: OperationLimit, perSecond: number, proxies: number): [number, number] {
   const random = new SeededRandom(3);
-  const leader = new PlayedLeader(new Map(), 0);
-  leader.ledger.noteAllKnown();
+  const leader = new QuotaLeader(new Map(), 0);
+  leader.ledger.recordAllReservesKnown();
   const allowances = Array.from({ length: proxies }, () => new TenantAllowance('ana', 0));
   let [asked, refused, direct] = [0, 0, 0];
   const ask = (proxy: number, waiting: number, now: number): number => {
     const allowance = allowances[proxy]!;
-    const demand = { ...allowance.ask(now), waiting };
+    const demand = { ...allowance.prepareDemand(now), waiting };
     const answer = leader.answer(proxy, limit, demand, now, true);
     allowance.addReserve(answer, now, now);
     return answer.granted;
@@ -294,8 +305,8 @@
       const proxy = random.integer(0, proxies - 1);
       const allowance = allowances[proxy]!;
       asked++;
-      allowance.note(limit, RULES, now);
-      if (!allowance.takeReserve(now)) {
+      allowance.recordRequests(limit, RULES, now);
+      if (!allowance.takeFromReserve(now)) {
         direct++;
         refused += 1 - ask(proxy, 1, now);
       }
@@ -303,16 +314,16 @@
     // Every proxy has operations of other tenants, so it asks now and then whatever this tenant does.
     if (now % 150 !== 0) continue;
     for (let proxy = 0; proxy < proxies; proxy++) {
-      if (allowances[proxy]!.wantsReserve(now)) ask(proxy, 0, now);
+      if (allowances[proxy]!.shouldRequestReserve(now)) ask(proxy, 0, now);
     }
   }
   return [refused / asked, direct / asked];
 }
 
 void t.test('reserves of proxies that a tenant rarely uses cost it no operations', (t) => {
-  const [small] = playProxies({ ratePerSecond: 2.56, burst: 2.56 }, 1.9, 63);
+  const [small] = runProxies({ ratePerSecond: 2.56, burst: 2.56 }, 1.9, 63);
   t.equal(small, 0, 'three quarters of a small limit');
-  const [large, direct] = playProxies({ ratePerSecond: 350, burst: 350 }, 220, 63);
+  const [large, direct] = runProxies({ ratePerSecond: 350, burst: 350 }, 220, 63);
   t.equal(large, 0, 'a large one');
   t.ok(direct < 0.2, `${direct} of its operations wait for an answer of the leader`);
   t.end();
