--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -6,7 +6,7 @@
 import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import { Events } from '../../observability/events.js';
 import type { InstanceConnector } from '../instance/instance_connection.js';
-import { stopGracefully } from '../proxy/planned_stop.js';
+import { stopGracefully } from '../proxy/graceful_stop.js';
 import type { PlacementRules } from '../placement/placement_rules.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
 import { AppointedProxy } from '../proxy/appointed_proxy.js';
--- a/src/appointed/proxy/appointed_proxy.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -20,7 +20,7 @@
 import { AllowanceClient } from '../tenancy/allowance_client.js';
 import { EvacuatedZones } from '../placement/evacuated_zones.js';
 import { SlowStartGate } from '../placement/slow_start_gate.js';
-import { IssuerSelector } from '../tenancy/issuer_choice.js';
+import { IssuerSelector } from '../tenancy/issuer_selector.js';
 import type { PlacementRules } from '../placement/placement_rules.js';
 import type { QuotaRules } from '../tenancy/operation_budget.js';
 import { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
--- a/src/appointed/proxy/control_client.ts
+++ b/src/appointed/proxy/control_client.ts
@@ -4,7 +4,7 @@
  * of requests; relies on control, which may be out of reach: then the leader is searched.
  */
 import type { Runtime } from '../../runtime/runtime.js';
-import { ControlAddresses } from './known_controls.js';
+import { ControlAddresses } from './control_addresses.js';
 import { LeaderSearch } from './leader_search.js';
 import { type ExchangeOptions, SyncExchange } from './sync_exchange.js';
 import type { SyncParticipant } from './sync_participant.js';
--- a/src/appointed/proxy/control_synchronisation.ts
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -7,7 +7,7 @@
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Runtime } from '../../runtime/runtime.js';
 import type { SlowStartGate } from '../placement/slow_start_gate.js';
-import type { IssuerSelector } from '../tenancy/issuer_choice.js';
+import type { IssuerSelector } from '../tenancy/issuer_selector.js';
 import type { PrimaryHealthTrackers } from '../trust/primary_health_trackers.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import { ControlClient } from './control_client.js';
--- a/src/appointed/proxy/leader_search.ts
+++ b/src/appointed/proxy/leader_search.ts
@@ -9,7 +9,7 @@
  * row requests go through other proxies too. A search ends when the leader answered, or after {@link SEARCH_DURATION_MS}.
  */
 import { type Runtime, delay } from '../../runtime/runtime.js';
-import type { ControlAddresses } from './known_controls.js';
+import type { ControlAddresses } from './control_addresses.js';
 import type { ExchangeOptions, ExchangeOutcome, SyncExchange } from './sync_exchange.js';
 import type { SyncParticipant } from './sync_participant.js';
 
--- a/src/appointed/proxy/sync_exchange.ts
+++ b/src/appointed/proxy/sync_exchange.ts
@@ -5,7 +5,7 @@
 import { messageOf } from '../../errors/errors.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { MessageBody, Runtime } from '../../runtime/runtime.js';
-import type { ControlAddresses } from './known_controls.js';
+import type { ControlAddresses } from './control_addresses.js';
 import type { SyncContent, SyncParticipant } from './sync_participant.js';
 
 /** What became of one request. */
--- a/src/appointed/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -6,7 +6,10 @@
 import { Events } from '../../observability/events.js';
 import type { AdmittedOperation } from './admitted_operation.js';
 import { AllowanceRequests } from './allowance_requests.js';
-import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import type {
+  AllowanceClientDependencies,
+  OperationCounts,
+} from './allowance_client_dependencies.js';
 import { IssuerRequests } from './issuer_requests.js';
 import { IssuerService } from './issuer_service.js';
 import { LimitRefusals } from './limit_refusals.js';
--- a/src/appointed/tenancy/allowance_surroundings.ts
+++ b/src/appointed/tenancy/allowance_client_dependencies.ts
@@ -1,7 +1,7 @@
 /** What the proxy's side of the limit on operations needs of its proxy. The leader may be unknown or not answer. */
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { Runtime } from '../../runtime/runtime.js';
-import type { IssuerSelector } from './issuer_choice.js';
+import type { IssuerSelector } from './issuer_selector.js';
 import type { QuotaRules } from './operation_budget.js';
 import type { OperationLimit } from './tenant.js';
 
--- a/src/appointed/tenancy/allowance_exchange.ts
+++ b/src/appointed/tenancy/allowance_exchange.ts
@@ -6,8 +6,8 @@
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceClientDependencies } from './allowance_surroundings.js';
-import { AdaptiveTimeout } from './answer_time.js';
+import type { AllowanceClientDependencies } from './allowance_client_dependencies.js';
+import { AdaptiveTimeout } from './adaptive_timeout.js';
 import { LEADER_OVERLAP_MS, RESERVE_LEASE_MS, GRANT_VALIDITY_MS } from './operation_budget.js';
 
 /** Connection of usual requests. */
--- a/src/appointed/tenancy/allowance_requests.ts
+++ b/src/appointed/tenancy/allowance_requests.ts
@@ -6,7 +6,10 @@
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { type Timer, delay } from '../../runtime/runtime.js';
 import { AllowanceExchange } from './allowance_exchange.js';
-import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import type {
+  AllowanceClientDependencies,
+  OperationCounts,
+} from './allowance_client_dependencies.js';
 import type { LimitRefusals } from './limit_refusals.js';
 import { RETURN_BATCH_WINDOW_MS, GRANT_VALIDITY_MS } from './operation_budget.js';
 import type { TenantAllowance } from './tenant_allowance.js';
--- a/src/appointed/tenancy/issuer_requests.ts
+++ b/src/appointed/tenancy/issuer_requests.ts
@@ -5,9 +5,12 @@
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
-import { AdaptiveTimeout } from './answer_time.js';
-import type { IssuerSelector } from './issuer_choice.js';
+import type {
+  AllowanceClientDependencies,
+  OperationCounts,
+} from './allowance_client_dependencies.js';
+import { AdaptiveTimeout } from './adaptive_timeout.js';
+import type { IssuerSelector } from './issuer_selector.js';
 import type { LimitRefusals } from './limit_refusals.js';
 import { GRANT_VALIDITY_MS } from './operation_budget.js';
 import { GRANTED, type TenantAllowance, type WaitingOperation } from './tenant_allowance.js';
--- a/src/appointed/tenancy/issuer_service.ts
+++ b/src/appointed/tenancy/issuer_service.ts
@@ -7,7 +7,10 @@
  * so that one written before a freeze counts for nothing after it.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
-import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import type {
+  AllowanceClientDependencies,
+  OperationCounts,
+} from './allowance_client_dependencies.js';
 import type { TenantAllowances } from './tenant_allowances.js';
 
 /** Most operations of one tenant that one request may ask for (a count): a check of what is decoded. Guess, not measured. */
--- a/src/appointed/tenancy/limit_refusals.ts
+++ b/src/appointed/tenancy/limit_refusals.ts
@@ -4,7 +4,10 @@
  */
 import { Events } from '../../observability/events.js';
 import { overLimitRetryMs } from '../routing/retry_after.js';
-import type { AllowanceClientDependencies, OperationCounts } from './allowance_surroundings.js';
+import type {
+  AllowanceClientDependencies,
+  OperationCounts,
+} from './allowance_client_dependencies.js';
 import type { GrantResult, TenantAllowance } from './tenant_allowance.js';
 
 /** Time between two log lines for one tenant, in milliseconds: one line a second can be read. Guess, not measured. */
--- a/test/unit/allowance_client.test.ts
+++ b/test/unit/allowance_client.test.ts
@@ -6,7 +6,7 @@
 import type { Messenger } from '../../src/runtime/runtime.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { AllowanceClient } from '../../src/appointed/tenancy/allowance_client.js';
-import { IssuerSelector } from '../../src/appointed/tenancy/issuer_choice.js';
+import { IssuerSelector } from '../../src/appointed/tenancy/issuer_selector.js';
 import type { GrantResult } from '../../src/appointed/tenancy/tenant_allowance.js';
 
 const RULES = { windowMs: 5000, overage: 0.1, tolerance: 20 };
--- a/test/unit/issuers.test.ts
+++ b/test/unit/issuers.test.ts
@@ -7,7 +7,7 @@
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 import { AdmittedOperation } from '../../src/appointed/tenancy/admitted_operation.js';
 import { AllowanceClient } from '../../src/appointed/tenancy/allowance_client.js';
-import { IssuerSelector } from '../../src/appointed/tenancy/issuer_choice.js';
+import { IssuerSelector } from '../../src/appointed/tenancy/issuer_selector.js';
 import {
   RESERVE_LEASE_MS,
   GRANT_VALIDITY_MS,
@@ -17,7 +17,7 @@
 import { fromWireRate, toLeasedWireRate } from '../../src/appointed/tenancy/wire_rate.js';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
-import { QuotaLeader, RULES } from '../tools/played_fleet.js';
+import { QuotaLeader, RULES } from '../tools/quota_fleet.js';
 
 const ZONE = 'zone-1';
 const NETWORK_DELAY_MS = 1;
--- a/test/unit/tenancy.test.ts
+++ b/test/unit/tenancy.test.ts
@@ -16,7 +16,7 @@
   type QuotaStep,
   PROXY_COUNT,
   RULES,
-} from '../tools/played_fleet.js';
+} from '../tools/quota_fleet.js';
 import { CountingConnector, poolOf } from '../tools/instance_pool.js';
 import { SeededRandom } from '../../src/runtime/seeded_random.js';
 import { documentFreshnessMs } from '../../src/appointed/tenancy/admission.js';
