--- a/lab/appointed/appointed_nodes.ts
+++ b/lab/appointed/appointed_nodes.ts
@@ -136,7 +136,7 @@
   constructor(
     name: string,
     private readonly address: string,
-    private readonly voters: number,
+    private readonly voterCount: number,
     surroundings: AppointedSurroundings,
   ) {
     super(name, address, surroundings);
@@ -154,7 +154,7 @@
       address: this.address,
       seeds: surroundings.seeds,
       isFirstStart: this.isFirstStart,
-      voters: this.voters,
+      voterCount: this.voterCount,
       connector: surroundings.connectorFor(process),
       appointer: surroundings.appointerFor(process),
       log: logInto(surroundings, this.name),
@@ -177,7 +177,9 @@
 }
 
 /** A route as documents of the simulation write it. */
-export type WrittenRoute = Omit<Route, 'homes'> & { readonly homes?: readonly string[] };
+export type WrittenRoute = Omit<Route, 'allowedRegions'> & {
+  readonly allowedRegions?: readonly string[];
+};
 
 /** Routing documents of the simulation: JSON of the product's own route table. */
 export class SimulatedDocumentReader implements RoutingDocumentReader {
@@ -205,7 +207,8 @@
   }
 
   private readRoute(route: WrittenRoute): Route {
-    const homes = this.readsHomes && route.homes ? new Set(route.homes) : undefined;
-    return { ...route, homes };
+    const allowedRegions =
+      this.readsHomes && route.allowedRegions ? new Set(route.allowedRegions) : undefined;
+    return { ...route, allowedRegions };
   }
 }
--- a/lab/appointed/appointed_world.ts
+++ b/lab/appointed/appointed_world.ts
@@ -283,9 +283,9 @@
       POLICIES.map((policy): [string, WrittenRoute] => {
         const database = databaseOf(group, policy);
         const { residency } = this.deployment;
-        const homes = residency?.group === group ? [...residency.homes] : undefined;
+        const allowedRegions = residency?.group === group ? [...residency.homes] : undefined;
         const route: WrittenRoute = {
-          homes,
+          allowedRegions,
           name: database,
           database,
           group,
--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -50,7 +50,7 @@
   }
 
   /** Holder and fencing token of the appointment lease, which the stored data calls duty. */
-  get duty(): Readonly<whinyoke.IDutyEntry> {
+  get appointmentLeaseEntry(): Readonly<whinyoke.IDutyEntry> {
     return this.currentLease;
   }
 
@@ -83,8 +83,8 @@
   }
 
   /** Log index since which the present incarnation of an instance counts; 0 for the first one. */
-  incarnationBegan(id: string): number {
-    return this.instanceTable.incarnationBegan(id);
+  incarnationStartIndex(id: string): number {
+    return this.instanceTable.incarnationStartIndex(id);
   }
 
   /** Log index since which whoever knows the catalog finds an instance; later than that after a restored snapshot. */
@@ -138,7 +138,7 @@
   }
 
   /** Other present instances at the address of an instance. */
-  othersAt({ id, address }: InstanceEntry): readonly InstanceEntry[] {
+  otherInstancesAt({ id, address }: InstanceEntry): readonly InstanceEntry[] {
     return this.presentInstances.filter((other) => other.address === address && other.id !== id);
   }
 
@@ -167,7 +167,7 @@
   apply(index: number, command: Uint8Array): Uint8Array {
     const decoded = whinyoke.CatalogCommand.decode(command);
     const isChanged = this.applyCommand(index, decoded);
-    if (isChanged && isForProxies(decoded)) {
+    if (isChanged && affectsProxies(decoded)) {
       this.currentVersion = index;
       this.notify();
     }
@@ -270,7 +270,7 @@
   /** After a `finished` order the instances of its zone are used again; entry `index` is the one since which they are. */
   private putEvacuation(index: number, order: whinyoke.IEvacuationOrder): boolean {
     const change = this.evacuationTable.put(index, order);
-    if (change === 'finished') this.instanceTable.cool(order.zone ?? '', index);
+    if (change === 'finished') this.instanceTable.markZoneCold(order.zone ?? '', index);
     return change !== 'none';
   }
 
@@ -286,15 +286,11 @@
 }
 
 /** Kinds of commands that proxies have to know of. */
-const FOR_PROXIES: ReadonlySet<string> = new Set<NonNullable<whinyoke.CatalogCommand['kind']>>([
-  'putDocument',
-  'putInstance',
-  'putGroup',
-  'putEvacuation',
-  'setSlowStartHolder',
-]);
+const PROXY_VISIBLE_COMMANDS: ReadonlySet<string> = new Set<
+  NonNullable<whinyoke.CatalogCommand['kind']>
+>(['putDocument', 'putInstance', 'putGroup', 'putEvacuation', 'setSlowStartHolder']);
 
 /** Whether proxies have to know of a command; registrations of proxies and the appointment lease concern control only. */
-function isForProxies(command: whinyoke.CatalogCommand): boolean {
-  return FOR_PROXIES.has(command.kind ?? '');
+function affectsProxies(command: whinyoke.CatalogCommand): boolean {
+  return PROXY_VISIBLE_COMMANDS.has(command.kind ?? '');
 }
--- a/src/appointed/catalog/coldness.ts
+++ b/src/appointed/catalog/coldness.ts
@@ -14,30 +14,34 @@
 type Entry = Readonly<whinyoke.IInstanceEntry>;
 
 /** Fields of an entry that this module decides. */
-export type Coldness = Pick<
+export type ColdState = Pick<
   whinyoke.IInstanceEntry,
   'isCold' | 'coldSince' | 'holder' | 'holderIncarnation' | 'holderAddress'
 >;
 
 /** Whether `told` is of another incarnation than `known`; one that does not tell when it was born is not. */
-export function isOtherIncarnation(known: Entry, told: Entry): boolean {
-  if ((told.incarnation ?? 0) > (known.incarnation ?? 0)) return true;
-  const isBornAgain = (told.born ?? 0) !== (known.born ?? 0);
-  return isBornAgain && (told.born ?? 0) !== 0;
+export function isOtherIncarnation(known: Entry, reported: Entry): boolean {
+  if ((reported.incarnation ?? 0) > (known.incarnation ?? 0)) return true;
+  const hasRestarted = (reported.born ?? 0) !== (known.born ?? 0);
+  return hasRestarted && (reported.born ?? 0) !== 0;
 }
 
-function coldSince(known: Entry | undefined, told: Entry, index: number): number {
-  const isNew = !known || isOtherIncarnation(known, told);
+function coldSince(known: Entry | undefined, reported: Entry, index: number): number {
+  const isNew = !known || isOtherIncarnation(known, reported);
   if (!isNew && known.isCold) {
-    const isOver = !told.isCold && told.coldSince === known.coldSince;
-    return isOver ? 0 : (known.coldSince ?? 0);
+    const hasEnded = !reported.isCold && reported.coldSince === known.coldSince;
+    return hasEnded ? 0 : (known.coldSince ?? 0);
   }
-  return told.isCold ? index : 0;
+  return reported.isCold ? index : 0;
 }
 
 /** Coldness of an instance after an entry. */
-export function coldnessAfter(known: Entry | undefined, told: Entry, index: number): Coldness {
-  const since = coldSince(known, told, index);
+export function coldStateAfter(
+  known: Entry | undefined,
+  reported: Entry,
+  index: number,
+): ColdState {
+  const since = coldSince(known, reported, index);
   const { holder, holderIncarnation, holderAddress } = known ?? {};
   return { isCold: since > 0, coldSince: since, holder, holderIncarnation, holderAddress };
 }
--- a/src/appointed/catalog/group_table.ts
+++ b/src/appointed/catalog/group_table.ts
@@ -45,20 +45,20 @@
 
   /** Begins the next epoch of a group; returns whether it was the next one. */
   put(index: number, group: whinyoke.IGroupEntry): boolean {
-    const present = this.entries.get(group.group ?? '');
-    if (group.epoch !== (present?.epoch ?? 0) + 1) return false;
+    const current = this.entries.get(group.group ?? '');
+    if (group.epoch !== (current?.epoch ?? 0) + 1) return false;
     const isSteady = group.phase !== whinyoke.GroupPhase.CHANGING;
-    const steadySince = isSteady ? index : present?.steadySince;
+    const steadySince = isSteady ? index : current?.steadySince;
     this.set({ ...group, version: index, steadySince });
     return true;
   }
 
   /** Names the instance that is to be appointed in the present epoch; returns whether the epoch was the present one. */
   setTarget(choice: whinyoke.IGroupEntry): boolean {
-    const present = this.entries.get(choice.group ?? '');
-    if (!present || present.epoch !== choice.epoch) return false;
-    const { target, targetIncarnation, leastPosition = present.leastPosition } = choice;
-    this.set({ ...present, target, targetIncarnation, leastPosition });
+    const current = this.entries.get(choice.group ?? '');
+    if (!current || current.epoch !== choice.epoch) return false;
+    const { target, targetIncarnation, leastPosition = current.leastPosition } = choice;
+    this.set({ ...current, target, targetIncarnation, leastPosition });
     return true;
   }
 
--- a/src/appointed/catalog/incarnation_order.ts
+++ b/src/appointed/catalog/incarnation_order.ts
@@ -16,26 +16,27 @@
 /** How an entry stands to what is known of its instance. */
 export type EntryOrder = 'same' | 'next' | 'late';
 
-type Told = Readonly<whinyoke.IInstanceEntry>;
+type Entry = Readonly<whinyoke.IInstanceEntry>;
 
 /** Judges an entry against the known one of the same instance. */
-export function orderOf(known: Told, told: Told): EntryOrder {
-  const knownBorn = known.born ?? 0;
-  const born = told.born ?? 0;
-  if (born === 0 || born === knownBorn) return orderWithin(known, told);
-  if (knownBorn === 0) return beginsToTell(known, told);
-  if (born > knownBorn) return 'next';
-  return told.incarnation === (known.incarnation ?? 0) + 1 ? 'next' : 'late';
+export function classifyEntry(known: Entry, reported: Entry): EntryOrder {
+  const knownStartedAt = known.born ?? 0;
+  const startedAt = reported.born ?? 0;
+  if (startedAt === 0 || startedAt === knownStartedAt)
+    return classifyWithinIncarnation(known, reported);
+  if (knownStartedAt === 0) return classifyFirstStartTime(known, reported);
+  if (startedAt > knownStartedAt) return 'next';
+  return reported.incarnation === (known.incarnation ?? 0) + 1 ? 'next' : 'late';
 }
 
 /** Order of two entries of one incarnation. */
-function orderWithin(known: Told, told: Told): EntryOrder {
-  const isLate = (told.sequence ?? 0) < (known.sequence ?? 0);
+function classifyWithinIncarnation(known: Entry, reported: Entry): EntryOrder {
+  const isLate = (reported.sequence ?? 0) < (known.sequence ?? 0);
   return isLate || known.state === InstanceState.GONE ? 'late' : 'same';
 }
 
 /** Order of the first entry that tells `born`. */
-function beginsToTell(known: Told, told: Told): EntryOrder {
-  const order = orderWithin(known, told);
+function classifyFirstStartTime(known: Entry, reported: Entry): EntryOrder {
+  const order = classifyWithinIncarnation(known, reported);
   return order === 'late' && known.state !== InstanceState.GONE ? 'next' : order;
 }
--- a/src/appointed/catalog/instance_table.ts
+++ b/src/appointed/catalog/instance_table.ts
@@ -5,13 +5,13 @@
  * on nothing that can fail.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
-import { orderOf } from './incarnation_order.js';
-import { coldnessAfter } from './coldness.js';
+import { classifyEntry } from './incarnation_order.js';
+import { coldStateAfter } from './coldness.js';
 
 const { InstanceState } = whinyoke;
 
 /** Instances that are gone are remembered, so that a late heartbeat does not bring them back. A guess, not measured. */
-const MAXIMUM_REMEMBERED_GONE = 500;
+const MAX_REMEMBERED_GONE_INSTANCES = 500;
 
 /** An immutable instance of the catalog. */
 export type InstanceEntry = Readonly<whinyoke.IInstanceEntry>;
@@ -23,7 +23,7 @@
 export class InstanceTable {
   private readonly entries = new Map<string, InstanceEntry>();
   /** Instances that are not in their first incarnation. */
-  private readonly begun = new Map<string, IncarnationEntry>();
+  private readonly restartedIncarnations = new Map<string, IncarnationEntry>();
   /**
    * Since which log index each instance is where it is, as far as this process has seen; what control appoints beside proxies
    * out of reach depends on it, no replicated state does.
@@ -58,8 +58,8 @@
   }
 
   /** Log index since which the present incarnation of an instance counts; 0 for the first one. */
-  incarnationBegan(id: string): number {
-    return this.begun.get(id)?.beganAt ?? 0;
+  incarnationStartIndex(id: string): number {
+    return this.restartedIncarnations.get(id)?.beganAt ?? 0;
   }
 
   /**
@@ -72,7 +72,7 @@
 
   /** Instances that are not in their first incarnation. */
   get incarnations(): readonly IncarnationEntry[] {
-    return [...this.begun.values()];
+    return [...this.restartedIncarnations.values()];
   }
 
   /**
@@ -93,31 +93,35 @@
   put(index: number, instance: whinyoke.IInstanceEntry): boolean {
     const id = instance.id ?? '';
     const known = this.entries.get(id);
-    const order = known ? orderOf(known, instance) : 'same';
+    const order = known ? classifyEntry(known, instance) : 'same';
     if (order === 'late') return false;
     let incarnation = known?.incarnation ?? 0;
     if (order === 'next') {
       incarnation++;
-      this.begun.set(id, { instance: id, beganAt: index, formerGroup: known?.group ?? '' });
+      this.restartedIncarnations.set(id, {
+        instance: id,
+        beganAt: index,
+        formerGroup: known?.group ?? '',
+      });
     }
-    const isMoved = order === 'next' || !known || !isAtSamePlace(known, instance);
-    this.placed.set(id, isMoved ? index : this.placedSince(id));
+    const hasMoved = order === 'next' || !known || !hasSameLocation(known, instance);
+    this.placed.set(id, hasMoved ? index : this.placedSince(id));
     const born = instance.born || known?.born || 0;
     // Fields with default values are kept by the message's prototype only.
-    const coldness = coldnessAfter(known, instance, index);
-    const told = { ...instance, ...coldness, version: index, born, incarnation };
-    this.entries.set(id, whinyoke.InstanceEntry.create(told));
+    const coldState = coldStateAfter(known, instance, index);
+    const updated = { ...instance, ...coldState, version: index, born, incarnation };
+    this.entries.set(id, whinyoke.InstanceEntry.create(updated));
     this.forgetOldest();
     return true;
   }
 
   /** The instances of a zone are cold from a log index on: its evacuation has ended. Returns whether there are any. */
-  cool(zone: string, index: number): boolean {
-    const cooled = this.present.filter((instance) => instance.zone === zone);
-    for (const instance of cooled) {
+  markZoneCold(zone: string, index: number): boolean {
+    const coldInstances = this.present.filter((instance) => instance.zone === zone);
+    for (const instance of coldInstances) {
       this.replace({ ...instance, isCold: true, coldSince: index, version: index });
     }
-    return cooled.length > 0;
+    return coldInstances.length > 0;
   }
 
   /** Names the proxy that may send to a cold instance; returns whether the one that it follows was the present one. */
@@ -139,12 +143,12 @@
     this.entries.clear();
     this.placed.clear();
     for (const item of instances) this.entries.set(item.id ?? '', item);
-    this.begun.clear();
-    for (const item of incarnations) this.begun.set(item.instance ?? '', item);
+    this.restartedIncarnations.clear();
+    for (const item of incarnations) this.restartedIncarnations.set(item.instance ?? '', item);
   }
 
   private hasMovedSince(id: string, group: string, version: number): boolean {
-    const { formerGroup, beganAt } = this.begun.get(id) ?? {};
+    const { formerGroup, beganAt } = this.restartedIncarnations.get(id) ?? {};
     return formerGroup === group && (beganAt ?? 0) > version;
   }
 
@@ -155,18 +159,19 @@
 
   private forgetOldest(): void {
     const gone = this.all.filter((instance) => instance.state === InstanceState.GONE);
-    const excess = gone.slice(0, Math.max(0, gone.length - MAXIMUM_REMEMBERED_GONE));
+    const excess = gone.slice(0, Math.max(0, gone.length - MAX_REMEMBERED_GONE_INSTANCES));
     for (const instance of excess) {
       this.forgottenIndex = Math.max(this.forgottenIndex, instance.version ?? 0);
       this.entries.delete(instance.id ?? '');
-      this.begun.delete(instance.id ?? '');
+      this.restartedIncarnations.delete(instance.id ?? '');
       this.placed.delete(instance.id ?? '');
     }
   }
 }
 
 /** Whether whoever knows the one entry finds the instance of the other: an older program may not use one in a state that it lacks. */
-function isAtSamePlace(known: InstanceEntry, told: whinyoke.IInstanceEntry): boolean {
-  const isSameState = (known.state ?? InstanceState.READY) === (told.state ?? InstanceState.READY);
-  return isSameState && known.group === told.group && known.address === told.address;
+function hasSameLocation(known: InstanceEntry, updated: whinyoke.IInstanceEntry): boolean {
+  const isSameState =
+    (known.state ?? InstanceState.READY) === (updated.state ?? InstanceState.READY);
+  return isSameState && known.group === updated.group && known.address === updated.address;
 }
--- a/src/appointed/catalog/newest_document.ts
+++ b/src/appointed/catalog/newest_document.ts
@@ -12,7 +12,7 @@
 /** Document of one control machine. */
 export class NewestDocument {
   private readVersion = 0;
-  private known: RouteTable | undefined;
+  private lastTable: RouteTable | undefined;
 
   constructor(
     private readonly catalog: Catalog,
@@ -27,12 +27,12 @@
       this.readVersion = documentVersion;
       this.read(document);
     }
-    return this.known;
+    return this.lastTable;
   }
 
   private read(document: NonNullable<Catalog['document']>): void {
     try {
-      this.known = this.reader.read(inflateSource(document));
+      this.lastTable = this.reader.read(inflateSource(document));
     } catch (error) {
       const version = this.readVersion;
       this.log(Events.documentUnreadable, { version, reason: messageOf(error) });
--- a/src/appointed/catalog/route_table.ts
+++ b/src/appointed/catalog/route_table.ts
@@ -32,7 +32,7 @@
   /** Whether callers need no credential. */
   readonly isPublic: boolean;
   /** Regions to which its requests are bound; undefined where they may be served anywhere. */
-  readonly homes?: ReadonlySet<string> | undefined;
+  readonly allowedRegions?: ReadonlySet<string> | undefined;
 }
 
 /** How many requests a cold instance may be given. */
--- a/src/appointed/catalog/usable_instance.ts
+++ b/src/appointed/catalog/usable_instance.ts
@@ -16,13 +16,13 @@
 const { InstanceState } = whinyoke;
 
 /** Why an entry names no instance to use. */
-type UnusedReason = 'no id' | 'no address' | 'gone' | 'unknown state' | 'service not named';
+type UnusableReason = 'no id' | 'no address' | 'gone' | 'unknown state' | 'service not named';
 
 /** Why an entry names no instance to use; undefined when it names one. */
-export function unusedReason(
+export function unusableReason(
   { id, address, state, group }: InstanceEntry,
   table: RouteTable | undefined,
-): UnusedReason | undefined {
+): UnusableReason | undefined {
   if (!id) return 'no id';
   if (!isAddress(address ?? '')) return 'no address';
   if (state === InstanceState.GONE) return 'gone';
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -7,7 +7,7 @@
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { RouteTable } from '../catalog/route_table.js';
-import { unusedReason } from '../catalog/usable_instance.js';
+import { unusableReason } from '../catalog/usable_instance.js';
 import { Events } from '../../observability/events.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { ConnectionOwners, type OwnedInstance } from '../relay/connection_owners.js';
@@ -130,7 +130,7 @@
     const table = this.surroundings.table();
     const usable = new Map<string, InstanceEntry>();
     for (const [id, instance] of this.entries) {
-      const reason = unusedReason(instance, table);
+      const reason = unusableReason(instance, table);
       if (reason === undefined) usable.set(id, instance);
       else this.surroundings.log(Events.instanceUnused, { instance: id, reason });
     }
--- a/src/appointed/control/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -22,7 +22,7 @@
  * A holder of the address that was silent for longer is gone, in milliseconds: instances send one about every 1.2 s,
  * so two of its heartbeats are missing. A guess, not measured.
  */
-const HOLDER_SILENCE_MS = 3000;
+const HOLDER_TIMEOUT_MS = 3000;
 /** Time to open a connection to the address, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
@@ -36,18 +36,18 @@
   ) {}
 
   /** Whether a newcomer may take its address over from the instance that holds it. */
-  async examine(newcomer: InstanceEntry): Promise<ClaimOutcome> {
+  async evaluate(claimant: InstanceEntry): Promise<ClaimOutcome> {
     const now = this.clock.now();
-    const [holder] = this.catalog.othersAt(newcomer);
-    const isHeld =
-      holder !== undefined && this.monitor.age(holder.id ?? '', now) < HOLDER_SILENCE_MS;
-    return isHeld ? this.ask(newcomer) : 'granted';
+    const [holder] = this.catalog.otherInstancesAt(claimant);
+    const isHolderAlive =
+      holder !== undefined && this.monitor.age(holder.id ?? '', now) < HOLDER_TIMEOUT_MS;
+    return isHolderAlive ? this.verifyByConnecting(claimant) : 'granted';
   }
 
   /** An instance opens a connection only for its own identifier. */
-  private async ask(newcomer: InstanceEntry): Promise<ClaimOutcome> {
+  private async verifyByConnecting(claimant: InstanceEntry): Promise<ClaimOutcome> {
     try {
-      const { connection } = await this.connector.connect(targetOf(newcomer), CONNECT_TIMEOUT_MS);
+      const { connection } = await this.connector.connect(targetOf(claimant), CONNECT_TIMEOUT_MS);
       connection.close();
       return 'granted';
     } catch (error) {
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -24,12 +24,12 @@
 import { type OperationLimit, TenantDirectory } from '../tenancy/tenant.js';
 import { leasedRate, perSecondOf } from '../tenancy/wire_rate.js';
 
-const REFUSED: whinyoke.IAllowanceReply = { accepted: false };
+const REFUSAL: whinyoke.IAllowanceReply = { accepted: false };
 /** A first change lets a successor keep a part of a bucket, a second one gives that up too. */
-const MOST_RESERVE_CHANGES = 2;
+const MAX_RESERVE_CHANGES = 2;
 
 /** What the service needs of its control machine. */
-export interface AllowanceSurroundings {
+export interface AllowanceServiceDependencies {
   /** Time and timers of this process. */
   readonly clock: Clock;
   /** This machine's consensus member. */
@@ -58,67 +58,67 @@
    * Incarnation of each proxy that may hold operations granted by former leaders and has not said how many; undefined until
    * this leader was asked.
    */
-  private unaccounted: Map<string, string> | undefined;
+  private unreportedIncarnations: Map<string, string> | undefined;
   /** When each run began that no leader had granted anything before, on the clock of this machine. */
   private readonly freshSince = new Map<string, number>();
-  private hasNotedFresh = false;
-  private begunAt = 0;
-  private committing: Promise<void> | undefined;
+  private hasRecordedFreshStart = false;
+  private leadershipStartedAt = 0;
+  private pendingCommit: Promise<void> | undefined;
   private tenants = new TenantDirectory([]);
   private tenantsVersion = 0;
 
   constructor(
-    private readonly surroundings: AllowanceSurroundings,
+    private readonly dependencies: AllowanceServiceDependencies,
     rules: QuotaRules,
   ) {
-    const { catalog } = surroundings;
+    const { catalog } = dependencies;
     this.ledger = new OperationLedger(rules, (tenant) => catalog.successorReserveOf(tenant));
   }
 
   /** Begins a leadership. */
   begin(): void {
-    this.begunAt = this.surroundings.clock.now();
-    this.ledger.begin(this.begunAt);
+    this.leadershipStartedAt = this.dependencies.clock.now();
+    this.ledger.begin(this.leadershipStartedAt);
     this.sequences.clear();
     this.freshSince.clear();
-    this.hasNotedFresh = false;
-    this.unaccounted = undefined;
+    this.hasRecordedFreshStart = false;
+    this.unreportedIncarnations = undefined;
   }
 
   /** Answers one request. */
   async answer(request: whinyoke.IAllowanceRequest): Promise<whinyoke.IAllowanceReply> {
-    const { node } = this.surroundings;
+    const { node } = this.dependencies;
     const proxy = request.proxy ?? '';
     const incarnation = request.incarnation ?? '';
-    const run = runOf({ id: proxy, incarnation });
-    if (!node.leadsWithState || !this.isRegistered(proxy, incarnation)) return REFUSED;
+    const incarnationKey = incarnationKeyOf({ id: proxy, incarnation });
+    if (!node.isReadyLeader || !this.isRegistered(proxy, incarnation)) return REFUSAL;
     const sequence = request.sequence ?? 0;
-    if (sequence <= (this.sequences.get(run) ?? 0)) return REFUSED;
-    this.sequences.set(run, sequence);
+    if (sequence <= (this.sequences.get(incarnationKey) ?? 0)) return REFUSAL;
+    this.sequences.set(incarnationKey, sequence);
     this.readTenants();
-    const demands = (request.demands ?? []).flatMap((demand) => this.limited(demand));
+    const demands = (request.demands ?? []).flatMap((demand) => this.toLimitedDemands(demand));
     const term = node.currentTerm;
     await this.lowerSuccessorReserves(demands);
-    if (!node.leadsWithState || node.currentTerm !== term) return REFUSED;
-    this.account(proxy, incarnation, request.complete ?? false);
-    const needsFreshness = this.noteFreshness(run, request, term);
-    const now = this.surroundings.clock.now();
+    if (!node.isReadyLeader || node.currentTerm !== term) return REFUSAL;
+    this.recordReportedReserves(proxy, incarnation, request.complete ?? false);
+    const needsFreshness = this.recordFreshness(incarnationKey, request, term);
+    const now = this.dependencies.clock.now();
     const isWaitingOnly = request.waitingOnly ?? false;
     const allowances = demands.map((demand) => {
       const { tenant, limit } = demand;
       const allowance = isWaitingOnly
         ? this.ledger.answerWaiting(tenant, limit, demand.waiting, now)
-        : this.ledger.answer(run, tenant, limit, demand, now);
+        : this.ledger.answer(incarnationKey, tenant, limit, demand, now);
       return { tenant, ...allowance, rate: leasedRate(allowance.rate) };
     });
     void this.commitSuccessorReserves();
-    const needsAll = this.unaccounted?.get(proxy) === incarnation || needsFreshness;
+    const needsAll = this.unreportedIncarnations?.get(proxy) === incarnation || needsFreshness;
     return { accepted: true, allowances, term, needsAll };
   }
 
   /** Only a registered run may hold anything, so that a successor knows whom to wait for. */
   private isRegistered(proxy: string, incarnation: string): boolean {
-    const entry = this.surroundings.catalog.proxy(proxy);
+    const entry = this.dependencies.catalog.proxy(proxy);
     return entry !== undefined && (entry.incarnation ?? '') === incarnation;
   }
 
@@ -126,26 +126,26 @@
    * A run said what it holds, completely or not. Once no run may hold anything unknown, the ledger grants reserves again (what
    * proxies may run without asking).
    */
-  private account(proxy: string, incarnation: string, isComplete: boolean): void {
-    const { catalog, clock, log, node } = this.surroundings;
-    if (!this.unaccounted) {
-      const runs = catalog.proxies.map(
+  private recordReportedReserves(proxy: string, incarnation: string, isComplete: boolean): void {
+    const { catalog, clock, log, node } = this.dependencies;
+    if (!this.unreportedIncarnations) {
+      const registeredIncarnations = catalog.proxies.map(
         (entry) => [entry.id ?? '', entry.incarnation ?? ''] as const,
       );
-      this.unaccounted = new Map(runs);
-      log(Events.allowancesBegun, { term: node.currentTerm, runs: runs.length });
+      this.unreportedIncarnations = new Map(registeredIncarnations);
+      log(Events.allowancesBegun, { term: node.currentTerm, runs: registeredIncarnations.length });
     }
-    if (this.unaccounted.size === 0) return;
-    const isOwn = this.unaccounted.get(proxy) === incarnation;
-    if (isComplete && isOwn) this.unaccounted.delete(proxy);
-    for (const [other, run] of this.unaccounted) {
-      if (!this.isRegistered(other, run)) this.unaccounted.delete(other);
+    if (this.unreportedIncarnations.size === 0) return;
+    const isCurrentIncarnation = this.unreportedIncarnations.get(proxy) === incarnation;
+    if (isComplete && isCurrentIncarnation) this.unreportedIncarnations.delete(proxy);
+    for (const [other, otherIncarnation] of this.unreportedIncarnations) {
+      if (!this.isRegistered(other, otherIncarnation)) this.unreportedIncarnations.delete(other);
     }
-    if (this.unaccounted.size > 0) return;
+    if (this.unreportedIncarnations.size > 0) return;
     this.ledger.noteAllKnown();
     log(Events.allowancesKnown, {
       term: node.currentTerm,
-      after_ms: Math.round(clock.now() - this.begunAt),
+      after_ms: Math.round(clock.now() - this.leadershipStartedAt),
     });
   }
 
@@ -153,30 +153,34 @@
    * Notes the age of a run that takes over replies of this leader only; whether it has to tell so once more, since it did not
    * know this leader yet, and might have taken over a reply of a former one.
    */
-  private noteFreshness(run: string, request: whinyoke.IAllowanceRequest, term: number): boolean {
+  private recordFreshness(
+    incarnationKey: string,
+    request: whinyoke.IAllowanceRequest,
+    term: number,
+  ): boolean {
     const { freshMs, freshTerm } = request;
-    if (!freshMs || this.hasNotedFresh) return false;
-    if (freshTerm === term) this.noteFresh(run, freshMs - 1);
+    if (!freshMs || this.hasRecordedFreshStart) return false;
+    if (freshTerm === term) this.recordFreshStart(incarnationKey, freshMs - 1);
     return freshTerm === 0;
   }
 
   /** Once all runs began without anything granted, as after a loss of all power, only this leader's grants count since then. */
-  private noteFresh(run: string, ageMs: number): void {
-    const { catalog, clock, log, node } = this.surroundings;
-    this.freshSince.set(run, clock.now() - ageMs);
-    const begins = catalog.proxies.map((entry) => this.freshSince.get(runOf(entry)));
-    if (begins.includes(undefined)) return;
-    this.hasNotedFresh = true;
-    const since = Math.max(...begins.map((begin) => begin ?? Infinity));
+  private recordFreshStart(incarnationKey: string, ageMs: number): void {
+    const { catalog, clock, log, node } = this.dependencies;
+    this.freshSince.set(incarnationKey, clock.now() - ageMs);
+    const startTimes = catalog.proxies.map((entry) => this.freshSince.get(incarnationKeyOf(entry)));
+    if (startTimes.includes(undefined)) return;
+    this.hasRecordedFreshStart = true;
+    const since = Math.max(...startTimes.map((begin) => begin ?? Infinity));
     this.ledger.noteOnlyOwnSince(since);
     log(Events.allowancesFresh, {
       term: node.currentTerm,
-      runs: begins.length,
-      before_ms: Math.round(this.begunAt - since),
+      runs: startTimes.length,
+      before_ms: Math.round(this.leadershipStartedAt - since),
     });
   }
 
-  private limited(demand: whinyoke.ITenantDemand): LimitedDemand[] {
+  private toLimitedDemands(demand: whinyoke.ITenantDemand): LimitedDemand[] {
     const tenant = demand.tenant ?? '';
     const limit = this.tenants.named(tenant)?.limit;
     // The proxy knows a document that this machine doesn't, or the other way round: it asks again.
@@ -198,8 +202,8 @@
   }
 
   private async lowerSuccessorReserves(demands: readonly LimitedDemand[]): Promise<void> {
-    for (let change = 0; change < MOST_RESERVE_CHANGES; change++) {
-      const now = this.surroundings.clock.now();
+    for (let change = 0; change < MAX_RESERVE_CHANGES; change++) {
+      const now = this.dependencies.clock.now();
       const blocked = demands.filter(({ tenant, limit, waiting }) =>
         this.ledger.needsLowerSuccessorReserve(tenant, limit, waiting, now),
       );
@@ -210,28 +214,28 @@
 
   /** Writes the successor's reserves that have to change, all in one entry; one entry at a time. */
   private async commitSuccessorReserves(): Promise<void> {
-    while (this.committing) await this.committing;
+    while (this.pendingCommit) await this.pendingCommit;
     const changes = this.ledger.takeSuccessorReserveChanges();
     if (changes.length === 0) return;
-    this.committing = this.write(changes);
-    await this.committing;
+    this.pendingCommit = this.write(changes);
+    await this.pendingCommit;
   }
 
   private async write(changes: readonly SuccessorReserveChange[]): Promise<void> {
-    const { propose, log } = this.surroundings;
+    const { propose, log } = this.dependencies;
     try {
       await propose({ putFloors: { floors: [...changes] } });
       this.ledger.noteCommitted(changes);
     } catch (error) {
       log(Events.catalogChangeFailed, { kind: 'floors', reason: messageOf(error) });
     } finally {
-      this.committing = undefined;
+      this.pendingCommit = undefined;
     }
   }
 
   /** Reads the tenants of the newest document, once for each version. */
   private readTenants(): void {
-    const { catalog, documents } = this.surroundings;
+    const { catalog, documents } = this.dependencies;
     const { document, documentVersion } = catalog;
     if (!document || documentVersion === this.tenantsVersion) return;
     this.tenants = documents.read(inflateSource(document)).tenants;
@@ -240,6 +244,6 @@
 }
 
 /** Name of one run of a proxy. */
-function runOf({ id, incarnation }: whinyoke.IProxyEntry): string {
+function incarnationKeyOf({ id, incarnation }: whinyoke.IProxyEntry): string {
   return `${id ?? ''}\n${incarnation ?? ''}`;
 }
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -57,7 +57,7 @@
   /** Whether this is the very first start of the whole system. */
   readonly isFirstStart: boolean;
   /** Number of voting members to keep. */
-  readonly voters: number;
+  readonly voterCount: number;
   /** Opens connections to instances. */
   readonly connector: InstanceConnector;
   /** Calls the platform to appoint a primary. */
@@ -81,14 +81,14 @@
   ...DEFAULT_RAFT_OPTIONS,
   heartbeatMs: 100,
   electionTimeoutMs: 300,
-  earlyElectionMs: 120,
+  initialElectionTimeoutMs: 120,
 };
 /** Time between two rounds of upkeep (removal of silent proxies, the directory), in milliseconds. A guess, not measured. */
-const UPKEEP_MS = 500;
+const UPKEEP_INTERVAL_MS = 500;
 /** Time between two looks for primaries whose position is wanted and not known, in milliseconds. A guess, not measured. */
-const POSITIONS_MS = 100;
+const POSITION_PROBE_INTERVAL_MS = 100;
 /** What most parts need of the machine. */
-interface SharedSurroundings {
+interface SharedDependencies {
   readonly clock: Clock;
   readonly node: RaftNode;
   readonly catalog: Catalog;
@@ -116,7 +116,7 @@
   private seeds: readonly string[];
   /** Whether this member serves proxies as the leader. */
   private isServing = false;
-  private upkeep: Timer | undefined;
+  private upkeepTimer: Timer | undefined;
   private positionTimer: Timer | undefined;
 
   private constructor(
@@ -128,7 +128,7 @@
     const { clock } = runtime;
     const { connector, log, documents } = options;
     const { ledger, monitor, health } = this;
-    const isLeading = (): boolean => node.leadsWithState;
+    const isLeading = (): boolean => node.isReadyLeader;
     const propose: Proposer = (command) => this.propose(command);
     const shared = { clock, node, catalog, propose, log };
     this.seeds = options.seeds;
@@ -147,9 +147,9 @@
     this.caughtUp = new CaughtUpMembers({ ...shared, administrator, isLeading });
     const { caughtUp, document } = this;
     const { regionByZone } = options.placementRules;
-    const duties = { administrator, appointmentLease, isLeading };
+    const appointment = { administrator, appointmentLease, isLeading };
     const evidence = { ledger, monitor, caughtUp };
-    const context = { ...shared, ...duties, ...evidence, document, regionByZone };
+    const context = { ...shared, ...appointment, ...evidence, document, regionByZone };
     this.controller = new FailoverController(context, monitor, health);
     this.joiner = this.makeJoiner();
   }
@@ -183,13 +183,13 @@
     this.controller.start();
     this.standing.start();
     this.caughtUp.start();
-    this.runUpkeep();
-    this.askForPositions();
+    this.scheduleUpkeep();
+    this.schedulePositionProbes();
   }
 
   /** Stops serving. */
   stop(): void {
-    this.upkeep?.cancel();
+    this.upkeepTimer?.cancel();
     this.positionTimer?.cancel();
     this.controller.stop();
     this.caughtUp.stop();
@@ -212,8 +212,8 @@
   /** Zones of the settings, of present instances, and those on which an operator gave an order. */
   get knownZones(): ReadonlySet<string> {
     const { presentInstances, evacuations } = this.catalog;
-    const told = [...presentInstances, ...evacuations].map(({ zone }) => zone ?? '');
-    const named = [...this.options.placementRules.regionByZone.keys(), ...told];
+    const reportedZones = [...presentInstances, ...evacuations].map(({ zone }) => zone ?? '');
+    const named = [...this.options.placementRules.regionByZone.keys(), ...reportedZones];
     return new Set(named.filter((zone) => zone !== ''));
   }
 
@@ -238,20 +238,20 @@
     return this.node.handle(body);
   }
 
-  private makeCatalogService(shared: SharedSurroundings): CatalogService {
+  private makeCatalogService(shared: SharedDependencies): CatalogService {
     const { monitor, runtime, catalog } = this;
     const { clock, messenger } = runtime;
     const claims = new AddressClaims(clock, catalog, monitor, this.options.connector);
     return new CatalogService({ ...shared, messenger, monitor, claims });
   }
 
-  private makeSlowStarts(shared: SharedSurroundings): SlowStartHolders {
+  private makeSlowStarts(shared: SharedDependencies): SlowStartHolders {
     const { node } = shared;
     const { document } = this;
     const { placementRules } = this.options;
     return new SlowStartHolders({
       ...shared,
-      isLeading: () => node.leadsWithState,
+      isLeading: () => node.isReadyLeader,
       regionOf: (zone) => placementRules.regionByZone.get(zone),
       slowStartOf: (group) => document.table?.limitsByGroup.get(group)?.slowStart,
     });
@@ -266,11 +266,11 @@
   }
 
   private makeJoiner(): ClusterJoiner {
-    const { isFirstStart: mayFound, voters } = this.options;
+    const { isFirstStart: mayBootstrap, voterCount } = this.options;
     return new ClusterJoiner(this.node, this.runtime, () => this.seeds, {
-      recoverAlone: false,
-      trustsAddresses: false,
-      elastic: { mayFound, voters },
+      recoversAsSingleMember: false,
+      usesAddressesAsIds: false,
+      elastic: { mayBootstrap, voterCount },
     });
   }
 
@@ -286,9 +286,9 @@
   }
 
   private onLeadership(): void {
-    const isFirst = this.node.leadsWithState && !this.isServing;
-    if (isFirst) this.beginServing();
-    this.syncService.leadershipChanged();
+    const startsServing = this.node.isReadyLeader && !this.isServing;
+    if (startsServing) this.beginServing();
+    this.syncService.onLeadershipChanged();
   }
 
   /** Everything that was committed before is applied. */
@@ -296,8 +296,8 @@
     this.isServing = true;
     this.syncService.begin();
     // Proxies that have just started read nothing from replicas before they know positions of the primaries.
-    this.positions.noteWanted();
-    void this.positions.askMissing().then(() => this.syncService.answerAll());
+    this.positions.recordDemand();
+    void this.positions.probeMissing().then(() => this.syncService.answerAllWaiting());
   }
 
   private async propose(command: whinyoke.ICatalogCommand): Promise<whinyoke.CatalogResult> {
@@ -305,19 +305,19 @@
     return whinyoke.CatalogResult.decode(await this.node.propose(bytes));
   }
 
-  private runUpkeep(): void {
-    this.upkeep = this.runtime.clock.setTimer(UPKEEP_MS, () => {
+  private scheduleUpkeep(): void {
+    this.upkeepTimer = this.runtime.clock.setTimer(UPKEEP_INTERVAL_MS, () => {
       // A removal that fails changes nothing; the next upkeep proposes it again, on the machine that leads then.
-      if (this.node.leadsWithState) this.syncService.maintain().catch(() => undefined);
-      this.slowStarts.review();
-      this.runUpkeep();
+      if (this.node.isReadyLeader) this.syncService.maintain().catch(() => undefined);
+      this.slowStarts.assignMissingHolders();
+      this.scheduleUpkeep();
     });
   }
 
-  private askForPositions(): void {
-    this.positionTimer = this.runtime.clock.setTimer(POSITIONS_MS, () => {
-      void this.positions.askMissing();
-      this.askForPositions();
+  private schedulePositionProbes(): void {
+    this.positionTimer = this.runtime.clock.setTimer(POSITION_PROBE_INTERVAL_MS, () => {
+      void this.positions.probeMissing();
+      this.schedulePositionProbes();
     });
   }
 }
--- a/src/appointed/control/catalog_updates.ts
+++ b/src/appointed/control/catalog_updates.ts
@@ -6,7 +6,7 @@
 import type { Catalog } from '../catalog/catalog.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
-const NOTHING = new Uint8Array(0);
+const EMPTY_UPDATE = new Uint8Array(0);
 
 /** Encoded updates of the present version of the catalog. */
 export class CatalogUpdates {
@@ -19,7 +19,7 @@
   since(knownVersion: number, knownDocument: number): Uint8Array {
     const { catalog } = this;
     const hasDocument = catalog.documentVersion > knownDocument;
-    if (knownVersion >= catalog.version && !hasDocument) return NOTHING;
+    if (knownVersion >= catalog.version && !hasDocument) return EMPTY_UPDATE;
     if (this.version !== catalog.version) {
       this.encoded.clear();
       this.version = catalog.version;
--- a/src/appointed/control/change_notifier.ts
+++ b/src/appointed/control/change_notifier.ts
@@ -18,7 +18,7 @@
  * or a leaving instance must be known everywhere. The value is a guess. Without gathering the leader of 195 proxies sent
  * 12,900 replies in the first 5 s of a start (docs/measurements/large.md).
  */
-const GATHER_MS = 100;
+const CHANGE_BATCH_WINDOW_MS = 100;
 /** Epoch that a group gets when it is seen for the first time. */
 const FIRST_EPOCH = 1;
 
@@ -26,7 +26,7 @@
 export class ChangeNotifier {
   private readonly waiters: TimedWaiters;
   private announcedVersion = 0;
-  private isGathering = false;
+  private isBatching = false;
 
   constructor(
     private readonly clock: Clock,
@@ -37,7 +37,7 @@
   }
 
   /** Whether a proxy that knows this version should be answered at once. */
-  hasNewsFor(knownVersion: number): boolean {
+  hasUpdatesFor(knownVersion: number): boolean {
     return knownVersion < this.announcedVersion;
   }
 
@@ -57,10 +57,10 @@
       this.notifyAll();
       return;
     }
-    if (this.isGathering) return;
-    this.isGathering = true;
-    this.clock.setTimer(GATHER_MS, () => {
-      this.isGathering = false;
+    if (this.isBatching) return;
+    this.isBatching = true;
+    this.clock.setTimer(CHANGE_BATCH_WINDOW_MS, () => {
+      this.isBatching = false;
       this.notifyAll();
     });
   }
--- a/src/appointed/control/cluster_contact.ts
+++ b/src/appointed/control/cluster_contact.ts
@@ -13,9 +13,9 @@
  * After it stood still a member waits this long before it acts on what it knew, in milliseconds: a leader sends news every
  * 100 ms. A guess, not measured.
  */
-const AFTER_STALL_MS = 1000;
+const STALL_RECOVERY_MS = 1000;
 /** A control machine that answered within this time is in touch, in milliseconds. A guess, not measured. */
-const CONTACT_MS = 1000;
+const CONTACT_TIMEOUT_MS = 1000;
 
 /** Contact of one control machine with the others. */
 export class ClusterContact {
@@ -41,7 +41,7 @@
   /** Whether the control machine at an address answered lately; only on the leader. */
   isInTouch(address: string): boolean {
     const member = this.node.membership.members.findLast((item) => item.address === address);
-    return member !== undefined && this.node.contactAge(member.id) < CONTACT_MS;
+    return member !== undefined && this.node.contactAgeMs(member.id) < CONTACT_TIMEOUT_MS;
   }
 
   /**
@@ -49,8 +49,8 @@
    * any other member must have run without a stall, and have heard of its leader lately.
    */
   get isCurrent(): boolean {
-    if (this.node.role === 'leader') return this.node.leadsWithState;
-    const since = this.clock.now() - AFTER_STALL_MS;
+    if (this.node.role === 'leader') return this.node.isReadyLeader;
+    const since = this.clock.now() - STALL_RECOVERY_MS;
     return this.node.hasQuorum && !this.stalls.hasStalledSince(since);
   }
 }
--- a/src/appointed/control/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -12,23 +12,23 @@
 import type { Clock } from '../../runtime/runtime.js';
 
 /** A proxy counts as live for the division of connections for this long, in milliseconds. A guess, not measured. */
-const LIVE_MS = 5000;
+const LIVENESS_TIMEOUT_MS = 5000;
 /** Forwarders that each proxy knows: another one where the first is lost too. A guess, not measured. */
 const FORWARDER_COUNT = 2;
 /** Most directories of one term; a leader makes a new one at most each time its upkeep runs. */
-const VERSIONS_IN_TERM = 2 ** 24;
+const VERSIONS_PER_TERM = 2 ** 24;
 
 /** Directory of one leader. */
 export class ProxyDirectory {
-  private readonly contacts = new Map<string, number>();
-  private beganAt = -Infinity;
+  private readonly lastContactAt = new Map<string, number>();
+  private leadershipStartedAt = -Infinity;
   private version = 0;
   private controls: readonly string[] = [];
   private addresses: readonly string[] = [];
-  private readonly places = new Map<string, number>();
+  private readonly indexById = new Map<string, number>();
   private liveProxies = 0;
   private zones: readonly whinyoke.IZoneProxies[] = [];
-  private zonesText = '';
+  private zonesJson = '';
 
   constructor(
     private readonly clock: Clock,
@@ -38,20 +38,20 @@
 
   /** Begins a leadership: every registered proxy counts as live at first. */
   begin(): void {
-    this.beganAt = this.clock.now();
-    this.contacts.clear();
-    this.version = this.node.currentTerm * VERSIONS_IN_TERM;
+    this.leadershipStartedAt = this.clock.now();
+    this.lastContactAt.clear();
+    this.version = this.node.currentTerm * VERSIONS_PER_TERM;
     this.refresh();
   }
 
   /** A proxy sent a request. */
-  noteContact(proxy: ProxyEntry): void {
-    this.contacts.set(proxy.id ?? '', this.clock.now());
+  recordContact(proxy: ProxyEntry): void {
+    this.lastContactAt.set(proxy.id ?? '', this.clock.now());
   }
 
   /** Milliseconds since the newest request of a proxy, or since the leadership began. */
-  silenceOf(proxy: ProxyEntry): number {
-    return this.clock.now() - (this.contacts.get(proxy.id ?? '') ?? this.beganAt);
+  contactAgeMs(proxy: ProxyEntry): number {
+    return this.clock.now() - (this.lastContactAt.get(proxy.id ?? '') ?? this.leadershipStartedAt);
   }
 
   /** Takes over what changed; called now and then, since it looks at all proxies. */
@@ -59,23 +59,23 @@
     const controls = this.node.membership.members.map((member) => member.address);
     const { proxies } = this.catalog;
     const addresses = proxies.map((proxy) => proxy.address ?? '');
-    const live = proxies.filter((proxy) => this.silenceOf(proxy) < LIVE_MS);
+    const live = proxies.filter((proxy) => this.contactAgeMs(proxy) < LIVENESS_TIMEOUT_MS);
     const liveProxies = live.length;
-    const zones = byZone(live);
-    const zonesText = JSON.stringify(zones);
-    const isSame =
-      zonesText === this.zonesText &&
+    const zones = groupByZone(live);
+    const zonesJson = JSON.stringify(zones);
+    const isUnchanged =
+      zonesJson === this.zonesJson &&
       isEqual(controls, this.controls) &&
       isEqual(addresses, this.addresses);
-    if (isSame && this.version % VERSIONS_IN_TERM > 0) return;
+    if (isUnchanged && this.version % VERSIONS_PER_TERM > 0) return;
     this.version++;
     this.controls = controls;
     this.addresses = addresses;
     this.liveProxies = liveProxies;
     this.zones = zones;
-    this.zonesText = zonesText;
-    this.places.clear();
-    for (const [place, proxy] of proxies.entries()) this.places.set(proxy.id ?? '', place);
+    this.zonesJson = zonesJson;
+    this.indexById.clear();
+    for (const [place, proxy] of proxies.entries()) this.indexById.set(proxy.id ?? '', place);
   }
 
   /** The directory for a proxy; undefined when it knows this version already. */
@@ -94,7 +94,7 @@
   /** Neighbours in the list, so that requests that are passed on spread over all proxies. */
   private forwardersFor(proxy: ProxyEntry): string[] {
     const { addresses } = this;
-    const place = this.places.get(proxy.id ?? '') ?? -1;
+    const place = this.indexById.get(proxy.id ?? '') ?? -1;
     const count = Math.min(FORWARDER_COUNT, Math.max(0, addresses.length - 1));
     return Array.from(
       { length: count },
@@ -103,7 +103,7 @@
   }
 }
 
-function byZone(proxies: readonly ProxyEntry[]): whinyoke.IZoneProxies[] {
+function groupByZone(proxies: readonly ProxyEntry[]): whinyoke.IZoneProxies[] {
   const addressesOf = new Map<string, string[]>();
   for (const { zone, address } of proxies) {
     const addresses = addressesOf.get(zone ?? '') ?? [];
--- a/src/appointed/control/proxy_registrar.ts
+++ b/src/appointed/control/proxy_registrar.ts
@@ -8,11 +8,11 @@
 
 /** Registrar of one control machine. */
 export class ProxyRegistrar {
-  private waiting: ProxyEntry[] = [];
+  private pendingProxies: ProxyEntry[] = [];
   /** Entry that will hold those that wait; undefined when nobody waits. */
-  private nextEntry: Promise<void> | undefined;
+  private nextProposal: Promise<void> | undefined;
   /** Entry that is under way. */
-  private presentEntry: Promise<void> = Promise.resolve();
+  private currentProposal: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly catalog: Catalog,
@@ -22,9 +22,9 @@
   /** Whether this run is in the catalog; false when it could not be put there. */
   async register(proxy: ProxyEntry): Promise<boolean> {
     if (this.isRegistered(proxy)) return true;
-    this.waiting.push(proxy);
-    this.nextEntry ??= this.presentEntry.then(() => this.proposeWaiting());
-    await this.nextEntry;
+    this.pendingProxies.push(proxy);
+    this.nextProposal ??= this.currentProposal.then(() => this.proposePending());
+    await this.nextProposal;
     return this.isRegistered(proxy);
   }
 
@@ -32,16 +32,16 @@
     return this.catalog.proxy(proxy.id ?? '')?.incarnation === proxy.incarnation;
   }
 
-  private proposeWaiting(): Promise<void> {
-    const proxies = this.waiting.filter((proxy) => !this.isRegistered(proxy));
-    this.waiting = [];
-    this.nextEntry = undefined;
+  private proposePending(): Promise<void> {
+    const proxies = this.pendingProxies.filter((proxy) => !this.isRegistered(proxy));
+    this.pendingProxies = [];
+    this.nextProposal = undefined;
     if (proxies.length === 0) return Promise.resolve();
     // A proposal that fails leaves its proxies unregistered: each of them is refused and asks again.
-    this.presentEntry = this.propose({ putProxies: { proxies } }).then(
+    this.currentProposal = this.propose({ putProxies: { proxies } }).then(
       () => undefined,
       () => undefined,
     );
-    return this.presentEntry;
+    return this.currentProposal;
   }
 }
--- a/src/appointed/control/slow_start_holders.ts
+++ b/src/appointed/control/slow_start_holders.ts
@@ -21,7 +21,7 @@
 const { InstanceState } = whinyoke;
 
 /** What the service needs of its control machine. */
-export interface HoldersSurroundings {
+export interface SlowStartHoldersDependencies {
   readonly clock: Clock;
   readonly catalog: Catalog;
   readonly propose: Proposer;
@@ -38,105 +38,114 @@
 export class SlowStartHolders {
   private readonly contacts = new Map<string, RunContact>();
   /** Runs that get no lease, by the instance for which another is being named. */
-  private readonly withheld = new Map<string, string>();
+  private readonly suspendedByInstance = new Map<string, string>();
   /** Instances whose new holder is proposed now. */
   private readonly proposing = new Set<string>();
   private holders: ReadonlySet<string> = new Set();
-  private begunAt = -Infinity;
-  private isDue = false;
+  private leadershipStartedAt = -Infinity;
+  private isAssignmentScheduled = false;
 
-  constructor(private readonly surroundings: HoldersSurroundings) {
-    surroundings.catalog.onChange(() => this.onChange());
+  constructor(private readonly dependencies: SlowStartHoldersDependencies) {
+    dependencies.catalog.onChange(() => this.onChange());
   }
 
   /** Begins a leadership. */
   begin(): void {
-    this.begunAt = this.surroundings.clock.now();
+    this.leadershipStartedAt = this.dependencies.clock.now();
     this.contacts.clear();
-    this.withheld.clear();
+    this.suspendedByInstance.clear();
     this.onChange();
   }
 
   /** A run of a proxy sent a request. */
-  noteContact({ incarnation }: ProxyEntry, hasLeft: boolean): void {
-    this.contacts.set(incarnation ?? '', { at: this.surroundings.clock.now(), hasLeft });
+  recordContact({ incarnation }: ProxyEntry, hasLeft: boolean): void {
+    this.contacts.set(incarnation ?? '', { at: this.dependencies.clock.now(), hasLeft });
   }
 
   /** Lease that an answer grants to a run, in milliseconds from when its request was sent; 0 for none. */
   leaseFor({ incarnation }: ProxyEntry): number {
-    const run = incarnation ?? '';
-    const isGranted = this.holders.has(run) && ![...this.withheld.values()].includes(run);
+    const proxyIncarnation = incarnation ?? '';
+    const isGranted =
+      this.holders.has(proxyIncarnation) &&
+      ![...this.suspendedByInstance.values()].includes(proxyIncarnation);
     return isGranted ? LEASE_MS : 0;
   }
 
   /** Names holders where one is missing; called now and then, and after changes. */
-  review(): void {
-    const { catalog, isLeading } = this.surroundings;
+  assignMissingHolders(): void {
+    const { catalog, isLeading } = this.dependencies;
     if (!isLeading()) return;
-    this.forgetGone();
+    this.forgetGoneInstances();
     for (const instance of catalog.presentInstances) {
-      if (this.needsHolder(instance) && this.mayBeFollowed(instance)) this.nameHolder(instance);
+      if (this.needsHolder(instance) && this.canReplaceHolder(instance))
+        this.proposeHolder(instance);
     }
   }
 
   /** Whoever has a later catalog in force, as leases require, sends nothing to an instance that is gone. */
-  private forgetGone(): void {
-    for (const id of this.withheld.keys()) {
-      const instance = this.surroundings.catalog.instance(id);
-      if (!instance || instance.state === InstanceState.GONE) this.withheld.delete(id);
+  private forgetGoneInstances(): void {
+    for (const id of this.suspendedByInstance.keys()) {
+      const instance = this.dependencies.catalog.instance(id);
+      if (!instance || instance.state === InstanceState.GONE) this.suspendedByInstance.delete(id);
     }
   }
 
   private onChange(): void {
-    const { clock, catalog } = this.surroundings;
-    const runs = catalog.instances.map(({ holderIncarnation }) => holderIncarnation ?? '');
-    this.holders = new Set(runs.filter((run) => run !== ''));
-    if (this.isDue) return;
-    this.isDue = true;
+    const { clock, catalog } = this.dependencies;
+    const holderIncarnations = catalog.instances.map(
+      ({ holderIncarnation }) => holderIncarnation ?? '',
+    );
+    this.holders = new Set(holderIncarnations.filter((id) => id !== ''));
+    if (this.isAssignmentScheduled) return;
+    this.isAssignmentScheduled = true;
     // Not from within the change: a proposal would begin while an entry is being applied.
     clock.setTimer(0, () => {
-      this.isDue = false;
-      this.review();
+      this.isAssignmentScheduled = false;
+      this.assignMissingHolders();
     });
   }
 
   /** One whose new holder may or may not have been committed gets one in any case, so that the former may have leases again. */
   private needsHolder({ id, group, isCold }: InstanceEntry): boolean {
-    if (this.withheld.has(id ?? '')) return true;
-    return isCold === true && this.surroundings.slowStartOf(group ?? '') !== undefined;
+    if (this.suspendedByInstance.has(id ?? '')) return true;
+    return isCold === true && this.dependencies.slowStartOf(group ?? '') !== undefined;
   }
 
   /** Whether nobody holds an instance, or whoever did has sent its last request for it. */
-  private mayBeFollowed({ id, holderIncarnation }: InstanceEntry): boolean {
+  private canReplaceHolder({ id, holderIncarnation }: InstanceEntry): boolean {
     if (this.proposing.has(id ?? '')) return false;
-    const run = holderIncarnation ?? '';
-    if (run === '' || this.withheld.get(id ?? '') === run) return true;
-    return this.surroundings.clock.now() >= successorFrom(this.contactOf(run));
+    const holderIncarnationId = holderIncarnation ?? '';
+    if (
+      holderIncarnationId === '' ||
+      this.suspendedByInstance.get(id ?? '') === holderIncarnationId
+    )
+      return true;
+    return this.dependencies.clock.now() >= successorFrom(this.contactOf(holderIncarnationId));
   }
 
   /**
    * A former leader may have heard a run as long as it could answer, and later than this one did: a run whose answer is lost asks
    * another machine. One that leaves says so to nobody before it stops sending.
    */
-  private contactOf(run: string): RunContact {
-    const contact = this.contacts.get(run);
+  private contactOf(proxyIncarnation: string): RunContact {
+    const contact = this.contacts.get(proxyIncarnation);
     if (contact?.hasLeft) return contact;
-    const formerUntil = this.begunAt + STALE_LEADER_MS;
-    return { at: Math.max(contact?.at ?? -Infinity, formerUntil), hasLeft: false };
+    const formerLeaderUntil = this.leadershipStartedAt + STALE_LEADER_MS;
+    return { at: Math.max(contact?.at ?? -Infinity, formerLeaderUntil), hasLeft: false };
   }
 
-  private nameHolder(instance: InstanceEntry): void {
-    const { catalog, log, clock } = this.surroundings;
+  private proposeHolder(instance: InstanceEntry): void {
+    const { catalog, log, clock } = this.dependencies;
     const id = instance.id ?? '';
     const former = instance.holderIncarnation ?? '';
-    const next = this.choose(instance);
+    const next = this.chooseHolder(instance);
     if (!next) return;
-    this.withheld.set(id, former);
+    this.suspendedByInstance.set(id, former);
     this.proposing.add(id);
     const silentMs = former === '' ? 0 : clock.now() - this.contactOf(former).at;
     const { id: holder, incarnation, address } = next;
     const command = { instance: id, holder, incarnation, address, formerIncarnation: former };
-    this.surroundings
+    this.dependencies
       .propose({ setSlowStartHolder: command })
       .then(
         () => {
@@ -154,7 +163,7 @@
         this.proposing.delete(id);
         // An entry that is not certain to have failed may still be committed: the former holder gets no lease before it is.
         const present = catalog.instance(id)?.holderIncarnation ?? '';
-        if (present !== former) this.withheld.delete(id);
+        if (present !== former) this.suspendedByInstance.delete(id);
       });
   }
 
@@ -162,8 +171,8 @@
    * The first by rendezvous hashing among the live proxies of the instance's zone, or of its region where the zone has none: in
    * another region requests that must not leave theirs would be lost to it.
    */
-  private choose({ id, zone }: InstanceEntry): ProxyEntry | undefined {
-    const { catalog, regionOf } = this.surroundings;
+  private chooseHolder({ id, zone }: InstanceEntry): ProxyEntry | undefined {
+    const { catalog, regionOf } = this.dependencies;
     const region = regionOf(zone ?? '');
     const live = catalog.proxies.filter(
       (proxy) => this.isLive(proxy) && regionOf(proxy.zone ?? '') === region,
@@ -177,9 +186,14 @@
   }
 
   private isLive({ incarnation }: ProxyEntry): boolean {
-    const run = incarnation ?? '';
-    const contact = this.contacts.get(run);
-    if (!contact || contact.hasLeft || [...this.withheld.values()].includes(run)) return false;
-    return this.surroundings.clock.now() - contact.at < LEASE_MS;
+    const proxyIncarnation = incarnation ?? '';
+    const contact = this.contacts.get(proxyIncarnation);
+    if (
+      !contact ||
+      contact.hasLeft ||
+      [...this.suspendedByInstance.values()].includes(proxyIncarnation)
+    )
+      return false;
+    return this.dependencies.clock.now() - contact.at < LEASE_MS;
   }
 }
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -23,11 +23,11 @@
 const { GroupPhase } = whinyoke;
 
 /** Longest time for which a request is held, in milliseconds: less than a lease, which its answer renews. Not measured. */
-const MAXIMUM_HOLD_MS = 2000;
+const MAX_LONG_POLL_MS = 2000;
 /** A proxy that is silent for this long is removed from the catalog, in milliseconds: longer than any lease. A guess. */
-const REMOVE_AFTER_MS = 20_000;
+const PROXY_REMOVAL_TIMEOUT_MS = 20_000;
 /** What the service needs of its process. */
-export interface SyncSurroundings {
+export interface SyncServiceDependencies {
   /** Time and timers of this process. */
   readonly clock: Clock;
   /** This machine's consensus member. */
@@ -54,8 +54,8 @@
   private readonly updates: CatalogUpdates;
   private readonly notifier: ChangeNotifier;
 
-  constructor(private readonly surroundings: SyncSurroundings) {
-    const { clock, node, catalog, propose } = surroundings;
+  constructor(private readonly dependencies: SyncServiceDependencies) {
+    const { clock, node, catalog, propose } = dependencies;
     this.leaderWaiters = new TimedWaiters(clock);
     this.registrar = new ProxyRegistrar(catalog, propose);
     this.directory = new ProxyDirectory(clock, node, catalog);
@@ -69,7 +69,7 @@
   }
 
   /** Continues requests that wait for a leader: another member leads, or this one has come to lead. */
-  leadershipChanged(): void {
+  onLeadershipChanged(): void {
     this.leaderWaiters.wakeAll();
   }
 
@@ -78,42 +78,43 @@
    * leader is known.
    */
   async sync(request: whinyoke.ISyncRequest): Promise<whinyoke.ISyncReply> {
-    const holdMs = Math.min(request.waitMs ?? 0, MAXIMUM_HOLD_MS);
-    await this.awaitLeader(holdMs);
+    const longPollMs = Math.min(request.waitMs ?? 0, MAX_LONG_POLL_MS);
+    await this.awaitLeader(longPollMs);
     if (!this.isLeading) return this.refusal();
     const proxy = request.proxy ?? {};
     if (!(await this.registrar.register(proxy))) return this.refusal();
-    this.take(request, proxy);
-    if (!this.notifier.hasNewsFor(request.knownVersion ?? 0)) await this.notifier.wait(holdMs);
+    this.applyReport(request, proxy);
+    if (!this.notifier.hasUpdatesFor(request.knownVersion ?? 0))
+      await this.notifier.wait(longPollMs);
     return this.isLeading ? this.reply(request, proxy) : this.refusal();
   }
 
   /** Answers all held requests with what is known now. */
-  answerAll(): void {
+  answerAllWaiting(): void {
     this.notifier.notifyAll();
   }
 
   /** Looks after the registered proxies; called now and then. */
   async maintain(): Promise<void> {
     this.directory.refresh();
-    await this.removeSilent();
+    await this.removeExpired();
   }
 
   /** Removes a proxy that was silent for long; it can hold no lease any more. */
-  private async removeSilent(): Promise<void> {
-    const { catalog, propose } = this.surroundings;
-    const silent = catalog.proxies.find(
-      (proxy) => this.directory.silenceOf(proxy) > REMOVE_AFTER_MS,
+  private async removeExpired(): Promise<void> {
+    const { catalog, propose } = this.dependencies;
+    const expired = catalog.proxies.find(
+      (proxy) => this.directory.contactAgeMs(proxy) > PROXY_REMOVAL_TIMEOUT_MS,
     );
-    if (silent) await propose({ removeProxy: silent.id });
+    if (expired) await propose({ removeProxy: expired.id });
   }
 
   private get isLeading(): boolean {
-    return this.surroundings.node.leadsWithState;
+    return this.dependencies.node.isReadyLeader;
   }
 
   private refusal(): whinyoke.ISyncReply {
-    const { node } = this.surroundings;
+    const { node } = this.dependencies;
     return {
       accepted: false,
       leaderAddress: node.role === 'leader' ? '' : node.leaderAddress,
@@ -122,20 +123,20 @@
   }
 
   /** Takes over what a request reports. */
-  private take(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
-    const { clock, node, ledger, health, positions, slowStarts } = this.surroundings;
+  private applyReport(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
+    const { clock, node, ledger, health, positions, slowStarts } = this.dependencies;
     const now = clock.now();
-    this.directory.noteContact(proxy);
+    this.directory.recordContact(proxy);
     ledger.noteContact(proxy, request.knownVersion ?? 0, now);
-    slowStarts.noteContact(proxy, request.leaving ?? false);
+    slowStarts.recordContact(proxy, request.leaving ?? false);
     for (const revocation of request.revocations ?? []) ledger.confirm(proxy, revocation);
     health.note(proxy.id ?? '', request.reports ?? [], now);
-    if (request.clockTerm === node.currentTerm) positions.note(request.positions ?? []);
-    if (request.wantsPositions) positions.noteWanted();
+    if (request.clockTerm === node.currentTerm) positions.recordReports(request.positions ?? []);
+    if (request.wantsPositions) positions.recordDemand();
   }
 
   private reply(request: whinyoke.ISyncRequest, proxy: ProxyEntry): whinyoke.ISyncReply {
-    const { clock, node, catalog, positions, slowStarts } = this.surroundings;
+    const { clock, node, catalog, positions, slowStarts } = this.dependencies;
     this.grantLeases(proxy);
     return {
       accepted: true,
@@ -151,7 +152,7 @@
   }
 
   private grantLeases(proxy: ProxyEntry): void {
-    const { clock, catalog, ledger } = this.surroundings;
+    const { clock, catalog, ledger } = this.dependencies;
     const until = clock.now() + LEASE_MS;
     for (const group of catalog.groups) {
       if (group.phase !== GroupPhase.CHANGING) ledger.grant(group.group ?? '', proxy, until);
@@ -160,10 +161,10 @@
 
   /** A member that leads but has not applied all that was committed before can't answer yet either. */
   private async awaitLeader(maximumWaitMs: number): Promise<void> {
-    const { clock, node } = this.surroundings;
+    const { clock, node } = this.dependencies;
     const until = clock.now() + maximumWaitMs;
-    const isOther = (): boolean => node.role !== 'leader' && node.leaderAddress !== '';
-    while (!this.isLeading && !isOther() && clock.now() < until) {
+    const hasOtherLeader = (): boolean => node.role !== 'leader' && node.leaderAddress !== '';
+    while (!this.isLeading && !hasOtherLeader() && clock.now() < until) {
       await this.leaderWaiters.wait(until - clock.now());
     }
   }
--- a/src/appointed/control/warm_up_monitor.ts
+++ b/src/appointed/control/warm_up_monitor.ts
@@ -5,7 +5,7 @@
  * Inputs: the warm-up that a heartbeat tells (milliseconds), whether it is the newest, the instance in the catalog, and when this
  *   machine applied the entry since which it is cold (milliseconds on its steady clock).
  * Rule: a warm-up that is not over means cold. One that is over ends the coldness of a new instance or incarnation, which has sent
- *   all its heartbeats since; after an evacuation only if the heartbeat came {@link LATEST_HEARTBEAT_MS} after its end.
+ *   all its heartbeats since; after an evacuation only if the heartbeat came {@link MAX_HEARTBEAT_DELAY_MS} after its end.
  *
  * Owns when it saw each coldness begin; a machine that got them with a snapshot counts from then. Relies on the catalog only.
  */
@@ -20,64 +20,66 @@
  * A heartbeat that is the newest of its instance was sent at most this long before it came, in milliseconds: two or three
  * intervals; an instance that gets no answer within a second sends the next one. Guess, not measured.
  */
-const LATEST_HEARTBEAT_MS = 3000;
+const MAX_HEARTBEAT_DELAY_MS = 3000;
 
 /** The leader's opinion on an instance's coldness, as the instance's entry tells it. */
-export type TellsColdness = Pick<whinyoke.IInstanceEntry, 'isCold' | 'coldSince'>;
+export type ReportedColdState = Pick<whinyoke.IInstanceEntry, 'isCold' | 'coldSince'>;
 
-interface Seen {
+interface ObservedInstance {
   readonly instance: InstanceEntry;
   /** From when a heartbeat may end the present coldness. */
-  readonly endsFrom: number;
+  readonly mayEndFrom: number;
 }
 
 /** Monitor of one control machine. */
 export class WarmUpMonitor {
-  private seen = new Map<string, Seen>();
+  private observed = new Map<string, ObservedInstance>();
 
   constructor(
     private readonly clock: Clock,
     private readonly catalog: Catalog,
     private readonly log: DecisionLog,
   ) {
-    catalog.onChange(() => this.review());
-    this.review();
+    catalog.onChange(() => this.refresh());
+    this.refresh();
   }
 
   /** The leader's opinion after a heartbeat. */
-  opinionOn(told: InstanceEntry, warmupMs: number, isNewest: boolean): TellsColdness {
-    const known = this.catalog.instance(told.id ?? '');
+  evaluate(reported: InstanceEntry, warmupMs: number, isNewest: boolean): ReportedColdState {
+    const known = this.catalog.instance(reported.id ?? '');
     if (warmupMs > 0) return { isCold: true, coldSince: known?.coldSince };
-    const isSame = known !== undefined && !isOtherIncarnation(known, told);
-    const staysCold = isSame && known.isCold === true && !(isNewest && this.mayEnd(known));
+    const isSame = known !== undefined && !isOtherIncarnation(known, reported);
+    const staysCold = isSame && known.isCold === true && !(isNewest && this.mayEndColdState(known));
     return { isCold: staysCold, coldSince: known?.coldSince };
   }
 
-  private mayEnd({ id }: InstanceEntry): boolean {
-    return this.clock.now() >= (this.seen.get(id ?? '')?.endsFrom ?? Infinity);
+  private mayEndColdState({ id }: InstanceEntry): boolean {
+    return this.clock.now() >= (this.observed.get(id ?? '')?.mayEndFrom ?? Infinity);
   }
 
-  private review(): void {
-    const seen = new Map<string, Seen>();
+  private refresh(): void {
+    const observed = new Map<string, ObservedInstance>();
     for (const instance of this.catalog.presentInstances) {
       const id = instance.id ?? '';
-      const before = this.seen.get(id);
+      const before = this.observed.get(id);
       const isSame = before && (before.instance.coldSince ?? 0) === (instance.coldSince ?? 0);
-      const endsFrom = isSame ? before.endsFrom : this.endOf(before?.instance, instance);
-      seen.set(id, { instance, endsFrom });
+      const mayEndFrom = isSame
+        ? before.mayEndFrom
+        : this.coldStateEndsFrom(before?.instance, instance);
+      observed.set(id, { instance, mayEndFrom });
     }
-    this.seen = seen;
+    this.observed = observed;
   }
 
   /** From when a heartbeat may end a coldness that was not known before. */
-  private endOf(before: InstanceEntry | undefined, instance: InstanceEntry): number {
-    if (before) this.report(instance);
+  private coldStateEndsFrom(before: InstanceEntry | undefined, instance: InstanceEntry): number {
+    if (before) this.logChange(instance);
     const isOfThisEntry = instance.version === this.catalog.version;
     const isNew = before ? isOtherIncarnation(before, instance) : isOfThisEntry;
-    return isNew ? -Infinity : this.clock.now() + LATEST_HEARTBEAT_MS;
+    return isNew ? -Infinity : this.clock.now() + MAX_HEARTBEAT_DELAY_MS;
   }
 
-  private report({ id, group, isCold, coldSince }: InstanceEntry): void {
+  private logChange({ id, group, isCold, coldSince }: InstanceEntry): void {
     this.log(Events.instanceColdnessChanged, {
       instance: id ?? '',
       group: group ?? '',
--- a/src/appointed/daemon/control_daemon.ts
+++ b/src/appointed/daemon/control_daemon.ts
@@ -107,7 +107,7 @@
     address: settings.internal,
     seeds: settings.seeds,
     isFirstStart: settings.isFirstStart,
-    voters: settings.voters,
+    voterCount: settings.voters,
     connector: protocols.connector,
     appointer: protocols.appointer,
     log: decisions.log,
@@ -132,7 +132,7 @@
   gauge(
     'whinyoke_duty_token',
     'Fencing token of the appointment duty',
-    () => catalog.duty.token ?? 0,
+    () => catalog.appointmentLeaseEntry.token ?? 0,
   );
   gauge('whinyoke_cold_instances', 'Instances that warm up', () => {
     return catalog.presentInstances.filter(({ isCold }) => isCold).length;
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -53,7 +53,7 @@
 
   /** Has the holder appoint; takes the lease over when the holder is not in touch. For the leader. */
   async appoint(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty: lease } = this.surroundings.catalog;
+    const { appointmentLeaseEntry: lease } = this.surroundings.catalog;
     const address = lease.holderAddress ?? '';
     const isOther = lease.holder !== undefined && lease.holder !== this.surroundings.self.name;
     if (isOther && this.surroundings.contact.isInTouch(address)) {
@@ -66,7 +66,7 @@
 
   /** Answers the leader: appoints if this process still holds the lease under that token. */
   async onRequest(request: whinyoke.IAppointRequest): Promise<whinyoke.IAppointReply> {
-    const { duty: lease } = this.surroundings.catalog;
+    const { appointmentLeaseEntry: lease } = this.surroundings.catalog;
     if (lease.holder !== this.surroundings.self.name || lease.token !== request.token) {
       return { outcome: whinyoke.AppointOutcome.TRY_LATER };
     }
@@ -84,7 +84,7 @@
   }
 
   private appointAsHolder(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
-    const { duty: lease } = this.surroundings.catalog;
+    const { appointmentLeaseEntry: lease } = this.surroundings.catalog;
     // A holder that stood still may have been replaced: it must not call under its former token.
     if (lease.holder !== this.surroundings.self.name || !this.surroundings.contact.isCurrent) {
       return Promise.resolve(whinyoke.AppointOutcome.TRY_LATER);
--- a/src/appointed/failover/caught_up_members.ts
+++ b/src/appointed/failover/caught_up_members.ts
@@ -78,7 +78,7 @@
     const { catalog } = this.context;
     const group = catalog.group(instance.group ?? '');
     if (!group || group.phase === GroupPhase.CHANGING) return false;
-    const began = catalog.incarnationBegan(instance.id ?? '');
+    const began = catalog.incarnationStartIndex(instance.id ?? '');
     const isReplica = group.primary !== instance.id;
     return isReplica && began > (group.steadySince ?? 0) && !this.has(instance);
   }
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -15,7 +15,7 @@
  * at a later tick, here or at the next leader.
  */
 import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
-import { unusedReason } from '../catalog/usable_instance.js';
+import { unusableReason } from '../catalog/usable_instance.js';
 import type { Position } from '../../positions/position.js';
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
@@ -264,7 +264,7 @@
         instance.group === entry.group &&
         instance.id !== entry.primary &&
         instance.state === InstanceState.READY &&
-        unusedReason(instance, document.table) === undefined,
+        unusableReason(instance, document.table) === undefined,
     );
   }
 
@@ -273,7 +273,7 @@
     const { catalog, document } = this.context;
     const { table } = document;
     return catalog.presentInstances.filter(
-      (instance) => unusedReason(instance, table) === undefined,
+      (instance) => unusableReason(instance, table) === undefined,
     );
   }
 }
--- a/src/appointed/failover/replica_evidence.ts
+++ b/src/appointed/failover/replica_evidence.ts
@@ -102,7 +102,8 @@
   private speaksForItself(instance: InstanceEntry, status: InstanceStatus): boolean {
     if (!instance.born) return true;
     const { catalog, caughtUp } = this.context;
-    const isOfEpoch = catalog.incarnationBegan(instance.id ?? '') <= (this.epoch.steadySince ?? 0);
+    const isOfEpoch =
+      catalog.incarnationStartIndex(instance.id ?? '') <= (this.epoch.steadySince ?? 0);
     if (!isOfEpoch && !caughtUp.has(instance)) return false;
     return this.isOfKnownIncarnation(instance, status);
   }
--- a/src/appointed/placement/primary_homes.ts
+++ b/src/appointed/placement/primary_homes.ts
@@ -26,8 +26,8 @@
   const known = boundRoutesByTable.get(table);
   if (known) return known;
   const bound = new Map<string, Homes[]>();
-  for (const { group, homes } of table.routeByDatabase.values()) {
-    if (homes) bound.set(group, [...(bound.get(group) ?? []), homes]);
+  for (const { group, allowedRegions } of table.routeByDatabase.values()) {
+    if (allowedRegions) bound.set(group, [...(bound.get(group) ?? []), allowedRegions]);
   }
   boundRoutesByTable.set(table, bound);
   return bound;
--- a/src/appointed/routing/request_homes.ts
+++ b/src/appointed/routing/request_homes.ts
@@ -17,7 +17,7 @@
 export function homesOf({ table }: ProxyContext, route: Route, tenant: Tenant): Homes {
   const routeInForce = table?.routeByDatabase.get(route.database) ?? route;
   const tenantInForce = table?.tenants.named(tenant.name) ?? tenant;
-  return commonHomes(routeInForce.homes, tenantInForce.homes);
+  return commonHomes(routeInForce.allowedRegions, tenantInForce.homes);
 }
 
 /** Whether an instance may run a request with these homes. */
--- a/src/appointed/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -10,7 +10,7 @@
  * proxy that nobody reaches.
  * Shown by: docs/design/tenancy.md for the bound; test/unit/tenancy.test.ts, test/simulation/tenancy.test.ts.
  */
-import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
+import { LEADERSHIP_PROOF_MAX_AGE_MS } from '../../consensus/raft_options.js';
 import { Events } from '../../observability/events.js';
 import type { Route, RouteTable } from '../catalog/route_table.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
@@ -59,7 +59,7 @@
  * Time of the bound on revoked credentials that is lost, in milliseconds: a leader that has a successor may answer for as
  * long as its proof counts.
  */
-const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
+const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MAX_AGE_MS + CLOCK_MARGIN_MS;
 
 /** How long a confirmed document may count so that no credential is used later than `boundMs` after it was taken away. */
 export function freshnessWithin(boundMs: number): number {
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -9,7 +9,7 @@
  * allowance for a request that waits is used within {@link WAITING_ALLOWANCE_MS}, or given back within
  * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof, test/unit/tenancy.test.ts for drawn schedules.
  */
-import { LEADERSHIP_PROOF_MS } from '../../consensus/raft_options.js';
+import { LEADERSHIP_PROOF_MAX_AGE_MS } from '../../consensus/raft_options.js';
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import type { OperationLimit } from './tenant.js';
 
@@ -48,7 +48,7 @@
 /** Difference of clocks that run at different speeds while a former leader goes on, in milliseconds. Guess, not measured. */
 const CLOCK_MARGIN_MS = 50;
 /** A former leader may go on granting for this long beside its successor, in milliseconds: the age of its proof that it leads. */
-export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MS + CLOCK_MARGIN_MS;
+export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MAX_AGE_MS + CLOCK_MARGIN_MS;
 /**
  * A reserve that was not renewed ends after this time, in milliseconds: as long as leases on primaries. Guess, not measured.
  */
--- a/src/consensus/cluster_joiner.ts
+++ b/src/consensus/cluster_joiner.ts
@@ -16,7 +16,7 @@
 
 const IDENTITY_FILE = 'identity';
 /** Time between two looks at the place of this machine, in milliseconds. A guess, not measured. */
-const LOOK_INTERVAL_MS = 300;
+const MEMBERSHIP_CHECK_INTERVAL_MS = 300;
 /** Time for a machine to answer, in milliseconds. A guess, not measured. */
 const REQUEST_TIMEOUT_MS = 500;
 
@@ -33,17 +33,17 @@
 /** Rules of a cluster whose machines come and go at any address. */
 interface ElasticOptions {
   /** Whether this machine may found a cluster with the others of its list. */
-  readonly mayFound: boolean;
+  readonly mayBootstrap: boolean;
   /** Number of voters to keep; other machines stand by as learners. */
-  readonly voters: number;
+  readonly voterCount: number;
 }
 
 /** How to begin. */
 export interface JoinerOptions {
   /** Begin a new cluster of one from the state on this disk, after a majority of the disks was lost for good. */
-  readonly recoverAlone: boolean;
+  readonly recoversAsSingleMember: boolean;
   /** Take addresses for names and begin at once. Unsafe; only for the lab. */
-  readonly trustsAddresses: boolean;
+  readonly usesAddressesAsIds: boolean;
   /** Without it, the list of control machines is fixed. */
   readonly elastic?: ElasticOptions;
 }
@@ -52,22 +52,22 @@
 export class ClusterJoiner {
   private timer: Timer | undefined;
   private stopped = false;
-  private replacing = false;
+  private isChangingMembership = false;
 
   constructor(
     private readonly node: RaftNode,
     private readonly runtime: Runtime,
-    private readonly controls: () => readonly string[],
+    private readonly controlAddresses: () => readonly string[],
     private readonly options: JoinerOptions,
   ) {}
 
   /** Settles what can be settled without other machines. */
   async prepare(): Promise<void> {
     const self = this.self();
-    if (this.options.recoverAlone && this.isMember()) {
+    if (this.options.recoversAsSingleMember && this.hasMembership()) {
       await this.node.bootstrapFromState([self]);
-    } else if (this.options.trustsAddresses && !this.isMember()) {
-      const members = this.controls().map((address) => ({
+    } else if (this.options.usesAddressesAsIds && !this.hasMembership()) {
+      const members = this.controlAddresses().map((address) => ({
         id: address,
         address,
         isLearner: false,
@@ -95,7 +95,7 @@
       await this.addLearner(member);
     }
     return {
-      empty: !this.isMember(),
+      empty: !this.hasMembership(),
       member: this.memberMessage(),
       membership: this.node.membership.toMessage(),
       leaderAddress: this.node.leaderAddress,
@@ -110,60 +110,61 @@
     return { id: this.node.id, address: this.node.address };
   }
 
-  private isMember(): boolean {
+  private hasMembership(): boolean {
     return this.node.membership.members.length > 0;
   }
 
   private async tick(): Promise<void> {
     if (this.stopped) return;
     try {
-      await this.findPlace();
+      await this.checkMembership();
     } catch {
       // The disk refused a write, so this machine founded nothing; the next tick tries again.
     }
     if (this.stopped) return;
-    this.timer = this.runtime.clock.setTimer(LOOK_INTERVAL_MS, () => void this.tick());
+    this.timer = this.runtime.clock.setTimer(MEMBERSHIP_CHECK_INTERVAL_MS, () => void this.tick());
   }
 
-  private async findPlace(): Promise<void> {
-    const isLost = this.options.elastic !== undefined && !this.node.hasQuorum;
-    if (!this.node.membership.find(this.node.id)) await this.lookForCluster();
+  private async checkMembership(): Promise<void> {
+    const hasLostLeader = this.options.elastic !== undefined && !this.node.hasQuorum;
+    if (!this.node.membership.find(this.node.id)) await this.joinOrBootstrap();
     else if (this.node.role === 'leader') await this.maintainMembership();
-    else if (isLost) await this.askAll();
+    else if (hasLostLeader) await this.requestJoinFromAll();
   }
 
-  private async lookForCluster(): Promise<void> {
-    const replies = await this.askAll();
-    const isFresh = !this.isMember() && replies.every((reply) => reply?.empty === true);
-    if (!isFresh || !this.mayFound) return;
-    const found = replies.map((reply) => ({
+  private async joinOrBootstrap(): Promise<void> {
+    const replies = await this.requestJoinFromAll();
+    const areAllEmpty = !this.hasMembership() && replies.every((reply) => reply?.empty === true);
+    if (!areAllEmpty || !this.mayBootstrap) return;
+    const peers = replies.map((reply) => ({
       id: reply?.member?.id ?? '',
       address: reply?.member?.address ?? '',
       isLearner: false,
     }));
-    const members = [this.self(), ...found].sort((left, right) => (left.id < right.id ? -1 : 1));
+    const members = [this.self(), ...peers].sort((left, right) => (left.id < right.id ? -1 : 1));
     await this.node.bootstrap(members);
   }
 
-  private get mayFound(): boolean {
+  private get mayBootstrap(): boolean {
     const { elastic } = this.options;
     if (!elastic) return true;
-    return elastic.mayFound && this.controls().includes(this.node.address);
+    return elastic.mayBootstrap && this.controlAddresses().includes(this.node.address);
   }
 
   /** Asks all machines of the list, and the leader that they name, to be taken in. */
-  private async askAll(): Promise<(whinyoke.IJoinReply | undefined)[]> {
-    const others = this.controls().filter((address) => address !== this.node.address);
-    const replies = await Promise.all(others.map((address) => this.ask(address)));
+  private async requestJoinFromAll(): Promise<(whinyoke.IJoinReply | undefined)[]> {
+    const others = this.controlAddresses().filter((address) => address !== this.node.address);
+    const replies = await Promise.all(others.map((address) => this.requestJoin(address)));
     const leaders = new Set(replies.map((reply) => reply?.leaderAddress ?? ''));
     for (const address of leaders) {
-      const isNews = address !== '' && address !== this.node.address && !others.includes(address);
-      if (isNews) await this.ask(address);
+      const isNotAskedYet =
+        address !== '' && address !== this.node.address && !others.includes(address);
+      if (isNotAskedYet) await this.requestJoin(address);
     }
     return replies;
   }
 
-  private async ask(address: string): Promise<whinyoke.IJoinReply | undefined> {
+  private async requestJoin(address: string): Promise<whinyoke.IJoinReply | undefined> {
     const request = { joinRequest: { member: this.memberMessage() } };
     try {
       const { messenger } = this.runtime;
@@ -176,9 +177,9 @@
   }
 
   private async addLearner(member: Member): Promise<void> {
-    const isExpected = this.options.elastic || this.controls().includes(member.address);
-    if (!isExpected || member.id === '' || this.replacing) return;
-    await this.change(this.node.membership.with(member));
+    const isExpected = this.options.elastic || this.controlAddresses().includes(member.address);
+    if (!isExpected || member.id === '' || this.isChangingMembership) return;
+    await this.proposeMembership(this.node.membership.with(member));
   }
 
   private async maintainMembership(): Promise<void> {
@@ -188,12 +189,12 @@
       return;
     }
     const next = nextMembership(this.node.membership, {
-      self: this.node.id,
-      voters: elastic.voters,
-      silenceMs: (id) => this.node.contactAge(id),
-      lag: (id) => this.node.log.lastIndex - this.node.matchIndexOf(id),
+      leaderId: this.node.id,
+      voterCount: elastic.voterCount,
+      contactAgeMs: (id) => this.node.contactAgeMs(id),
+      missingEntries: (id) => this.node.log.lastIndex - this.node.matchIndexOf(id),
     });
-    if (next) await this.change(next);
+    if (next) await this.proposeMembership(next);
   }
 
   /** Makes learners that have caught up voters, then removes the machines they replace. */
@@ -202,11 +203,11 @@
     const learner = membership.members.find((member) => member.isLearner);
     if (learner) {
       const lag = this.node.log.lastIndex - this.node.matchIndexOf(learner.id);
-      if (lag <= 0) await this.change(membership.with({ ...learner, isLearner: false }));
+      if (lag <= 0) await this.proposeMembership(membership.with({ ...learner, isLearner: false }));
       return;
     }
     const replaced = membership.voters.find((voter) => this.isReplaced(voter));
-    if (replaced) await this.change(membership.without(replaced.id));
+    if (replaced) await this.proposeMembership(membership.without(replaced.id));
   }
 
   /** Members are appended in the order they joined: a later one at the same address replaces. */
@@ -217,14 +218,14 @@
     return !isNewest && member.id !== this.node.id;
   }
 
-  private async change(next: Membership): Promise<void> {
-    this.replacing = true;
+  private async proposeMembership(next: Membership): Promise<void> {
+    this.isChangingMembership = true;
     try {
       await this.node.changeMembership(next);
     } catch {
       // The leadership was lost or a change is under way. The next tick compares again, on the machine that leads then.
     } finally {
-      this.replacing = false;
+      this.isChangingMembership = false;
     }
   }
 }
--- a/src/consensus/elastic_membership.ts
+++ b/src/consensus/elastic_membership.ts
@@ -10,20 +10,20 @@
 import type { Member, Membership } from './membership.js';
 
 /** A voter that is silent for longer is replaced when a learner is ready, in milliseconds. A guess, not measured. */
-const VOTER_SILENCE_MS = 1500;
+const VOTER_TIMEOUT_MS = 1500;
 /** A learner that is silent for longer is removed, in milliseconds: it holds up nothing. A guess, not measured. */
-const LEARNER_SILENCE_MS = 10_000;
+const LEARNER_TIMEOUT_MS = 10_000;
 
 /** What the leader knows of the members. */
 export interface MembershipFacts {
   /** Identity of the leader. */
-  readonly self: string;
+  readonly leaderId: string;
   /** Number of voters to keep. */
-  readonly voters: number;
+  readonly voterCount: number;
   /** Milliseconds since a member answered. */
-  readonly silenceMs: (id: string) => number;
+  readonly contactAgeMs: (id: string) => number;
   /** Entries that a member lacks. */
-  readonly lag: (id: string) => number;
+  readonly missingEntries: (id: string) => number;
 }
 
 /** Whether a later member has the same address: this one's disk was lost. */
@@ -39,23 +39,24 @@
 ): Membership | undefined {
   const { voters } = membership;
   const isLost = (member: Member): boolean =>
-    isSuperseded(member, membership) || facts.silenceMs(member.id) > VOTER_SILENCE_MS;
-  const lostVoters = voters.filter((voter) => voter.id !== facts.self && isLost(voter));
+    isSuperseded(member, membership) || facts.contactAgeMs(member.id) > VOTER_TIMEOUT_MS;
+  const lostVoters = voters.filter((voter) => voter.id !== facts.leaderId && isLost(voter));
   const learners = membership.members.filter((member) => member.isLearner);
-  const goneLearner = learners.find(
+  const expiredLearner = learners.find(
     (learner) =>
-      isSuperseded(learner, membership) || facts.silenceMs(learner.id) > LEARNER_SILENCE_MS,
+      isSuperseded(learner, membership) || facts.contactAgeMs(learner.id) > LEARNER_TIMEOUT_MS,
   );
-  if (goneLearner) return membership.without(goneLearner.id);
-  if (voters.length > facts.voters) return withOneVoterLess(membership, facts, lostVoters);
+  if (expiredLearner) return membership.without(expiredLearner.id);
+  if (voters.length > facts.voterCount) return dropOneVoter(membership, facts, lostVoters);
   const ready = learners.find(
-    (learner) => facts.silenceMs(learner.id) < VOTER_SILENCE_MS && facts.lag(learner.id) <= 0,
+    (learner) =>
+      facts.contactAgeMs(learner.id) < VOTER_TIMEOUT_MS && facts.missingEntries(learner.id) <= 0,
   );
-  const isNeeded = voters.length < facts.voters || lostVoters.length > 0;
+  const isNeeded = voters.length < facts.voterCount || lostVoters.length > 0;
   return ready && isNeeded ? membership.with({ ...ready, isLearner: false }) : undefined;
 }
 
-function withOneVoterLess(
+function dropOneVoter(
   membership: Membership,
   facts: MembershipFacts,
   lostVoters: readonly Member[],
@@ -63,6 +64,6 @@
   const superseded = lostVoters.find((voter) => isSuperseded(voter, membership));
   const lost = superseded ?? lostVoters[0];
   if (lost) return membership.without(lost.id);
-  const newest = membership.voters.findLast((voter) => voter.id !== facts.self);
+  const newest = membership.voters.findLast((voter) => voter.id !== facts.leaderId);
   return newest && membership.with({ ...newest, isLearner: true });
 }
--- a/src/consensus/election_timer.ts
+++ b/src/consensus/election_timer.ts
@@ -18,15 +18,15 @@
  * Most of the first wait that is left to chance, as a part of its length: equal ranks must not collide for ever. A guess, not
  * measured.
  */
-const FIRST_WAIT_SPREAD = 0.25;
+const FIRST_WAIT_JITTER = 0.25;
 
 /**
  * Each lost vote spreads the tries over so many times the usual time more. With 2 the longest of 200 returns of power to
  * two regions 30 ms apart took 903 ms until a leader stayed, with 1 and 3 1,007 and 1,204 ms (elections.test.ts).
  */
-const SPREAD_BY_LOST_VOTE = 2;
+const BACKOFF_PER_LOST_ELECTION = 2;
 /** Beyond so many lost votes the tries are not spread over more time. A guess, not measured. */
-const MOST_LOST_VOTES = 3;
+const MAX_COUNTED_LOST_ELECTIONS = 3;
 
 /** Timer of one member. */
 export class ElectionTimer {
@@ -34,7 +34,7 @@
   private hasSeenLeader = false;
   private hasFired = false;
   /** Votes that this member lost since it knew a leader. */
-  private lostVotes = 0;
+  private lostElections = 0;
   private isStopped = false;
 
   constructor(
@@ -43,15 +43,15 @@
     private readonly options: RaftOptions,
     private readonly onTimeout: () => void,
     /** Position of this member among the voters, from 0; undefined while no voters are known. */
-    private readonly rank: () => number | undefined,
+    private readonly voterRank: () => number | undefined,
   ) {}
 
   /** Begins to wait anew, for `moreMs` longer than usual. */
-  restart(moreMs = 0): void {
+  restart(extraDelayMs = 0): void {
     this.timer?.cancel();
     if (this.isStopped) return;
-    const [shortest, longest] = this.range;
-    const timeout = moreMs + this.random.integer(shortest, longest);
+    const [shortest, longest] = this.timeoutRangeMs;
+    const timeout = extraDelayMs + this.random.integer(shortest, longest);
     this.timer = this.clock.setTimer(timeout, () => {
       this.hasFired = true;
       this.onTimeout();
@@ -59,17 +59,17 @@
   }
 
   /** There is a leader: from now on this member tries only after whole election timeouts, until it restarts. */
-  noteLeader(): void {
+  recordLeader(): void {
     this.hasSeenLeader = true;
-    this.lostVotes = 0;
+    this.lostElections = 0;
   }
 
   /**
    * This member got too few votes: others wanted them at the same time. Candidates that collided once are a
    * trip apart at most, so their next tries are spread over more than that.
    */
-  noteLostVote(): void {
-    this.lostVotes = Math.min(this.lostVotes + 1, MOST_LOST_VOTES);
+  recordLostElection(): void {
+    this.lostElections = Math.min(this.lostElections + 1, MAX_COUNTED_LOST_ELECTIONS);
   }
 
   /** Stops to wait, for good. */
@@ -79,17 +79,21 @@
   }
 
   /** Shortest and longest wait, in milliseconds. */
-  private get range(): readonly [number, number] {
-    const { earlyElectionMs, electionTimeoutMs } = this.options;
-    if (earlyElectionMs === undefined || this.hasSeenLeader) {
+  private get timeoutRangeMs(): readonly [number, number] {
+    const { initialElectionTimeoutMs, electionTimeoutMs } = this.options;
+    if (initialElectionTimeoutMs === undefined || this.hasSeenLeader) {
       return [electionTimeoutMs, electionTimeoutMs * 2];
     }
-    const third = Math.ceil(earlyElectionMs / 3);
-    if (this.hasFired) return [third, earlyElectionMs * (1 + SPREAD_BY_LOST_VOTE * this.lostVotes)];
-    const rank = this.rank();
+    const third = Math.ceil(initialElectionTimeoutMs / 3);
+    if (this.hasFired)
+      return [
+        third,
+        initialElectionTimeoutMs * (1 + BACKOFF_PER_LOST_ELECTION * this.lostElections),
+      ];
+    const rank = this.voterRank();
     if (rank === undefined) return [Math.ceil(third / 3), third];
     // After a start of all members the first tries follow one another, so that they don't collide.
     const first = Math.ceil(third / 3) + rank * third;
-    return [first, Math.ceil(first * (1 + FIRST_WAIT_SPREAD))];
+    return [first, Math.ceil(first * (1 + FIRST_WAIT_JITTER))];
   }
 }
--- a/src/consensus/leader_election.ts
+++ b/src/consensus/leader_election.ts
@@ -26,18 +26,18 @@
   /** Whether this leader is in contact with a majority. */
   readonly hasQuorum: boolean;
   /** Begins to lead in the present term. */
-  begin(): void;
+  startLeading(): void;
 }
 
 /** Elections as one member takes part in them. */
 export class LeaderElection {
   private readonly timer: ElectionTimer;
   /** Clock reading of the newest message of a leader, in milliseconds. */
-  private heardLeaderAt = -Infinity;
+  private lastLeaderMessageAt = -Infinity;
   /** Until when a member that this one voted for may take to send its first message as a leader. */
-  private leaderDueAt = -Infinity;
+  private awaitsWinnerUntil = -Infinity;
   /** Until when the votes of this candidate may be on their way: twice the time that its pre-vote took. */
-  private votesDueAt = -Infinity;
+  private awaitsVotesUntil = -Infinity;
   private isStopped = false;
 
   constructor(
@@ -68,18 +68,18 @@
 
   /** Whether a leader was heard of within an election timeout. */
   get heardLeaderRecently(): boolean {
-    return this.runtime.clock.now() - this.heardLeaderAt < this.options.electionTimeoutMs;
+    return this.runtime.clock.now() - this.lastLeaderMessageAt < this.options.electionTimeoutMs;
   }
 
   /** Follows the sender of a leader's message. */
   followLeader(term: number, leader: string): void {
     const { state } = this;
     if (term > state.term || state.role !== 'follower') state.stepDown(term);
-    const isNews = leader !== state.leader;
+    const isNewLeader = leader !== state.leader;
     state.leader = leader;
-    this.timer.noteLeader();
-    if (isNews) state.observer.onLeadership?.();
-    this.heardLeaderAt = this.runtime.clock.now();
+    this.timer.recordLeader();
+    if (isNewLeader) state.observer.onLeadership?.();
+    this.lastLeaderMessageAt = this.runtime.clock.now();
     this.timer.restart();
   }
 
@@ -88,15 +88,15 @@
     const { state } = this;
     const term = request.term ?? 0;
     if (request.receiver !== state.id) return this.voteReply(false);
-    if (request.preVote) return this.voteReply(this.wouldVoteFor(request));
+    if (request.preVote) return this.voteReply(this.grantsPreVote(request));
     if (term < state.term) return this.voteReply(false);
     if (term > state.term) state.stepDown(term);
     const candidate = request.candidate ?? '';
-    if (!this.mayVoteFor(candidate, term) || !state.log.isCoveredBy(request)) {
+    if (!this.mayVoteFor(candidate, term) || !state.log.isCandidateUpToDate(request)) {
       await state.log.saveVote({ term: state.term, votedFor: state.votedFor });
       return this.voteReply(false);
     }
-    this.awaitWinner(request.winningMs ?? 0);
+    this.deferToCandidate(request.winningMs ?? 0);
     await state.log.saveVote({ term, votedFor: candidate });
     return this.voteReply(state.term === term);
   }
@@ -108,24 +108,24 @@
   }
 
   /** Leaves the candidate that gets this member's vote the time that it needs to win. */
-  private awaitWinner(neededMs: number): void {
-    const winningMs = Math.min(neededMs, this.options.electionTimeoutMs);
-    this.leaderDueAt = this.runtime.clock.now() + winningMs;
+  private deferToCandidate(requestedMs: number): void {
+    const winningMs = Math.min(requestedMs, this.options.electionTimeoutMs);
+    this.awaitsWinnerUntil = this.runtime.clock.now() + winningMs;
     this.timer.restart(winningMs);
   }
 
   /** Answer to a pre-vote: a cluster that has a leader, or a member that has voted, is not disturbed. */
-  private wouldVoteFor(request: whinyoke.IVoteRequest): boolean {
+  private grantsPreVote(request: whinyoke.IVoteRequest): boolean {
     const { state } = this;
     const term = request.term ?? 0;
-    const isFree = term > state.term || (term === state.term && state.votedFor === '');
+    const isVoteAvailable = term > state.term || (term === state.term && state.votedFor === '');
     if (state.role === 'leader' && this.leadership.hasQuorum) return false;
-    return isFree && !this.expectsLeader && state.log.isCoveredBy(request);
+    return isVoteAvailable && !this.expectsLeader && state.log.isCandidateUpToDate(request);
   }
 
   /** Whether a leader was heard of lately, or is about to be: this member has just voted for somebody. */
   private get expectsLeader(): boolean {
-    return this.heardLeaderRecently || this.runtime.clock.now() < this.leaderDueAt;
+    return this.heardLeaderRecently || this.runtime.clock.now() < this.awaitsWinnerUntil;
   }
 
   private voteReply(granted: boolean): MessageBody {
@@ -141,7 +141,7 @@
       return;
     }
     // The votes of a candidate are still on their way: another term would only make them worthless.
-    if (state.role === 'candidate' && this.runtime.clock.now() < this.votesDueAt) return;
+    if (state.role === 'candidate' && this.runtime.clock.now() < this.awaitsVotesUntil) return;
     if (state.membership.isVoter(state.id)) void this.campaign();
   }
 
@@ -149,35 +149,35 @@
     const { state } = this;
     const { clock } = this.runtime;
     const term = state.term + 1;
-    const begunAt = clock.now();
+    const startedAt = clock.now();
     state.leader = '';
     // Pre-vote: a member that can't win must not disturb the cluster with a higher term. Several may be under way, where
     // a trip takes longer than the time between two tries; the first that is granted counts.
-    const mayWin = await this.collectVotes(term, true, 0);
-    const preVoteMs = clock.now() - begunAt;
+    const isPreVoteGranted = await this.collectVotes(term, true, 0);
+    const preVoteMs = clock.now() - startedAt;
     // In a term that began meanwhile another member is about to win, or this one is, or has won.
-    if (!mayWin || state.role === 'leader' || state.term !== term - 1) return;
+    if (!isPreVoteGranted || state.role === 'leader' || state.term !== term - 1) return;
     if (this.isStopped || this.expectsLeader) return;
-    const hasWon = await this.askForVotes(term, preVoteMs);
+    const hasWon = await this.requestVotes(term, preVoteMs);
     // A member that stepped down meanwhile, or is in another term, is a candidate no more.
     if (state.term !== term || state.role !== 'candidate') return;
     if (hasWon) {
-      this.lead();
+      this.becomeLeader();
       return;
     }
     state.stepDown(term);
-    this.timer.noteLostVote();
+    this.timer.recordLostElection();
   }
 
   /** Stands in a new term; resolves with whether a majority voted for this member. */
-  private async askForVotes(term: number, preVoteMs: number): Promise<boolean> {
+  private async requestVotes(term: number, preVoteMs: number): Promise<boolean> {
     const { clock } = this.runtime;
-    const stoodAt = clock.now();
-    this.votesDueAt = stoodAt + 2 * preVoteMs;
-    this.state.stand(term);
+    const candidateSince = clock.now();
+    this.awaitsVotesUntil = candidateSince + 2 * preVoteMs;
+    this.state.becomeCandidate(term);
     const isSaved = await this.saveOwnVote(term);
     // A round trip and a sync at the voter, as the pre-vote and the own vote took, then the way of the first message.
-    const winningMs = 2 * preVoteMs + (clock.now() - stoodAt);
+    const winningMs = 2 * preVoteMs + (clock.now() - candidateSince);
     return isSaved && (await this.collectVotes(term, false, winningMs));
   }
 
@@ -206,10 +206,10 @@
     return collectVotes({ state, messenger, timeoutMs: options.electionTimeoutMs }, request);
   }
 
-  private lead(): void {
-    this.state.lead();
-    this.timer.noteLeader();
+  private becomeLeader(): void {
+    this.state.becomeLeader();
+    this.timer.recordLeader();
     this.timer.restart();
-    this.leadership.begin();
+    this.leadership.startLeading();
   }
 }
--- a/src/consensus/log_applier.ts
+++ b/src/consensus/log_applier.ts
@@ -29,7 +29,7 @@
 export class LogApplier {
   private committed: number;
   private applied: number;
-  private compacting = false;
+  private isCompacting = false;
 
   /**
    * @param snapshotEntries - applied entries after which a snapshot replaces them
@@ -64,11 +64,11 @@
   /** Replaces the state by that of a snapshot of the leader. */
   restore(lastIndex: number, state: Uint8Array): void {
     this.machine.restore(lastIndex, state);
-    this.skipTo(lastIndex);
+    this.markApplied(lastIndex);
   }
 
   /** Counts everything up to an index as applied: a snapshot holds it. */
-  skipTo(lastIndex: number): void {
+  markApplied(lastIndex: number): void {
     this.committed = Math.max(this.committed, lastIndex);
     this.applied = Math.max(this.applied, lastIndex);
     this.listener.onApplied(this.applied);
@@ -85,7 +85,7 @@
       this.listener.onEntry(entry, this.applyEntry(entry));
     }
     this.listener.onApplied(this.applied);
-    this.compactIfLong();
+    this.compactIfNeeded();
   }
 
   private applyEntry(entry: LogEntry): Uint8Array {
@@ -93,12 +93,12 @@
     return isCommand ? this.machine.apply(entry.index, entry.command) : new Uint8Array(0);
   }
 
-  private compactIfLong(): void {
+  private compactIfNeeded(): void {
     const covered = this.log.snapshot?.lastIndex ?? 0;
-    if (this.compacting || this.applied - covered < this.snapshotEntries) return;
+    if (this.isCompacting || this.applied - covered < this.snapshotEntries) return;
     const lastTerm = this.log.termAt(this.applied);
     if (lastTerm === undefined) return;
-    this.compacting = true;
+    this.isCompacting = true;
     const snapshot = {
       lastIndex: this.applied,
       lastTerm,
@@ -107,9 +107,9 @@
     };
     // A snapshot that could not be stored is lost, and nothing else: the log grows, and the next commit tries again. The disk's
     // fault shows at the next entry, which is not confirmed.
-    const isOver = (): void => {
-      this.compacting = false;
+    const onCompacted = (): void => {
+      this.isCompacting = false;
     };
-    this.log.compact(snapshot).then(isOver, isOver);
+    this.log.compact(snapshot).then(onCompacted, onCompacted);
   }
 }
--- a/src/consensus/log_receiver.ts
+++ b/src/consensus/log_receiver.ts
@@ -29,12 +29,12 @@
     if (request.receiver !== state.id || term < state.term) return this.appendReply(false, 0);
     this.election.followLeader(term, request.leader ?? '');
     const previousIndex = request.previousIndex ?? 0;
-    if (!this.matches(previousIndex, request.previousTerm ?? 0)) {
+    if (!this.hasPreviousEntry(previousIndex, request.previousTerm ?? 0)) {
       await this.persistTerm();
       return this.appendReply(false, Math.min(previousIndex - 1, state.log.lastIndex));
     }
     const entries = (request.entries ?? []).map(entryFromMessage);
-    const durable = this.store(entries);
+    const durable = this.storeEntries(entries);
     const matchIndex = previousIndex + entries.length;
     await Promise.all([this.persistTerm(), durable]);
     if (state.term !== term) return this.appendReply(false, 0);
@@ -54,8 +54,8 @@
     if (request.receiver !== state.id || term < state.term) return refused;
     this.election.followLeader(term, request.leader ?? '');
     await this.persistTerm();
-    const held = Math.min(this.applier.commitIndex, state.log.durableIndex);
-    if (lastIndex > held) await this.installSnapshot(lastIndex, request);
+    const durableCommitIndex = Math.min(this.applier.commitIndex, state.log.durableIndex);
+    if (lastIndex > durableCommitIndex) await this.installSnapshot(lastIndex, request);
     return { snapshotReply: { term: state.term, installed: true, matchIndex: lastIndex } };
   }
 
@@ -75,7 +75,7 @@
       if (lastIndex > this.applier.commitIndex) {
         this.applier.restore(lastIndex, snapshot.state);
       }
-      this.state.adoptMembership();
+      this.state.reloadMembership();
       await stored;
     }
     // An earlier try may have left the snapshot in memory only.
@@ -83,7 +83,7 @@
   }
 
   /** Whether the log holds the entry before the new ones. Entries that a snapshot replaced are committed, so they match. */
-  private matches(previousIndex: number, previousTerm: number): boolean {
+  private hasPreviousEntry(previousIndex: number, previousTerm: number): boolean {
     const { log } = this.state;
     const snapshotIndex = log.snapshot?.lastIndex ?? 0;
     if (previousIndex < snapshotIndex) return true;
@@ -91,20 +91,20 @@
   }
 
   /** Appends what the log lacks, in place of entries of other terms; resolves once everything is on disk. */
-  private store(entries: readonly LogEntry[]): Promise<void> {
+  private storeEntries(entries: readonly LogEntry[]): Promise<void> {
     const { state } = this;
     const { log } = state;
     const snapshotIndex = log.snapshot?.lastIndex ?? 0;
-    const unknown = entries.filter(
+    const missing = entries.filter(
       (entry) => entry.index > snapshotIndex && log.termAt(entry.index) !== entry.term,
     );
-    const first = unknown[0];
-    if (!first) return log.settled();
+    const first = missing[0];
+    if (!first) return log.writesSettled();
     if (first.index <= log.lastIndex) log.truncateFrom(first.index);
     const durable = log.append(entries.filter((entry) => entry.index >= first.index));
-    state.adoptMembership();
+    state.reloadMembership();
     return durable.catch((error: unknown) => {
-      state.adoptMembership();
+      state.reloadMembership();
       throw error;
     });
   }
--- a/src/consensus/log_replication.ts
+++ b/src/consensus/log_replication.ts
@@ -16,7 +16,7 @@
 import type { MemberState, RaftRuntime } from './member_state.js';
 import { type AppendSource, PeerReplicator } from './peer_replicator.js';
 import type { LogEntry } from './raft_log.js';
-import { LEADERSHIP_PROOF_MS, type RaftOptions } from './raft_options.js';
+import { LEADERSHIP_PROOF_MAX_AGE_MS, type RaftOptions } from './raft_options.js';
 
 /** Replication by one member. */
 export class LogReplication implements AppendSource {
@@ -32,14 +32,14 @@
   ) {}
 
   /** Begins to lead: an entry of the new term commits what former leaders left. */
-  begin(): void {
+  startLeading(): void {
     this.updateReplicators();
     this.leadershipIndex = this.state.log.lastIndex + 1;
     this.append(whinyoke.EntryKind.NO_OPERATION, new Uint8Array(0));
   }
 
   /** Ends all replicators: this member leads no longer. */
-  end(): void {
+  stopLeading(): void {
     for (const replicator of this.replicators.values()) replicator.stop();
     this.replicators.clear();
   }
@@ -55,7 +55,7 @@
     const { term } = state;
     const entry: LogEntry = { term, index: this.nextIndex, kind, command, membership };
     const durable = state.log.append([entry]);
-    if (membership) state.adoptMembership();
+    if (membership) state.reloadMembership();
     this.sendToAll();
     durable.then(
       () => {
@@ -64,7 +64,7 @@
       // A leader whose disk fails must not stay leader; what it could not write has left the log again.
       () => {
         state.stepDown(state.term);
-        state.adoptMembership();
+        state.reloadMembership();
       },
     );
   }
@@ -76,7 +76,7 @@
     for (let index = state.log.lastIndex; index > this.applier.commitIndex; index--) {
       // Only entries of the current term are committed by counting (Raft, section 5.4.2).
       if (state.log.termAt(index) !== state.term) return;
-      if (!state.membership.isQuorum(this.holdersOf(index))) continue;
+      if (!state.membership.isQuorum(this.membersWithEntry(index))) continue;
       this.applier.commitTo(index);
       this.sendToAll();
       return;
@@ -120,27 +120,27 @@
   /** Whether a majority of voters answered within an election timeout. */
   get hasQuorum(): boolean {
     const oldest = this.runtime.clock.now() - this.options.electionTimeoutMs;
-    return this.isQuorumOf((peer) => peer.lastContact >= oldest);
+    return this.isQuorumOf((peer) => peer.lastContactAt >= oldest);
   }
 
   /**
    * Whether this member leads, is in contact with a majority, and has applied all that was committed before. No other
-   * member led {@link LEADERSHIP_PROOF_MS} ago.
+   * member led {@link LEADERSHIP_PROOF_MAX_AGE_MS} ago.
    */
-  get leadsWithState(): boolean {
-    const isCurrent = this.applier.appliedIndex >= this.leadershipIndex && this.isConfirmed;
+  get isReadyLeader(): boolean {
+    const isCurrent = this.applier.appliedIndex >= this.leadershipIndex && this.isLeadershipProven;
     return this.state.role === 'leader' && isCurrent && this.hasQuorum;
   }
 
   /** Whether an applied index includes the entry that began this member's newest leadership. */
-  coversLeadership(appliedIndex: number): boolean {
+  hasAppliedLeadershipEntry(appliedIndex: number): boolean {
     return this.state.role === 'leader' && appliedIndex >= this.leadershipIndex;
   }
 
   /** Milliseconds since another member answered; infinite when this member does not lead. */
-  contactAge(id: string): number {
-    const lastContact = this.replicators.get(id)?.lastContact ?? -Infinity;
-    return this.runtime.clock.now() - lastContact;
+  contactAgeMs(id: string): number {
+    const lastContactAt = this.replicators.get(id)?.lastContactAt ?? -Infinity;
+    return this.runtime.clock.now() - lastContactAt;
   }
 
   /** How far a member's log is known to match; 0 when this member does not lead. */
@@ -152,25 +152,25 @@
     for (const replicator of this.replicators.values()) replicator.trigger();
   }
 
-  private holdersOf(index: number): ReadonlySet<string> {
-    const holders = new Set<string>();
-    if (this.state.log.durableIndex >= index) holders.add(this.state.id);
+  private membersWithEntry(index: number): ReadonlySet<string> {
+    const members = new Set<string>();
+    if (this.state.log.durableIndex >= index) members.add(this.state.id);
     for (const [id, replicator] of this.replicators) {
-      if (replicator.matchIndex >= index) holders.add(id);
+      if (replicator.matchIndex >= index) members.add(id);
     }
-    return holders;
+    return members;
   }
 
   /** Whether a majority answered messages that were sent a short time ago. */
-  private get isConfirmed(): boolean {
-    const oldest = this.runtime.clock.now() - LEADERSHIP_PROOF_MS;
-    return this.isQuorumOf((peer) => peer.confirmedAt >= oldest);
+  private get isLeadershipProven(): boolean {
+    const oldest = this.runtime.clock.now() - LEADERSHIP_PROOF_MAX_AGE_MS;
+    return this.isQuorumOf((peer) => peer.lastAnsweredRequestAt >= oldest);
   }
 
   /** Whether this member and the members whose replicators fit are a majority of the voters. */
-  private isQuorumOf(fits: (replicator: PeerReplicator) => boolean): boolean {
+  private isQuorumOf(matches: (replicator: PeerReplicator) => boolean): boolean {
     const members = new Set([this.state.id]);
-    for (const [id, replicator] of this.replicators) if (fits(replicator)) members.add(id);
+    for (const [id, replicator] of this.replicators) if (matches(replicator)) members.add(id);
     return this.state.membership.isQuorum(members);
   }
 }
--- a/src/consensus/member_state.ts
+++ b/src/consensus/member_state.ts
@@ -34,9 +34,9 @@
 /** Parts of the member that follow a change of the state; called before the change returns. */
 export interface MemberStateListener {
   /** This member leads no longer. */
-  leadershipEnded(): void;
+  onLeadershipEnded(): void;
   /** The members were read again from the log. */
-  membershipAdopted(): void;
+  onMembershipReloaded(): void;
 }
 
 /** State of one member. */
@@ -87,19 +87,19 @@
   }
 
   /** Reads the members again after the log changed. */
-  adoptMembership(): void {
+  reloadMembership(): void {
     this.currentMembership = Membership.fromMessage(this.log.membership);
-    this.listener.membershipAdopted();
+    this.listener.onMembershipReloaded();
   }
 
   /** Becomes a candidate in a new term. */
-  stand(term: number): void {
+  becomeCandidate(term: number): void {
     this.currentTerm = term;
     this.setRole('candidate');
   }
 
   /** Becomes the leader of the present term. */
-  lead(): void {
+  becomeLeader(): void {
     this.setRole('leader');
     this.leader = this.id;
   }
@@ -114,7 +114,7 @@
     this.setRole('follower');
     if (!wasLeader) return;
     this.leader = '';
-    this.listener.leadershipEnded();
+    this.listener.onLeadershipEnded();
   }
 
   /** Steps down when a message shows a later term. */
--- a/src/consensus/peer_replicator.ts
+++ b/src/consensus/peer_replicator.ts
@@ -12,9 +12,9 @@
 import type { RaftOptions } from './raft_options.js';
 
 /** Most entries of one message, so that no message grows without bound. A guess, not measured. */
-const BATCH_ENTRIES = 64;
+const MAX_BATCH_ENTRIES = 64;
 /** Time for an answer to a snapshot, in election timeouts: it is longer than other messages. A guess, not measured. */
-const SNAPSHOT_TIMEOUTS = 5;
+const SNAPSHOT_TIMEOUT_FACTOR = 5;
 
 /** The leader that a replicator works for. */
 export interface AppendSource {
@@ -35,15 +35,15 @@
   /** Newest index up to which the member's log is known to match. */
   matchIndex = 0;
   /** Clock reading of the latest answer, in milliseconds. */
-  lastContact: number;
+  lastContactAt: number;
   /**
    * When the newest message was sent that the peer answered, in milliseconds. An answer that waited unread while this
    * process stood still is new, but what it proves is as old as its request.
    */
-  confirmedAt: number;
+  lastAnsweredRequestAt: number;
   private nextIndex: number;
-  private sending = false;
-  private stopped = false;
+  private isSending = false;
+  private isStopped = false;
   private timer: Timer | undefined;
 
   constructor(
@@ -52,9 +52,9 @@
     private readonly term: number,
   ) {
     this.nextIndex = source.state.log.lastIndex + 1;
-    this.lastContact = source.runtime.clock.now();
+    this.lastContactAt = source.runtime.clock.now();
     // Votes of this term were collected at most an election timeout ago; the first answers come at once.
-    this.confirmedAt = this.lastContact;
+    this.lastAnsweredRequestAt = this.lastContactAt;
   }
 
   /** Starts heartbeats. */
@@ -64,13 +64,13 @@
 
   /** Stops for good. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.timer?.cancel();
   }
 
   /** Sends what the peer lacks, or a heartbeat, unless a message is under way. */
   trigger(): void {
-    if (this.sending || this.stopped) return;
+    if (this.isSending || this.isStopped) return;
     this.timer?.cancel();
     void this.send();
   }
@@ -80,11 +80,11 @@
   }
 
   private async send(): Promise<void> {
-    this.sending = true;
+    this.isSending = true;
     const sentUpTo = this.log.lastIndex;
     const isReached = await this.sendOnce();
-    this.sending = false;
-    if (this.stopped) return;
+    this.isSending = false;
+    if (this.isStopped) return;
     const hasMore = this.nextIndex <= sentUpTo || this.log.lastIndex > sentUpTo;
     if (isReached && hasMore) {
       this.trigger();
@@ -95,7 +95,7 @@
   }
 
   private async sendOnce(): Promise<boolean> {
-    const request = this.source.appendRequestFrom(this.nextIndex, BATCH_ENTRIES);
+    const request = this.source.appendRequestFrom(this.nextIndex, MAX_BATCH_ENTRIES);
     const { messenger, clock } = this.source.runtime;
     const sentAt = clock.now();
     const timeout = this.source.options.electionTimeoutMs;
@@ -104,10 +104,10 @@
       const appendRequest = { ...request, receiver: this.peer.id };
       const body = await messenger.request(this.peer.address, { appendRequest }, timeout);
       const reply = body.appendReply;
-      if (this.stopped || reply?.follower !== this.peer.id) return false;
-      if (this.isHigher(reply.term)) return false;
-      this.noteContact(sentAt);
-      if (reply.success) this.onMatch(reply.matchIndex ?? 0);
+      if (this.isStopped || reply?.follower !== this.peer.id) return false;
+      if (this.observesHigherTerm(reply.term)) return false;
+      this.recordContact(sentAt);
+      if (reply.success) this.advanceMatch(reply.matchIndex ?? 0);
       else this.nextIndex = Math.max(1, Math.min(this.nextIndex - 1, (reply.matchIndex ?? 0) + 1));
       return true;
     } catch {
@@ -129,28 +129,28 @@
       state: snapshot.state,
       receiver: this.peer.id,
     };
-    const timeout = this.source.options.electionTimeoutMs * SNAPSHOT_TIMEOUTS;
+    const timeout = this.source.options.electionTimeoutMs * SNAPSHOT_TIMEOUT_FACTOR;
     const sentAt = clock.now();
     const body = await messenger.request(this.peer.address, { snapshotRequest }, timeout);
     const reply = body.snapshotReply;
-    if (this.stopped || !reply || this.isHigher(reply.term)) return false;
-    this.noteContact(sentAt);
+    if (this.isStopped || !reply || this.observesHigherTerm(reply.term)) return false;
+    this.recordContact(sentAt);
     if (!reply.installed) return false;
-    this.onMatch(reply.matchIndex ?? 0);
+    this.advanceMatch(reply.matchIndex ?? 0);
     return true;
   }
 
-  private noteContact(sentAt: number): void {
-    this.lastContact = this.source.runtime.clock.now();
-    this.confirmedAt = sentAt;
+  private recordContact(sentAt: number): void {
+    this.lastContactAt = this.source.runtime.clock.now();
+    this.lastAnsweredRequestAt = sentAt;
   }
 
-  private isHigher(term: number | null | undefined): boolean {
+  private observesHigherTerm(term: number | null | undefined): boolean {
     this.source.state.observeTerm(term ?? 0);
     return (term ?? 0) > this.term;
   }
 
-  private onMatch(index: number): void {
+  private advanceMatch(index: number): void {
     this.matchIndex = Math.max(this.matchIndex, index);
     this.nextIndex = this.matchIndex + 1;
     this.source.advanceCommit();
--- a/src/consensus/proposals.ts
+++ b/src/consensus/proposals.ts
@@ -13,7 +13,7 @@
 }
 
 /** Waiting proposals of one member. */
-export class Proposals {
+export class PendingProposals {
   private readonly pending = new Map<number, PendingProposal>();
 
   /** Waits for the entry of a term at an index. */
--- a/src/consensus/raft_log.ts
+++ b/src/consensus/raft_log.ts
@@ -63,7 +63,7 @@
 interface PendingSnapshot {
   readonly snapshot: Snapshot;
   /** Whether entries after the snapshot continue it. */
-  readonly keepsLater: boolean;
+  readonly keepsLaterEntries: boolean;
 }
 
 interface Segment {
@@ -112,7 +112,7 @@
   private durableSnapshotIndex = 0;
   /** A snapshot that the disk does not hold yet. */
   private pendingSnapshot: PendingSnapshot | undefined;
-  private writing: Promise<void> = Promise.resolve();
+  private lastWrite: Promise<void> = Promise.resolve();
 
   private constructor(private readonly folder: DataFolder) {}
 
@@ -200,22 +200,22 @@
   saveVote(vote: VoteState): Promise<void> {
     this.voteState = vote;
     const bytes = encodeRecord(Buffer.from(JSON.stringify(vote)));
-    return this.inOrder(async () => {
+    return this.enqueueWrite(async () => {
       await this.folder.replace(VOTE_FILE, bytes);
       this.durableVoteTerm = vote.term;
     });
   }
 
   /** Whether a candidate's log holds at least as much as this one (Raft, section 5.4.1). */
-  isCoveredBy({ lastTerm, lastIndex }: whinyoke.IVoteRequest): boolean {
+  isCandidateUpToDate({ lastTerm, lastIndex }: whinyoke.IVoteRequest): boolean {
     const term = lastTerm ?? 0;
     if (term !== this.lastTerm) return term > this.lastTerm;
     return (lastIndex ?? 0) >= this.lastIndex;
   }
 
   /** Resolves once all writes that were asked for so far are done, or have failed. */
-  settled(): Promise<void> {
-    return this.writing;
+  writesSettled(): Promise<void> {
+    return this.lastWrite;
   }
 
   /**
@@ -223,16 +223,16 @@
    * any that followed them.
    */
   append(entries: readonly LogEntry[]): Promise<void> {
-    if (entries.length === 0) return this.writing;
+    if (entries.length === 0) return this.lastWrite;
     this.entries.push(...entries);
-    return this.inOrder(async () => {
+    return this.enqueueWrite(async () => {
       try {
         await this.write(entries);
       } catch (error) {
-        this.dropFrom(entries);
+        this.dropFailedEntries(entries);
         throw error;
       }
-      this.noteDurable(entries.at(-1)!);
+      this.recordDurable(entries.at(-1)!);
     });
   }
 
@@ -248,37 +248,37 @@
     this.entries = keepsLater ? this.entriesFrom(snapshot.lastIndex + 1, Infinity) : [];
     if (!keepsLater) this.durableEntryIndex = Math.min(this.durableEntryIndex, snapshot.lastIndex);
     this.snapshotState = snapshot;
-    return this.inOrder(() => {
-      const continues = keepsLater && (this.pendingSnapshot?.keepsLater ?? true);
-      this.pendingSnapshot = { snapshot, keepsLater: continues };
+    return this.enqueueWrite(() => {
+      const continues = keepsLater && (this.pendingSnapshot?.keepsLaterEntries ?? true);
+      this.pendingSnapshot = { snapshot, keepsLaterEntries: continues };
       return this.writePendingSnapshot();
     });
   }
 
   /** Stores a snapshot that could not be stored before; resolves at once when there is none. */
   persistSnapshot(): Promise<void> {
-    return this.inOrder(() => this.writePendingSnapshot());
+    return this.enqueueWrite(() => this.writePendingSnapshot());
   }
 
   private get firstIndex(): number {
     return this.entries[0]?.index ?? this.lastIndex + 1;
   }
 
-  private inOrder(work: () => Promise<void>): Promise<void> {
-    const done = this.writing.then(work);
+  private enqueueWrite(work: () => Promise<void>): Promise<void> {
+    const done = this.lastWrite.then(work);
     // Only the order of writes hangs on this; a failure reaches the caller through `done`.
-    this.writing = done.catch(() => undefined);
+    this.lastWrite = done.catch(() => undefined);
     return done;
   }
 
   /** Entries that were appended later depend on these, so they go as well. */
-  private dropFrom(entries: readonly LogEntry[]): void {
-    const firstHeld = entries.find((entry) => this.entryAt(entry.index) === entry);
-    if (firstHeld) this.truncateFrom(firstHeld.index);
+  private dropFailedEntries(entries: readonly LogEntry[]): void {
+    const firstPresent = entries.find((entry) => this.entryAt(entry.index) === entry);
+    if (firstPresent) this.truncateFrom(firstPresent.index);
   }
 
   /** Counts entries up to one that was written, unless it left the log meanwhile. */
-  private noteDurable(entry: LogEntry): void {
+  private recordDurable(entry: LogEntry): void {
     if (this.entryAt(entry.index) !== entry) return;
     this.durableEntryIndex = Math.max(this.durableEntryIndex, entry.index);
   }
@@ -341,7 +341,7 @@
   }
 
   /** A segment goes only when the snapshot that replaces it is durable. */
-  private async writeSnapshot({ snapshot, keepsLater }: PendingSnapshot): Promise<void> {
+  private async writeSnapshot({ snapshot, keepsLaterEntries }: PendingSnapshot): Promise<void> {
     const message: whinyoke.ISnapshotRequest = {
       lastIndex: snapshot.lastIndex,
       lastTerm: snapshot.lastTerm,
@@ -353,7 +353,7 @@
     while (this.segments.length > 0) {
       const [oldest] = this.segments;
       const lastIndex = oldest!.firstIndex + oldest!.ends.length - 1;
-      const isReplaced = !keepsLater || lastIndex <= snapshot.lastIndex;
+      const isReplaced = !keepsLaterEntries || lastIndex <= snapshot.lastIndex;
       if (!isReplaced) return;
       await this.folder.remove(oldest!.file.name);
       this.segments.shift();
--- a/src/consensus/raft_node.ts
+++ b/src/consensus/raft_node.ts
@@ -21,7 +21,7 @@
 import { LogReplication } from './log_replication.js';
 import { type RaftObserver, type RaftRole, type RaftRuntime, MemberState } from './member_state.js';
 import { type Member, Membership } from './membership.js';
-import { Proposals } from './proposals.js';
+import { PendingProposals } from './proposals.js';
 import { NotLeaderError } from './raft_errors.js';
 import type { LogEntry, RaftLog } from './raft_log.js';
 import type { RaftOptions } from './raft_options.js';
@@ -33,7 +33,7 @@
   private readonly replication: LogReplication;
   private readonly election: LeaderElection;
   private readonly receiver: LogReceiver;
-  private readonly proposals = new Proposals();
+  private readonly proposals = new PendingProposals();
 
   /**
    * @param id - identity of this member
@@ -49,14 +49,14 @@
     observer: RaftObserver = {},
   ) {
     this.state = new MemberState(id, log, observer, {
-      leadershipEnded: () => this.onLeadershipEnded(),
-      membershipAdopted: () => this.replication.updateReplicators(),
+      onLeadershipEnded: () => this.onLeadershipEnded(),
+      onMembershipReloaded: () => this.replication.updateReplicators(),
     });
     this.applier = new LogApplier(log, machine, options.snapshotEntries, {
       onEntry: (entry, result) => this.onEntryApplied(entry, result),
       onApplied: (index) => {
         observer.onApplied?.(index);
-        if (this.replication.coversLeadership(index)) observer.onLeadership?.();
+        if (this.replication.hasAppliedLeadershipEntry(index)) observer.onLeadership?.();
       },
     });
     this.replication = new LogReplication(this.state, runtime, options, this.applier);
@@ -107,13 +107,13 @@
   }
 
   /** Whether this member may answer callers from its state: see `log_replication.ts`. */
-  get leadsWithState(): boolean {
-    return this.replication.leadsWithState;
+  get isReadyLeader(): boolean {
+    return this.replication.isReadyLeader;
   }
 
   /** Milliseconds since a member answered; infinite when this is not the leader. */
-  contactAge(id: string): number {
-    return id === this.id ? 0 : this.replication.contactAge(id);
+  contactAgeMs(id: string): number {
+    return id === this.id ? 0 : this.replication.contactAgeMs(id);
   }
 
   /** How far a member's log is known to match; 0 when this is not the leader. */
@@ -141,14 +141,14 @@
 
   /** Begins a new cluster with the given members. Only for a member without any state. */
   async bootstrap(members: readonly Member[]): Promise<void> {
-    await this.beginCluster(members, 1, 1);
-    this.applier.skipTo(1);
+    await this.initializeCluster(members, 1, 1);
+    this.applier.markApplied(1);
   }
 
   /** Begins a new cluster from the state on this disk, accepted or not, with the given members. */
   async bootstrapFromState(members: readonly Member[]): Promise<void> {
     this.applier.commitTo(this.log.lastIndex);
-    await this.beginCluster(members, this.appliedIndex, this.log.lastTerm);
+    await this.initializeCluster(members, this.appliedIndex, this.log.lastTerm);
   }
 
   /** Answers a message of another member. */
@@ -159,7 +159,7 @@
     return Promise.resolve({ refusal: { reason: 'not a consensus message' } });
   }
 
-  private async beginCluster(
+  private async initializeCluster(
     members: readonly Member[],
     lastIndex: number,
     lastTerm: number,
@@ -167,7 +167,7 @@
     const membership = new Membership(members).toMessage();
     const state = this.applier.serialize();
     await this.log.compact({ lastIndex, lastTerm, membership, state });
-    this.state.adoptMembership();
+    this.state.reloadMembership();
   }
 
   private async proposeEntry(
@@ -189,7 +189,7 @@
   }
 
   private onLeadershipEnded(): void {
-    this.replication.end();
+    this.replication.stopLeading();
     this.proposals.rejectAll();
     this.election.restartTimer();
   }
--- a/src/consensus/raft_options.ts
+++ b/src/consensus/raft_options.ts
@@ -15,7 +15,7 @@
    * order of their names, so that members that start together don't collide. A cluster that has a leader refuses
    * the pre-vote, so an early try costs nothing and a restart of all members is short.
    */
-  readonly earlyElectionMs?: number;
+  readonly initialElectionTimeoutMs?: number;
   /** Entries after which a snapshot replaces them. */
   readonly snapshotEntries: number;
 }
@@ -35,4 +35,4 @@
  * answers take on a machine that is short of processor time, and a bound for how long a leader that has a successor may
  * go on. A guess, not measured. Part of the bounds on operations that tenants may run too many (docs/design/tenancy.md).
  */
-export const LEADERSHIP_PROOF_MS = 500;
+export const LEADERSHIP_PROOF_MAX_AGE_MS = 500;
--- a/src/consensus/vote_collector.ts
+++ b/src/consensus/vote_collector.ts
@@ -9,7 +9,7 @@
 import type { MemberState } from './member_state.js';
 
 /** What the collector needs of its member. */
-export interface VoteSurroundings {
+export interface VoteCollectorDependencies {
   /** The candidate's state, with the voters. */
   readonly state: MemberState;
   /** The way to the voters. */
@@ -19,7 +19,7 @@
 }
 
 async function requestVote(
-  { state, messenger, timeoutMs }: VoteSurroundings,
+  { state, messenger, timeoutMs }: VoteCollectorDependencies,
   voter: Member,
   request: whinyoke.IVoteRequest,
 ): Promise<boolean> {
@@ -38,17 +38,17 @@
 
 /** Resolves with whether a majority of the voters, this member included, grants its vote; as soon as that is certain. */
 export function collectVotes(
-  surroundings: VoteSurroundings,
+  dependencies: VoteCollectorDependencies,
   request: whinyoke.IVoteRequest,
 ): Promise<boolean> {
-  const { id, membership } = surroundings.state;
+  const { id, membership } = dependencies.state;
   const granted = new Set([id]);
   const others = membership.voters.filter((voter) => voter.id !== id);
   return new Promise((resolve) => {
     if (membership.isQuorum(granted)) resolve(true);
     const possible = new Set([id, ...others.map((voter) => voter.id)]);
     for (const voter of others) {
-      void requestVote(surroundings, voter, request).then((isGranted) => {
+      void requestVote(dependencies, voter, request).then((isGranted) => {
         if (isGranted) granted.add(voter.id);
         else possible.delete(voter.id);
         if (membership.isQuorum(granted)) resolve(true);
--- a/src/mysql/control/control_core.ts
+++ b/src/mysql/control/control_core.ts
@@ -68,8 +68,8 @@
     const { address } = options;
     const node = new RaftNode(identity, address, runtime, log, store, raftOptions, observer);
     const joiner = new ClusterJoiner(node, runtime, () => options.controls, {
-      recoverAlone: options.recoverAlone ?? false,
-      trustsAddresses: keepsIdentity,
+      recoversAsSingleMember: options.recoverAlone ?? false,
+      usesAddressesAsIds: keepsIdentity,
     });
     return new ControlCore(
       node,
--- a/test/simulation/control_silence.test.ts
+++ b/test/simulation/control_silence.test.ts
@@ -125,7 +125,7 @@
     machine.running!.process.kill();
     const isAppointed = (): boolean => group.leader !== undefined && group.leader !== leader;
     while (!isAppointed()) await world.run(1);
-    world.coordinators.find((control) => control.running?.node.leadsWithState)!.kill();
+    world.coordinators.find((control) => control.running?.node.isReadyLeader)!.kill();
     const begunAt = world.scheduler.now;
     while (!hasLeases(world) && world.scheduler.now - begunAt < CHANGE_LIMIT_MS) {
       await world.run(POLL_MS);
--- a/test/simulation/elections.test.ts
+++ b/test/simulation/elections.test.ts
@@ -9,24 +9,24 @@
 import t from 'tap';
 import { ConsensusGroup } from '../tools/consensus_group.js';
 
-const SEEDS = 200;
+const SEED_COUNT = 200;
 const TWO_REGIONS = ['west', 'east', 'west', 'east', 'west', 'east'];
 /** Machines start within this time after power returns, in milliseconds. */
 const START_SPREAD_MS = 500;
 /** Time that is looked at after power returned, in milliseconds. */
-const WATCHED_MS = 6000;
+const OBSERVATION_MS = 6000;
 
 /** Times until a leader stays, over many seeds, in rising order; leaderships that were given up in the same term. */
-async function returnsOfPower(lossShare: number): Promise<{ times: number[]; lost: number }> {
+async function measurePowerReturns(lossShare: number): Promise<{ times: number[]; lost: number }> {
   const times: number[] = [];
   let lost = 0;
-  for (let seed = 1; seed <= SEEDS; seed++) {
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
     const group = new ConsensusGroup(seed, TWO_REGIONS, lossShare);
     for (const machine of group.machines) machine.start();
     await group.run(3000);
     await group.losePower(1000, START_SPREAD_MS);
     group.changes.length = 0;
-    times.push((await group.settlesWithin(WATCHED_MS)) - START_SPREAD_MS);
+    times.push((await group.timeToStableLeader(OBSERVATION_MS)) - START_SPREAD_MS);
     const won = group.changes.filter(({ role }) => role === 'leader');
     lost += Math.max(0, won.length - 1);
   }
@@ -39,13 +39,13 @@
 }
 
 void t.test('after power returned to two regions a leader stays within a second', async (t) => {
-  const { times, lost } = await returnsOfPower(0);
+  const { times, lost } = await measurePowerReturns(0);
   t.comment(`${summary(times)}; ${lost} leaderships lost again`);
   t.ok(times.at(-1)! <= 1000, summary(times));
 });
 
 void t.test('also when links lose one packet in forty', async (t) => {
-  const { times, lost } = await returnsOfPower(1 / 40);
+  const { times, lost } = await measurePowerReturns(1 / 40);
   t.comment(`${summary(times)}; ${lost} leaderships lost again`);
   t.ok(times.at(-1)! <= 1500, summary(times));
 });
--- a/test/simulation/incarnations.test.ts
+++ b/test/simulation/incarnations.test.ts
@@ -40,11 +40,11 @@
 });
 
 void t.test('without the protection the checks report it', async (t) => {
-  const find = async (kind: AppointedFaultKind): Promise<readonly string[]> => {
+  const violationKinds = async (kind: AppointedFaultKind): Promise<readonly string[]> => {
     const options = { faults: [kind], faultCount: 2, disabled: ['instance-lives'] as const };
     const report = await runAppointed({ deployment, seed: 1, ...options });
     return report.violations.map((violation) => violation.kind);
   };
-  t.ok((await find('restart-empty-primary')).includes('stale'));
-  t.ok((await find('restart-empty-newest-replica')).includes('lost'));
+  t.ok((await violationKinds('restart-empty-primary')).includes('stale'));
+  t.ok((await violationKinds('restart-empty-newest-replica')).includes('lost'));
 });
--- a/test/simulation/large_fleet.test.ts
+++ b/test/simulation/large_fleet.test.ts
@@ -113,7 +113,7 @@
 }
 
 function leaderHost(world: AppointedWorld): string {
-  const leader = world.coordinators.find((control) => control.running?.node.leadsWithState);
+  const leader = world.coordinators.find((control) => control.running?.node.isReadyLeader);
   return hostOf(leader!.running!.node.address);
 }
 
--- a/test/simulation/regions.test.ts
+++ b/test/simulation/regions.test.ts
@@ -4,10 +4,10 @@
 import { runAppointed } from '../../lab/appointed/appointed_simulation.js';
 
 /** Seeds of one test (a count): enough for the first change of primary of each kind. Guess, not measured. */
-const SEEDS = 2;
+const SEED_COUNT = 2;
 
 void t.test('no bound request runs outside its homes, and all are served again', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
+  for (let seed = 1; seed <= SEED_COUNT; seed++) {
     const report = await runAppointed({ deployment: APPOINTED_REGIONS, seed });
     t.same(report.violations, [], `seed ${seed}`);
     t.same(report.unwritable, [], `seed ${seed}`);
--- a/test/simulation/restart.test.ts
+++ b/test/simulation/restart.test.ts
@@ -15,36 +15,36 @@
 import type { SimulatedCoordinator, SimulatedRouter } from '../../lab/appointed/appointed_nodes.js';
 import { AppointedWorld } from '../../lab/appointed/appointed_world.js';
 
-const SEEDS = 40;
+const SEED_COUNT = 40;
 const POLL_MS = 5;
 const LIMIT_MS = 5000;
 /** First election within 150 ms, its votes on disk, and the first entry confirmed. */
-const LONGEST_WITHOUT_LEADER_MS = 250;
+const MAX_TIME_TO_LEADER_MS = 250;
 /** The proxies are registered again and hold the catalog. */
-const LONGEST_WITHOUT_LEASES_MS = 300;
+const MAX_TIME_TO_LEASES_MS = 300;
 /** Processes start up to that much apart, in milliseconds. */
 const START_SKEW_MS = 100;
 /** Processes that were killed at the same moment start again up to that much apart, in milliseconds. */
-const TOGETHER_SKEW_MS = 15;
+const SIMULTANEOUS_START_SKEW_MS = 15;
 /** 45 ms when the first tries were drawn at random; measured by this test. */
-const MEAN_LEADER_TOGETHER_MS = 42;
+const MAX_MEAN_TIME_TO_LEADER_MS = 42;
 /** Machines get their power back up to that much apart, in milliseconds. */
 const POWER_SKEW_MS = 300;
 /**
  * From the moment when a majority of the control machines and all proxies run: the election, and the search
  * of each proxy for the leader among machines that answer nothing yet.
  */
-const LONGEST_AFTER_POWER_MS = 150;
-const MEAN_AFTER_POWER_MS = 40;
+const MAX_TIME_TO_LEASES_AFTER_POWER_MS = 150;
+const MAX_MEAN_TIME_TO_LEASES_AFTER_POWER_MS = 40;
 
 async function timeUntil(world: AppointedWorld, condition: () => boolean): Promise<number> {
-  const begunAt = world.scheduler.now;
-  while (!condition() && world.scheduler.now - begunAt < LIMIT_MS) await world.run(POLL_MS);
-  return world.scheduler.now - begunAt;
+  const startedAt = world.scheduler.now;
+  while (!condition() && world.scheduler.now - startedAt < LIMIT_MS) await world.run(POLL_MS);
+  return world.scheduler.now - startedAt;
 }
 
 function hasLeader(world: AppointedWorld): boolean {
-  return world.coordinators.some((control) => control.running?.node.leadsWithState);
+  return world.coordinators.some((control) => control.running?.node.isReadyLeader);
 }
 
 function haveLeases(world: AppointedWorld): boolean {
@@ -75,14 +75,14 @@
 
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
   void t.test(`${deployment.name}: a restart of everything is short`, async (t) => {
-    for (let seed = 1; seed <= SEEDS; seed++) {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const world = new AppointedWorld(deployment, seed, new Set());
       await restartAll(world, (machine) => machine.kill(), START_SKEW_MS);
       const leader = await timeUntil(world, () => hasLeader(world));
       const leases = await timeUntil(world, () => haveLeases(world));
-      t.ok(leader <= LONGEST_WITHOUT_LEADER_MS, `seed ${seed}: a leader after ${leader} ms`);
+      t.ok(leader <= MAX_TIME_TO_LEADER_MS, `seed ${seed}: a leader after ${leader} ms`);
       t.ok(
-        leader + leases <= LONGEST_WITHOUT_LEASES_MS,
+        leader + leases <= MAX_TIME_TO_LEASES_MS,
         `seed ${seed}: leases after ${leader + leases} ms`,
       );
     }
@@ -92,36 +92,36 @@
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
   void t.test(`${deployment.name}: members that start together don't collide`, async (t) => {
     let total = 0;
-    for (let seed = 1; seed <= SEEDS; seed++) {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const world = new AppointedWorld(deployment, seed, new Set());
-      await restartAll(world, (machine) => machine.kill(), TOGETHER_SKEW_MS);
+      await restartAll(world, (machine) => machine.kill(), SIMULTANEOUS_START_SKEW_MS);
       total += await timeUntil(world, () => hasLeader(world));
     }
-    const mean = total / SEEDS;
-    t.ok(mean <= MEAN_LEADER_TOGETHER_MS, `a leader after ${mean} ms on average`);
+    const mean = total / SEED_COUNT;
+    t.ok(mean <= MAX_MEAN_TIME_TO_LEADER_MS, `a leader after ${mean} ms on average`);
   });
 }
 
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
   void t.test(`${deployment.name}: leases are there soon after a loss of all power`, async (t) => {
     let total = 0;
-    for (let seed = 1; seed <= SEEDS; seed++) {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const world = new AppointedWorld(deployment, seed, new Set());
       await restartAll(world, (machine) => machine.losePower(), POWER_SKEW_MS);
       await world.run(POWER_SKEW_MS);
       const leases = await timeUntil(world, () => haveLeases(world));
       total += leases;
-      t.ok(leases <= LONGEST_AFTER_POWER_MS, `seed ${seed}: leases after ${leases} ms`);
+      t.ok(leases <= MAX_TIME_TO_LEASES_AFTER_POWER_MS, `seed ${seed}: leases after ${leases} ms`);
     }
-    const mean = total / SEEDS;
-    t.ok(mean <= MEAN_AFTER_POWER_MS, `leases after ${mean} ms on average`);
+    const mean = total / SEED_COUNT;
+    t.ok(mean <= MAX_MEAN_TIME_TO_LEASES_AFTER_POWER_MS, `leases after ${mean} ms on average`);
   });
 }
 
 void t.test('a control machine with an empty, full disk starts once there is space', async (t) => {
   const world = new AppointedWorld(APPOINTED_QUETZAL, 1);
   await world.start();
-  const lost = world.coordinators.find((control) => !control.running?.node.leadsWithState)!;
+  const lost = world.coordinators.find((control) => !control.running?.node.isReadyLeader)!;
   lost.loseDisk();
   const free = lost.fillDisk();
   lost.start();
--- a/test/tools/consensus_group.ts
+++ b/test/tools/consensus_group.ts
@@ -37,9 +37,9 @@
 
   constructor(
     readonly member: Member,
-    private readonly founders: readonly Member[],
+    private readonly initialMembers: readonly Member[],
     surroundings: MachineSurroundings,
-    private readonly note: (change: RoleChange) => void,
+    private readonly recordRoleChange: (change: RoleChange) => void,
   ) {
     super(member.id, member.address, surroundings);
   }
@@ -57,12 +57,12 @@
     };
     const { id, address } = this.member;
     const onRole = (role: RaftRole, term: number): void =>
-      this.note({ at: this.surroundings.scheduler.now, member: id, role, term });
+      this.recordRoleChange({ at: this.surroundings.scheduler.now, member: id, role, term });
     const node = new RaftNode(id, address, runtime, log, machine, APPOINTED_RAFT_OPTIONS, {
       onRole,
     });
     runtime.messenger.serve((body) => node.handle(body));
-    if (!log.snapshot) await node.bootstrap(this.founders);
+    if (!log.snapshot) await node.bootstrap(this.initialMembers);
     this.node = node;
     node.start();
   }
@@ -104,13 +104,15 @@
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       syncMs: SYNC_MS,
     };
-    const note = (change: RoleChange): void => void this.changes.push(change);
-    this.machines = members.map((member) => new MemberMachine(member, members, surroundings, note));
+    const recordRoleChange = (change: RoleChange): void => void this.changes.push(change);
+    this.machines = members.map(
+      (member) => new MemberMachine(member, members, surroundings, recordRoleChange),
+    );
   }
 
   /** The member that leads with all that was committed before. */
   get leader(): RaftNode | undefined {
-    return this.machines.find(({ isUp, node }) => isUp && node?.leadsWithState)?.node;
+    return this.machines.find(({ isUp, node }) => isUp && node?.isReadyLeader)?.node;
   }
 
   /** Runs for some virtual milliseconds. */
@@ -128,7 +130,7 @@
   }
 
   /** Milliseconds until the last change of leadership within `withinMs` from now; infinite when nobody leads then. */
-  async settlesWithin(withinMs: number): Promise<number> {
+  async timeToStableLeader(withinMs: number): Promise<number> {
     const since = this.scheduler.now;
     const before = this.changes.length;
     await this.run(withinMs);
--- a/test/tools/control_cluster.ts
+++ b/test/tools/control_cluster.ts
@@ -37,7 +37,7 @@
   }
 
   /** Whether every machine votes under its present name. */
-  get isWhole(): boolean {
+  get allMachinesVote(): boolean {
     const members = this.leader?.node.membership;
     return (
       members?.members.length === this.controls.length &&
@@ -52,7 +52,7 @@
   }
 
   /** Cuts two sets of machines from each other; returns what heals the cut. */
-  cut(left: readonly SimulatedControl[], right: readonly SimulatedControl[]): () => void {
+  partition(left: readonly SimulatedControl[], right: readonly SimulatedControl[]): () => void {
     const hosts = (machines: readonly SimulatedControl[]): string[] =>
       machines.map((machine) => machine.host);
     const heals = [
--- a/test/tools/route_table.ts
+++ b/test/tools/route_table.ts
@@ -3,12 +3,15 @@
 import { TenantDirectory } from '../../src/appointed/tenancy/tenant.js';
 
 /** A document that names a group, with routes to it that have these homes. */
-export function tableNaming(group: string, ...homes: readonly Route['homes'][]): RouteTable {
+export function tableNaming(
+  group: string,
+  ...homes: readonly Route['allowedRegions'][]
+): RouteTable {
   const routes = homes.map((item, index): Route => {
     const name = `r${index}`;
     const policy = { kind: 'primary' } as const;
     const times = { timeoutMs: 800, targetLatencyMs: 150, priority: 1 };
-    return { name, database: name, group, policy, ...times, isPublic: true, homes: item };
+    return { name, database: name, group, policy, ...times, isPublic: true, allowedRegions: item };
   });
   return {
     version: 1,
--- a/test/tools/single_member.ts
+++ b/test/tools/single_member.ts
@@ -12,7 +12,7 @@
 export type PeerAnswerer = (body: MessageBody) => Promise<MessageBody>;
 
 /** Answerer of members that are not there. */
-export const NOBODY: PeerAnswerer = () => Promise.reject(new Error('nobody is there'));
+export const UNREACHABLE_PEERS: PeerAnswerer = () => Promise.reject(new Error('nobody is there'));
 
 /** Opens member `b` on a folder; its messages to others are answered by a function. */
 export async function openSingleMember(
--- a/test/tools/slow_start_play.ts
+++ b/test/tools/slow_start_play.ts
@@ -220,7 +220,7 @@
       if (timer.at <= this.now) timer.run();
       else this.timers.push(timer);
     }
-    this.leader.holders.review();
+    this.leader.holders.assignMissingHolders();
     await new Promise((resolve) => setImmediate(resolve));
     for (const proxy of this.proxies) {
       if (proxy.frozenUntil > this.now) continue;
@@ -264,7 +264,7 @@
   private noteContact({ holders }: PlayedLeader, { self }: PlayedProxy, leaving: boolean): void {
     const early = this.omits('window-between-holders') ? WINDOW_MS : 0;
     this.now -= early;
-    holders.noteContact(self, leaving);
+    holders.recordContact(self, leaving);
     this.now += early;
   }
 
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -18,11 +18,11 @@
 /** A leader whose connector finds `present` at the address, or fails in another way. */
 function leaderWith(
   failure: ConnectFailure | undefined,
-  present = '',
+  answeringId = '',
 ): {
   readonly catalog: Catalog;
   advance(durationMs: number): void;
-  beat(id: string, sequence: number): Promise<whinyoke.ICatalogReply>;
+  sendHeartbeat(id: string, sequence: number): Promise<whinyoke.ICatalogReply>;
 } {
   const catalog = new Catalog();
   let now = 1000;
@@ -31,8 +31,8 @@
   const connector: InstanceConnector = {
     connect: ({ id }) => {
       if (failure) return Promise.reject(new ConnectError(failure, { failure }));
-      if (id !== present)
-        return Promise.reject(new ConnectError(present, { failure: 'wrongInstance' }));
+      if (id !== answeringId)
+        return Promise.reject(new ConnectError(answeringId, { failure: 'wrongInstance' }));
       const connection = {
         run: () => Promise.reject(new Error('unused')),
         close: () => undefined,
@@ -43,7 +43,7 @@
     },
   };
   const monitor = new InstanceMonitor();
-  const node = { role: 'leader', leadsWithState: true } as unknown as RaftNode;
+  const node = { role: 'leader', isReadyLeader: true } as unknown as RaftNode;
   const messenger = { request: () => Promise.reject(new Error('unused')), serve: () => undefined };
   const service = new CatalogService({
     clock,
@@ -61,16 +61,20 @@
   return {
     catalog,
     advance: (durationMs) => (now += durationMs),
-    beat: (id, sequence) =>
+    sendHeartbeat: (id, sequence) =>
       service.submit({ beat: { instance: { id, group: 'g', address: ADDRESS, sequence } } }),
   };
 }
 
 void t.test('a late heartbeat of an instance that nobody knew ends no other', async (t) => {
   const leader = leaderWith(undefined, 'new');
-  await leader.beat('new', 1);
+  await leader.sendHeartbeat('new', 1);
   leader.advance(500);
-  t.equal((await leader.beat('old', 90)).outcome, CatalogOutcome.DONE, 'it need not come again');
+  t.equal(
+    (await leader.sendHeartbeat('old', 90)).outcome,
+    CatalogOutcome.DONE,
+    'it need not come again',
+  );
   t.equal(leader.catalog.instance('old'), undefined);
   t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
 });
@@ -79,12 +83,12 @@
   'an instance that is at the address takes it over, and the former stays gone',
   async (t) => {
     const leader = leaderWith(undefined, 'new');
-    await leader.beat('old', 5);
+    await leader.sendHeartbeat('old', 5);
     leader.advance(500);
-    await leader.beat('new', 1);
+    await leader.sendHeartbeat('new', 1);
     t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
     t.equal(leader.catalog.instance('old')?.state, InstanceState.GONE);
-    await leader.beat('old', 6);
+    await leader.sendHeartbeat('old', 6);
     t.equal(leader.catalog.instance('old')?.state, InstanceState.GONE, 'late, once more');
     t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
   },
@@ -92,10 +96,10 @@
 
 void t.test('where nobody can be asked, the one that tells itself on is believed', async (t) => {
   const leader = leaderWith('silent');
-  await leader.beat('old', 5);
+  await leader.sendHeartbeat('old', 5);
   leader.advance(500);
-  t.equal((await leader.beat('new', 1)).outcome, CatalogOutcome.UNAVAILABLE, 'not yet');
+  t.equal((await leader.sendHeartbeat('new', 1)).outcome, CatalogOutcome.UNAVAILABLE, 'not yet');
   leader.advance(3000);
-  t.equal((await leader.beat('new', 2)).outcome, CatalogOutcome.DONE);
+  t.equal((await leader.sendHeartbeat('new', 2)).outcome, CatalogOutcome.DONE);
   t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
 });
--- a/test/unit/consensus.test.ts
+++ b/test/unit/consensus.test.ts
@@ -25,7 +25,7 @@
     cluster.controls.at(-1)!.kill();
     const others = cluster.controls.slice(0, -1);
     const half = others.length / 2;
-    const heal = cluster.cut(others.slice(0, half), others.slice(half));
+    const heal = cluster.partition(others.slice(0, half), others.slice(half));
     await cluster.world.run(3000);
     const before = cluster.world.scheduler.now;
     const replies = await cluster.applyAtAll('split', others);
@@ -47,7 +47,7 @@
       victim.loseDisk();
       await cluster.world.run(500);
       victim.start();
-      const isWhole = await cluster.world.runUntil(() => cluster.isWhole, 20_000);
+      const isWhole = await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000);
       t.ok(isWhole, 'the machine is a voter again, under a new name');
     }
     await cluster.waitForLeader();
--- a/test/unit/data_residency.test.ts
+++ b/test/unit/data_residency.test.ts
@@ -60,7 +60,8 @@
 
 void t.test('an empty list and a null bind nothing; other lists do', (t) => {
   const homes = (route: DocumentHomes['route']): unknown =>
-    new PlatformDocumentReader().read(documentWith(1, { route })).routeByDatabase.get('db')!.homes;
+    new PlatformDocumentReader().read(documentWith(1, { route })).routeByDatabase.get('db')!
+      .allowedRegions;
   t.equal(homes([]), undefined);
   t.equal(homes(null), undefined);
   t.same(homes(['north']), new Set(['north']));
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -3,14 +3,14 @@
 import type { RaftNode } from '../../src/consensus/raft_node.js';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { DataFolder, MessageBody } from '../../src/runtime/runtime.js';
-import { NOBODY, type PeerAnswerer, openSingleMember } from '../tools/single_member.js';
+import { UNREACHABLE_PEERS, type PeerAnswerer, openSingleMember } from '../tools/single_member.js';
 
 const ELECTION_MS = 20;
 /** A trip to another region and back, in milliseconds. */
-const TRIP_MS = 60;
+const ROUND_TRIP_MS = 60;
 
 /** A folder that keeps nothing but takes everything. */
-const FOLDER: DataFolder = {
+const DISCARDING_FOLDER: DataFolder = {
   read: () => Promise.resolve(undefined),
   append: () => Promise.resolve(),
   sync: () => Promise.resolve(),
@@ -23,32 +23,36 @@
 type Answerer = (request: whinyoke.IVoteRequest) => Promise<MessageBody>;
 
 /** Member `b`, whose requests for votes are answered by a function. */
-function memberB(answer: Answerer): Promise<RaftNode> {
+function openMemberB(answer: Answerer): Promise<RaftNode> {
   const answerVotes = (body: MessageBody): Promise<MessageBody> =>
-    body.voteRequest ? answer(body.voteRequest) : NOBODY(body);
-  return openSingleMember(FOLDER, answerVotes, { electionTimeoutMs: ELECTION_MS });
+    body.voteRequest ? answer(body.voteRequest) : UNREACHABLE_PEERS(body);
+  return openSingleMember(DISCARDING_FOLDER, answerVotes, { electionTimeoutMs: ELECTION_MS });
 }
 
-const FROM_A = { term: 1, candidate: 'a', receiver: 'b', lastIndex: 1, lastTerm: 1 };
+const VOTE_REQUEST_FROM_A = { term: 1, candidate: 'a', receiver: 'b', lastIndex: 1, lastTerm: 1 };
 
 void t.test('a member that has voted in a term welcomes no other candidate in it', async (t) => {
-  const node = await memberB(() => Promise.reject(new Error('not answered')));
-  const before = await node.handle({ voteRequest: { ...FROM_A, candidate: 'c', preVote: true } });
+  const node = await openMemberB(() => Promise.reject(new Error('not answered')));
+  const before = await node.handle({
+    voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
+  });
   t.match(before.voteReply, { granted: true });
-  await node.handle({ voteRequest: FROM_A });
-  const after = await node.handle({ voteRequest: { ...FROM_A, candidate: 'c', preVote: true } });
+  await node.handle({ voteRequest: VOTE_REQUEST_FROM_A });
+  const after = await node.handle({
+    voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
+  });
   t.match(after.voteReply, { granted: false });
-  const next = { ...FROM_A, candidate: 'c', term: 2, preVote: true };
+  const next = { ...VOTE_REQUEST_FROM_A, candidate: 'c', term: 2, preVote: true };
   t.match((await node.handle({ voteRequest: next })).voteReply, { granted: true }, 'the next term');
   node.stop();
 });
 
 void t.test('a candidate gives way to one that was faster', async (t) => {
   const asked: { term: number; preVote: boolean }[] = [];
-  const node = await memberB(async (request) => {
+  const node = await openMemberB(async (request) => {
     asked.push({ term: request.term ?? 0, preVote: request.preVote ?? false });
     // While the pre-vote is under way, the other candidate asks for the vote of this member.
-    await node.handle({ voteRequest: FROM_A });
+    await node.handle({ voteRequest: VOTE_REQUEST_FROM_A });
     return { voteReply: { term: 1, granted: true, voter: 'c' } };
   });
   node.start();
@@ -70,7 +74,7 @@
     // Answers take longer than the time between two tries, as between regions.
     const answerLate: PeerAnswerer = async (body) => {
       const { voteRequest, appendRequest } = body;
-      await new Promise((resolve) => setTimeout(resolve, TRIP_MS));
+      await new Promise((resolve) => setTimeout(resolve, ROUND_TRIP_MS));
       if (voteRequest) {
         const term = voteRequest.preVote ? 0 : (voteRequest.term ?? 0);
         return { voteReply: { term, granted: true, voter: voteRequest.receiver ?? '' } };
@@ -79,15 +83,15 @@
       const matchIndex = (previousIndex ?? 0) + (entries?.length ?? 0);
       return { appendReply: { term, success: true, matchIndex, follower: receiver ?? '' } };
     };
-    const node = await openSingleMember(FOLDER, answerLate, {
+    const node = await openSingleMember(DISCARDING_FOLDER, answerLate, {
       heartbeatMs: ELECTION_MS,
-      electionTimeoutMs: TRIP_MS * 5,
-      earlyElectionMs: TRIP_MS / 2,
+      electionTimeoutMs: ROUND_TRIP_MS * 5,
+      initialElectionTimeoutMs: ROUND_TRIP_MS / 2,
     });
     node.start();
     while (node.role !== 'leader') await new Promise((resolve) => setTimeout(resolve, 1));
     const term = node.currentTerm;
-    await new Promise((resolve) => setTimeout(resolve, TRIP_MS * 8));
+    await new Promise((resolve) => setTimeout(resolve, ROUND_TRIP_MS * 8));
     t.equal(node.role, 'leader');
     t.equal(node.currentTerm, term, 'no later term');
     node.stop();
--- a/test/unit/evacuation.test.ts
+++ b/test/unit/evacuation.test.ts
@@ -12,7 +12,7 @@
 import { PrimaryPositionCache } from '../../src/appointed/control/primary_position_cache.js';
 import {
   CatalogService,
-  type CatalogServiceSurroundings,
+  type CatalogServiceDependencies,
 } from '../../src/appointed/control/catalog_service.js';
 import { documentOf } from '../../src/appointed/catalog/document_source.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -42,7 +42,7 @@
 const noop = (): void => undefined;
 
 void t.test('orders of a zone take effect in the order of the log and survive a snapshot', (t) => {
-  const { catalog, ...applied } = withCatalog();
+  const { catalog, ...applied } = createCatalog();
   t.ok(applied.order('a', true).changed);
   t.notOk(applied.order('a', true).changed, 'sent again');
   t.same(catalog.evacuatedZones, ['a']);
@@ -61,7 +61,7 @@
   t.end();
 });
 
-function withCatalog(): {
+function createCatalog(): {
   catalog: Catalog;
   apply: AppliedCatalog['apply'];
   order: (zone: string, begins: boolean) => whinyoke.CatalogResult;
@@ -74,14 +74,14 @@
 void t.test(
   'proxies hear of an order at once, and of all evacuated zones with a whole list',
   (t) => {
-    const { catalog, apply, order } = withCatalog();
+    const { catalog, apply, order } = createCatalog();
     const updates = new CatalogUpdates(catalog);
     const decode = (version: number): whinyoke.CatalogUpdate =>
       whinyoke.CatalogUpdate.decode(updates.since(version, 0));
     apply({ putGroup: { group: 'g', epoch: 1, phase: GroupPhase.STEADY } });
     const notifier = new ChangeNotifier(new RealClock(), catalog);
     order('a', true);
-    t.ok(notifier.hasNewsFor(1), 'held requests are answered without delay');
+    t.ok(notifier.hasUpdatesFor(1), 'held requests are answered without delay');
     t.match(decode(1), { isWhole: false, evacuations: [{ zone: 'a', begunAt: 2 }] });
     order('a', false);
     t.match(decode(2), { evacuations: [{ zone: 'a', begunAt: 0, version: 3 }] });
@@ -93,7 +93,7 @@
 );
 
 void t.test('a primary is not asked for its position where no replica may be read', async (t) => {
-  const { catalog, apply, order } = withCatalog();
+  const { catalog, apply, order } = createCatalog();
   for (const [id, zone] of [
     ['p', 'a'],
     ['r', 'b'],
@@ -107,13 +107,13 @@
     return Promise.reject(new Error('it refuses'));
   };
   const cache = new PrimaryPositionCache(new RealClock(), catalog, { connect }, () => true);
-  cache.noteWanted();
+  cache.recordDemand();
   order('a', true);
   order('b', true);
-  await cache.askMissing();
+  await cache.probeMissing();
   t.same(asked, []);
   order('b', false);
-  await cache.askMissing();
+  await cache.probeMissing();
   t.same(asked, ['p']);
 });
 
@@ -123,17 +123,17 @@
   propose: (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>,
 ): CatalogService {
   return new CatalogService({
-    node: { role: 'leader', leadsWithState: true, leaderAddress: '', address: '' },
+    node: { role: 'leader', isReadyLeader: true, leaderAddress: '', address: '' },
     catalog,
     propose,
     log: () => undefined,
-  } as unknown as CatalogServiceSurroundings);
+  } as unknown as CatalogServiceDependencies);
 }
 
 void t.test(
   'an order whose leader is lost after the commit is acknowledged when it comes again',
   async (t) => {
-    const { catalog, apply } = withCatalog();
+    const { catalog, apply } = createCatalog();
     const evacuation = { zone: 'a', begins: true };
     const lost = serviceOf(catalog, (command) => {
       apply(command);
@@ -155,7 +155,7 @@
 );
 
 void t.test('a finish behind a begin that is not committed yet is not lost', async (t) => {
-  const { catalog, apply } = withCatalog();
+  const { catalog, apply } = createCatalog();
   const waiting: (() => void)[] = [];
   const service = serviceOf(
     catalog,
@@ -172,7 +172,7 @@
 });
 
 void t.test('an order and a configuration of the same moment both hold', (t) => {
-  const { catalog, apply, order } = withCatalog();
+  const { catalog, apply, order } = createCatalog();
   const before = catalog.version;
   apply({ putDocument: documentOf(7, 'seven') });
   order('a', true);
@@ -218,9 +218,9 @@
 void t.test('an operator is told what became of an order', async (t) => {
   const done = { outcome: CatalogOutcome.DONE };
   const paths = ['/evacuation/z%201/begin', '/evacuation/z%201/finish'];
-  const taken = await statusesOf(t, ['z 1'], done, paths);
-  t.same(taken.statuses, [200, 200]);
-  t.same(taken.orders, [
+  const accepted = await statusesOf(t, ['z 1'], done, paths);
+  t.same(accepted.statuses, [200, 200]);
+  t.same(accepted.orders, [
     { evacuation: { zone: 'z 1', begins: true } },
     { evacuation: { zone: 'z 1', begins: false } },
   ]);
@@ -249,9 +249,9 @@
   const api = new ControlApi(core, new PlatformDocumentReader(), noop, noop);
   const server = await api.listen('127.0.0.1:0');
   const { port } = server.address() as AddressInfo;
-  const given = connect(port, '127.0.0.1');
-  given.end('POST /evacuation/a/begin HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n');
-  await once(given, 'close');
+  const abortedCall = connect(port, '127.0.0.1');
+  abortedCall.end('POST /evacuation/a/begin HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n');
+  await once(abortedCall, 'close');
   server.close();
   await once(server, 'close');
   await delay(new RealClock(), 100);
@@ -259,11 +259,15 @@
 });
 
 /** A control machine that stands alone on a folder, once it leads. */
-async function openAlone(t: Test, path: string, isFirstStart: boolean): Promise<AppointedControl> {
+async function openSingleControl(
+  t: Test,
+  path: string,
+  isFirstStart: boolean,
+): Promise<AppointedControl> {
   const folder = await RealFolder.open(path);
-  const nobody = (): Promise<never> => Promise.reject(new Error('nobody is there'));
+  const unreachable = (): Promise<never> => Promise.reject(new Error('nobody is there'));
   const clock = new RealClock();
-  const messenger = { request: nobody, serve: () => undefined };
+  const messenger = { request: unreachable, serve: () => undefined };
   const runtime = { clock, random: new SeededRandom(1), messenger, folder };
   const address = '127.0.0.1:7101';
   const core = await AppointedControl.open(runtime, {
@@ -271,8 +275,8 @@
     address,
     seeds: [address],
     isFirstStart,
-    voters: 1,
-    connector: { connect: nobody },
+    voterCount: 1,
+    connector: { connect: unreachable },
     appointer: { appoint: () => Promise.resolve(whinyoke.AppointOutcome.TRY_LATER) },
     log: () => undefined,
     documents: new PlatformDocumentReader(),
@@ -284,18 +288,18 @@
     await folder.close();
   });
   await core.start();
-  while (!core.node.leadsWithState) await delay(clock, 10);
+  while (!core.node.isReadyLeader) await delay(clock, 10);
   return core;
 }
 
 void t.test('an order survives a restart of a control machine on its data folder', async (t) => {
   const path = t.testdir({});
-  const first = await openAlone(t, path, true);
+  const first = await openSingleControl(t, path, true);
   t.ok(first.knownZones.has('a'), 'a zone of the settings, without any instance');
   const reply = await first.submit({ evacuation: { zone: 'a', begins: true } });
   t.match(reply, { outcome: CatalogOutcome.DONE });
   first.stop();
   const { evacuations } = first.catalog;
-  const second = await openAlone(t, path, false);
+  const second = await openSingleControl(t, path, false);
   t.same(second.catalog.evacuations, evacuations);
 });
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -358,10 +358,10 @@
   lagging: readonly string[] = [],
 ): string | undefined {
   const membership = nextMembership(new Membership(members), {
-    self: 'a',
-    voters: 3,
-    silenceMs: (id) => (silent.includes(id) ? 60_000 : 0),
-    lag: (id) => (lagging.includes(id) ? 5 : 0),
+    leaderId: 'a',
+    voterCount: 3,
+    contactAgeMs: (id) => (silent.includes(id) ? 60_000 : 0),
+    missingEntries: (id) => (lagging.includes(id) ? 5 : 0),
   });
   return membership?.members.map((item) => item.id + (item.isLearner ? '?' : '')).join(' ');
 }
--- a/test/unit/foreign_heartbeats.test.ts
+++ b/test/unit/foreign_heartbeats.test.ts
@@ -13,7 +13,10 @@
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { documentOf } from '../../src/appointed/catalog/document_source.js';
 import { NewestDocument } from '../../src/appointed/catalog/newest_document.js';
-import { isHeartbeatExpected, unusedReason } from '../../src/appointed/catalog/usable_instance.js';
+import {
+  isHeartbeatExpected,
+  unusableReason,
+} from '../../src/appointed/catalog/usable_instance.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import { documentWith, PlacedProxy } from '../tools/placed_proxy.js';
 import { tableNaming } from '../tools/route_table.js';
@@ -74,7 +77,7 @@
   });
 }
 
-function beat(port: number, change: object, id = 'i-1'): Promise<number | undefined> {
+function postHeartbeat(port: number, change: object, id = 'i-1'): Promise<number | undefined> {
   const body = JSON.stringify({ ...HEARTBEAT, ...change });
   return call(port, `/instances/${id}/heartbeat`, body);
 }
@@ -82,15 +85,15 @@
 void t.test('a heartbeat that another writer spoilt gets a 4xx and changes nothing', async (t) => {
   const { changes, refusals, events, port } = await serveApi(t);
   for (const field of Object.keys(HEARTBEAT)) {
-    t.equal(await beat(port, { [field]: undefined }), 400, `without ${field}`);
-    t.equal(await beat(port, { [field]: { a: [] } }), 400, `${field} of another type`);
+    t.equal(await postHeartbeat(port, { [field]: undefined }), 400, `without ${field}`);
+    t.equal(await postHeartbeat(port, { [field]: { a: [] } }), 400, `${field} of another type`);
   }
-  t.equal(await beat(port, { state: 'resting' }), 400);
-  t.equal(await beat(port, { address: 'nowhere' }), 400);
-  t.equal(await beat(port, { slots: 1e12 }), 400);
-  t.equal(await beat(port, { service: 'not-named' }), 422);
-  t.equal(await beat(port, {}, '%E0%A4%A'), 400, 'an id that can not be decoded');
-  t.equal(await beat(port, {}, 'a%0D%0AQUERY'), 400, 'an id of two lines');
+  t.equal(await postHeartbeat(port, { state: 'resting' }), 400);
+  t.equal(await postHeartbeat(port, { address: 'nowhere' }), 400);
+  t.equal(await postHeartbeat(port, { slots: 1e12 }), 400);
+  t.equal(await postHeartbeat(port, { service: 'not-named' }), 422);
+  t.equal(await postHeartbeat(port, {}, '%E0%A4%A'), 400, 'an id that can not be decoded');
+  t.equal(await postHeartbeat(port, {}, 'a%0D%0AQUERY'), 400, 'an id of two lines');
   t.equal(await call(port, '/instances/%ZZ/deregister', ''), 400);
   t.equal(await call(port, '/instances/i-1/heartbeat', Buffer.from([0x7b, 0xff, 0xfe])), 400);
   const halfText = Buffer.from(JSON.stringify({ ...HEARTBEAT, zone: 'z\xff' }), 'latin1');
@@ -99,13 +102,13 @@
   t.equal(changes.length, 0);
   t.equal(refusals.length, 2 * Object.keys(HEARTBEAT).length + 10, 'all are counted');
   t.ok(events.includes('call_refused'));
-  t.equal(await beat(port, {}), 200, 'the others hold');
+  t.equal(await postHeartbeat(port, {}), 200, 'the others hold');
   t.match(changes, [{ beat: { instance: { id: 'i-1', group: 'g', slots: 2, sequence: 4 } } }]);
 });
 
 void t.test('what this machine did not foresee is its own fault, not the sender’s', async (t) => {
   const { events, port } = await serveApi(t, true);
-  t.equal(await beat(port, {}), 500);
+  t.equal(await postHeartbeat(port, {}), 500);
   t.equal(await call(port, '/configuration/replace', documentWith(2, {})), 500, 'not a 4xx');
   t.ok(events.includes('connection_error'));
 });
@@ -122,16 +125,16 @@
 
 void t.test('entries that name no instance to use', (t) => {
   const entry = { id: 'i', group: 'g', address: '10.0.0.1:80' };
-  t.equal(unusedReason(entry, TABLE), undefined);
-  t.equal(unusedReason({ ...entry, state: 1 }, TABLE), undefined, 'draining');
-  t.equal(unusedReason({ ...entry, id: '' }, TABLE), 'no id');
+  t.equal(unusableReason(entry, TABLE), undefined);
+  t.equal(unusableReason({ ...entry, state: 1 }, TABLE), undefined, 'draining');
+  t.equal(unusableReason({ ...entry, id: '' }, TABLE), 'no id');
   for (const address of ['', 'host', 'host:0', 'host:99999', ':80', 'a b:80']) {
-    t.equal(unusedReason({ ...entry, address }, TABLE), 'no address', address);
+    t.equal(unusableReason({ ...entry, address }, TABLE), 'no address', address);
   }
-  t.equal(unusedReason({ ...entry, state: 2 }, TABLE), 'gone');
-  t.equal(unusedReason({ ...entry, state: UNKNOWN_STATE }, TABLE), 'unknown state');
-  t.equal(unusedReason({ ...entry, group: 'other' }, TABLE), 'service not named');
-  t.equal(unusedReason(entry, undefined), 'service not named', 'before the first document');
+  t.equal(unusableReason({ ...entry, state: 2 }, TABLE), 'gone');
+  t.equal(unusableReason({ ...entry, state: UNKNOWN_STATE }, TABLE), 'unknown state');
+  t.equal(unusableReason({ ...entry, group: 'other' }, TABLE), 'service not named');
+  t.equal(unusableReason(entry, undefined), 'service not named', 'before the first document');
   t.end();
 });
 
@@ -229,7 +232,7 @@
     [200, 400, 404].every((status) => seen.has(status)),
     JSON.stringify([...seen]),
   );
-  t.equal(await beat(port, {}), 200);
+  t.equal(await postHeartbeat(port, {}), 200);
 });
 
 void t.test('bytes that are no HTTP change nothing, and service goes on', async (t) => {
@@ -248,7 +251,7 @@
     },
   );
   await fc.assert(property, { seed: 37, numRuns: 200 });
-  t.equal(await beat(port, {}), 200);
+  t.equal(await postHeartbeat(port, {}), 200);
 });
 
 const someLine = fc.oneof(
--- a/test/unit/full_disk.test.ts
+++ b/test/unit/full_disk.test.ts
@@ -4,7 +4,7 @@
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { DataFolder } from '../../src/runtime/runtime.js';
 import { ControlCluster } from '../tools/control_cluster.js';
-import { NOBODY, openSingleMember } from '../tools/single_member.js';
+import { UNREACHABLE_PEERS, openSingleMember } from '../tools/single_member.js';
 
 /** A folder in memory that can refuse writes. */
 class RefusingFolder implements DataFolder {
@@ -121,7 +121,7 @@
 
 void t.test('a follower confirms nothing that its disk refused', async (t) => {
   const folder = new RefusingFolder();
-  const node = await openSingleMember(folder, NOBODY);
+  const node = await openSingleMember(folder, UNREACHABLE_PEERS);
   t.teardown(() => node.stop());
   await node.handle({ appendRequest: appendRequest(2, 2) });
   folder.isFull = true;
@@ -135,7 +135,7 @@
 
 void t.test('a snapshot of the leader is confirmed once it is on disk', async (t) => {
   const folder = new RefusingFolder();
-  const node = await openSingleMember(folder, NOBODY);
+  const node = await openSingleMember(folder, UNREACHABLE_PEERS);
   t.teardown(() => node.stop());
   const snapshotRequest = {
     term: 2,
@@ -158,7 +158,7 @@
 
 void t.test('a vote that is being written is kept when its winner already leads', async (t) => {
   const folder = new RefusingFolder();
-  const node = await openSingleMember(folder, NOBODY);
+  const node = await openSingleMember(folder, UNREACHABLE_PEERS);
   t.teardown(() => node.stop());
   const voteRequest = { term: 5, candidate: 'a', receiver: 'b', lastIndex: 9, lastTerm: 4 };
   const vote = node.handle({ voteRequest });
@@ -189,7 +189,7 @@
   await cluster.waitForLeader();
   const revision = cluster.leader!.store.revision;
   t.ok(revision >= accepted.revision!, 'what was accepted is there');
-  t.ok(await cluster.world.runUntil(() => cluster.isWhole, 20_000), 'all machines vote');
+  t.ok(await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000), 'all machines vote');
 });
 
 void t.test('a machine with an empty, full disk starts once there is space', async (t) => {
@@ -202,5 +202,5 @@
   await cluster.world.run(2000);
   t.equal(lost.core, undefined, 'it does not run without a name on its disk');
   free();
-  t.ok(await cluster.world.runUntil(() => cluster.isWhole, 20_000), 'all machines vote');
+  t.ok(await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000), 'all machines vote');
 });
--- a/test/unit/incarnations.test.ts
+++ b/test/unit/incarnations.test.ts
@@ -1,7 +1,7 @@
 /** Instances that start again, empty, under their identifier: what no longer counts, and what begins anew. */
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
-import { orderOf } from '../../src/appointed/catalog/incarnation_order.js';
+import { classifyEntry } from '../../src/appointed/catalog/incarnation_order.js';
 import { AddressClaims } from '../../src/appointed/control/address_claim.js';
 import { CatalogService } from '../../src/appointed/control/catalog_service.js';
 import { CaughtUpMembers } from '../../src/appointed/failover/caught_up_members.js';
@@ -12,7 +12,7 @@
 const { CatalogOutcome, InstanceState } = whinyoke;
 
 /** Time for several tries of a change, in milliseconds. */
-const TRIES_MS = 2500;
+const CHANGE_ATTEMPTS_MS = 2500;
 
 void t.test('an old primary that started again is no evidence', async (t) => {
   const group = new ChangedGroup();
@@ -20,10 +20,10 @@
   group.states.set('a', logUpTo());
   group.tell('a', 2000, 1);
   void group.change(95);
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed, [], 'c may alone hold up to 3.120');
   group.states.set('c', logUpTo(120));
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed[0], 'c');
 });
 
@@ -33,10 +33,10 @@
   group.states.set('c', logUpTo());
   group.tell('c', 2000, 1);
   void group.change(120);
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed, [], 'the former c alone had confirmed 3.120');
   group.states.set('a', logUpTo(120, 'primary'));
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed[0], 'a', 'only the old primary has it');
 });
 
@@ -45,14 +45,14 @@
   group.states.set('b', logUpTo(100));
   group.states.set('a', logUpTo());
   void group.change(95);
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed, [], 'an old primary with a log shorter than that of its epoch');
   group.states.set('c', logUpTo(99));
   group.openedAt.set('c', group.scheduler.now);
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed, [], 'a replica that may be a new incarnation');
   group.tell('c', 1000, 60);
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(
     group.appointed[0],
     'b',
@@ -69,7 +69,7 @@
     group.tell('c', 2000, 1);
     void group.change(100);
     group.confirmAll();
-    await group.run(TRIES_MS);
+    await group.run(CHANGE_ATTEMPTS_MS);
     t.same(group.appointed[0], 'b');
   },
 );
@@ -82,14 +82,14 @@
     group.states.set('c', logUpTo(80));
     void group.change(50);
     group.confirmAll();
-    await group.run(TRIES_MS);
+    await group.run(CHANGE_ATTEMPTS_MS);
     t.same(
       group.appointed,
       [],
       'the primary may alone hold 3.90, acknowledged in an earlier epoch',
     );
     group.states.set('b', logUpTo(90));
-    await group.run(TRIES_MS);
+    await group.run(CHANGE_ATTEMPTS_MS);
     t.same(group.appointed[0], 'b');
   },
 );
@@ -104,7 +104,7 @@
   };
   void group.change(119);
   group.confirmAll();
-  await group.run(TRIES_MS);
+  await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed, ['c', 'b']);
   const entry = {
     epoch: 3,
@@ -143,7 +143,7 @@
 void t.test('which entries tell of a new incarnation', (t) => {
   const known = { born: 2000, sequence: 9, incarnation: 4, state: InstanceState.READY };
   const order = (told: whinyoke.IInstanceEntry, change = {}): string =>
-    orderOf({ ...known, ...change }, told);
+    classifyEntry({ ...known, ...change }, told);
   const isGone = { state: InstanceState.GONE };
   t.equal(order({ born: 2000, sequence: 9 }), 'same');
   t.equal(order({ born: 2000, sequence: 8 }), 'late');
@@ -162,9 +162,9 @@
 });
 
 /** A leader that takes heartbeats, without others at any address. */
-function leader(): {
+function createLeader(): {
   readonly group: ChangedGroup;
-  readonly say: (
+  readonly sendHeartbeat: (
     told: whinyoke.IInstanceEntry,
     leaves?: boolean,
   ) => Promise<whinyoke.InstanceState | null | undefined>;
@@ -176,50 +176,50 @@
   const service = new CatalogService({
     clock,
     messenger: { request: fail, serve: () => undefined },
-    node: { role: 'leader', leadsWithState: true } as unknown as RaftNode,
+    node: { role: 'leader', isReadyLeader: true } as unknown as RaftNode,
     catalog,
     monitor,
     claims: new AddressClaims(clock, catalog, monitor, { connect: fail }),
     propose: (command) => Promise.resolve(group.apply(command)),
     log: () => undefined,
   });
-  const say = async (told: whinyoke.IInstanceEntry, leaves = false) => {
+  const sendHeartbeat = async (told: whinyoke.IInstanceEntry, leaves = false) => {
     const instance = { id: 'b', group: 'g', address: 'b', ...told };
     const { outcome } = await service.submit({ beat: { instance, leaves } });
     t.equal(outcome, CatalogOutcome.DONE);
     return catalog.instance('b')?.state;
   };
-  return { group, say };
+  return { group, sendHeartbeat };
 }
 
 void t.test('late messages of an incarnation that ended change nothing', async (t) => {
-  const { group, say } = leader();
+  const { group, sendHeartbeat } = createLeader();
   const present = { born: 2000, incarnation: 1, address: 'new', state: InstanceState.READY };
-  await say({ born: 2000, sequence: 1, address: 'new' });
+  await sendHeartbeat({ born: 2000, sequence: 1, address: 'new' });
   t.match(group.catalog.instance('b'), present);
-  await say({ born: 1000, sequence: 51, address: 'b' });
+  await sendHeartbeat({ born: 1000, sequence: 51, address: 'b' });
   t.match(group.catalog.instance('b'), present, 'a heartbeat');
-  await say({ born: 1000 }, true);
+  await sendHeartbeat({ born: 1000 }, true);
   t.match(group.catalog.instance('b'), present, 'a deregister');
   t.ok(group.monitor.hasHeardSince('b', 2000, 0));
-  t.equal(await say({ born: 2000 }, true), InstanceState.GONE, 'its own counts');
+  t.equal(await sendHeartbeat({ born: 2000 }, true), InstanceState.GONE, 'its own counts');
   t.equal(
-    await say({ born: 2000, sequence: 2 }),
+    await sendHeartbeat({ born: 2000, sequence: 2 }),
     InstanceState.GONE,
     'its late heartbeat does not',
   );
-  t.equal(await say({ born: 3000, sequence: 1 }), InstanceState.READY, 'it comes back');
+  t.equal(await sendHeartbeat({ born: 3000, sequence: 1 }), InstanceState.READY, 'it comes back');
   t.equal(group.catalog.instance('b')?.incarnation, 2);
 });
 
 void t.test('an earlier start time is believed after the silence of the known one', async (t) => {
-  const { group, say } = leader();
-  await say({ born: 900, sequence: 1 });
+  const { group, sendHeartbeat } = createLeader();
+  await sendHeartbeat({ born: 900, sequence: 1 });
   t.match(group.catalog.instance('b'), { born: 1000, incarnation: 0 });
   await group.run(3001);
-  await say({ born: 900, sequence: 2 });
+  await sendHeartbeat({ born: 900, sequence: 2 });
   t.match(group.catalog.instance('b'), { born: 900, incarnation: 1 });
-  await say({ born: 1000, sequence: 52 });
+  await sendHeartbeat({ born: 1000, sequence: 52 });
   t.match(
     group.catalog.instance('b'),
     { born: 1000, incarnation: 2 },
@@ -228,11 +228,11 @@
 });
 
 void t.test('a new leader takes a heartbeat of a former incarnation for late', async (t) => {
-  const { group, say } = leader();
-  await say({ born: 2000, sequence: 1 });
+  const { group, sendHeartbeat } = createLeader();
+  await sendHeartbeat({ born: 2000, sequence: 1 });
   group.monitor.begin(group.scheduler.now);
   await group.run(1000);
-  await say({ born: 1000, sequence: 51 });
+  await sendHeartbeat({ born: 1000, sequence: 51 });
   t.match(group.catalog.instance('b'), { born: 2000, incarnation: 1 });
   t.notOk(group.monitor.hasHeardSince('b', 1000, 0));
 });
@@ -245,8 +245,8 @@
   copy.restore(9, group.catalog.serialize());
   t.same(copy.serialize(), group.catalog.serialize());
   t.match(copy.instance('c'), { born: 2000, incarnation: 1 });
-  t.ok(copy.incarnationBegan('c') > steadySince);
-  t.equal(copy.incarnationBegan('b'), 0);
+  t.ok(copy.incarnationStartIndex('c') > steadySince);
+  t.equal(copy.incarnationStartIndex('b'), 0);
   group.apply({ putInstance: { id: 'c', group: 'other', born: 3000, sequence: 1 } });
   t.ok(group.catalog.hasLostInstanceSince('g', steadySince), 'it started again in another group');
   t.end();
@@ -259,10 +259,10 @@
     group.states.set('a', logUpTo());
     group.openedAt.set('a', group.scheduler.now);
     void group.change();
-    await group.run(TRIES_MS);
+    await group.run(CHANGE_ATTEMPTS_MS);
     t.same(group.appointed, [], 'no log is shorter than that of the epoch');
     group.tell('a', 1000, 60);
-    await group.run(TRIES_MS);
+    await group.run(CHANGE_ATTEMPTS_MS);
     t.same(group.appointed[0], 'a', 'its heartbeat came long after the connection');
   },
 );
--- a/test/unit/instance_reports.test.ts
+++ b/test/unit/instance_reports.test.ts
@@ -8,9 +8,9 @@
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 
 void t.test('heartbeats and deregisters tell when an instance started', async (t) => {
-  const taken: whinyoke.IInstanceBeat[] = [];
+  const received: whinyoke.IInstanceBeat[] = [];
   const submit = ({ beat }: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> => {
-    taken.push(beat!);
+    received.push(beat!);
     return Promise.resolve({ outcome: whinyoke.CatalogOutcome.DONE });
   };
   const core = { submit, expectsHeartbeat: () => true } as unknown as AppointedControl;
@@ -28,19 +28,19 @@
     const { status } = await fetch(url, { method: 'POST', body });
     return status;
   };
-  const told = (change: object): string => JSON.stringify({ ...HEARTBEAT, ...change });
-  t.equal(await post('heartbeat', told({ born: 1_800_000_000_123 })), 200);
-  t.match(taken.at(-1), { instance: { id: 'i-1', born: 1_800_000_000_123, sequence: 4 } });
-  t.equal(await post('heartbeat', told({})), 200);
-  t.equal(taken.at(-1)?.instance?.born, undefined, 'one that never says it');
+  const heartbeatWith = (change: object): string => JSON.stringify({ ...HEARTBEAT, ...change });
+  t.equal(await post('heartbeat', heartbeatWith({ born: 1_800_000_000_123 })), 200);
+  t.match(received.at(-1), { instance: { id: 'i-1', born: 1_800_000_000_123, sequence: 4 } });
+  t.equal(await post('heartbeat', heartbeatWith({})), 200);
+  t.equal(received.at(-1)?.instance?.born, undefined, 'one that never says it');
   t.equal(await post('deregister', '{"born":7}'), 200);
-  t.match(taken.at(-1), { instance: { id: 'i-1', born: 7 }, leaves: true });
+  t.match(received.at(-1), { instance: { id: 'i-1', born: 7 }, leaves: true });
   t.equal(await post('deregister', ''), 200);
-  t.equal(taken.at(-1)?.instance?.born, undefined);
-  const count = taken.length;
+  t.equal(received.at(-1)?.instance?.born, undefined);
+  const count = received.length;
   for (const born of ['7', 1.5, -1, null, 1e300]) {
-    t.equal(await post('heartbeat', told({ born })), 400, `born ${born}`);
+    t.equal(await post('heartbeat', heartbeatWith({ born })), 400, `born ${born}`);
     t.equal(await post('deregister', JSON.stringify({ born })), 400, `born ${born}`);
   }
-  t.equal(taken.length, count, 'nothing was taken');
+  t.equal(received.length, count, 'nothing was taken');
 });
--- a/test/unit/kept_data.test.ts
+++ b/test/unit/kept_data.test.ts
@@ -87,7 +87,7 @@
       address: COORDINATOR_ADDRESS,
       seeds: [COORDINATOR_ADDRESS],
       isFirstStart: false,
-      voters: 1,
+      voterCount: 1,
       connector: { connect: () => Promise.reject(new Error('there are no instances')) },
       appointer: { appoint: () => Promise.resolve(whinyoke.AppointOutcome.TRY_LATER) },
       log: () => undefined,
@@ -104,7 +104,7 @@
     t.ok(node.log.snapshot, 'the folder holds a snapshot');
     t.equal(node.log.lastIndex, 13, 'and an entry after it');
     await core.start();
-    await waitUntil(runtime.clock, () => node.leadsWithState);
+    await waitUntil(runtime.clock, () => node.isReadyLeader);
     t.equal(catalog.documentVersion, 7);
     t.equal(
       inflateRawSync(catalog.document?.source ?? Buffer.alloc(0)).toString(),
@@ -127,7 +127,7 @@
         ['p3', 'r3'],
       ],
     );
-    t.match(catalog.duty, { holder: 'control-1', token: 1 });
+    t.match(catalog.appointmentLeaseEntry, { holder: 'control-1', token: 1 });
     const told = { id: 'i1', group: 'orders', address: 'i1:1', sequence: 1000 };
     await core.submit({ beat: { instance: { ...told, born: 5 } } });
     t.match(catalog.instance('i1'), { born: 5, incarnation: 0 }, 'it begins to tell its start');
--- a/test/unit/slow_start.test.ts
+++ b/test/unit/slow_start.test.ts
@@ -176,7 +176,7 @@
   };
   const warmUps = new WarmUpMonitor(clock, catalog, () => undefined);
   const beat = (instance: whinyoke.IInstanceEntry, warmupMs: number, isNewest = true): void =>
-    apply({ putInstance: { ...instance, ...warmUps.opinionOn(instance, warmupMs, isNewest) } });
+    apply({ putInstance: { ...instance, ...warmUps.evaluate(instance, warmupMs, isNewest) } });
   const proposals = { fail: false };
   const newHolders = (): SlowStartHolders => {
     const holders = new SlowStartHolders({
@@ -216,8 +216,8 @@
   leader.state.now = -STALE_LEADER_MS;
   const holders = leader.newHolders();
   leader.state.now = 0;
-  for (const proxy of PROXIES) holders.noteContact(proxy, false);
-  holders.review();
+  for (const proxy of PROXIES) holders.recordContact(proxy, false);
+  holders.assignMissingHolders();
   await settled();
   const { holder } = leader.catalog.instance('i')!;
   const [first, second] = holder === 'a' ? PROXIES : PROXIES.toReversed();
@@ -231,12 +231,12 @@
   t.equal(holders.leaseFor(second), 0);
   for (const at of [1500, 3000, 4199]) {
     state.now = at;
-    holders.noteContact(second, false);
-    holders.review();
+    holders.recordContact(second, false);
+    holders.assignMissingHolders();
     t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
   }
   state.now = 4200;
-  holders.review();
+  holders.assignMissingHolders();
   t.equal(holders.leaseFor(first), 0, 'the former gets no lease while the next is being named');
   await settled();
   t.equal(catalog.instance('i')?.holder, second.id);
@@ -250,12 +250,12 @@
   leader.apply({ putProxies: { proxies: [far, near] } });
   leader.beat(NEW, 9000);
   const holders = leader.newHolders();
-  holders.noteContact(far, false);
-  holders.review();
+  holders.recordContact(far, false);
+  holders.assignMissingHolders();
   await settled();
   t.equal(leader.catalog.instance('i')?.holder, '');
-  holders.noteContact(near, false);
-  holders.review();
+  holders.recordContact(near, false);
+  holders.assignMissingHolders();
   await settled();
   t.equal(leader.catalog.instance('i')?.holder, 'near');
 });
@@ -265,25 +265,25 @@
   async (t) => {
     const { catalog, state, holders, first, second, proposals, apply } = await heldInstance();
     state.now = 4200;
-    holders.noteContact(second, false);
+    holders.recordContact(second, false);
     proposals.fail = true;
-    holders.review();
+    holders.assignMissingHolders();
     await settled();
-    holders.noteContact(first, false);
+    holders.recordContact(first, false);
     t.equal(holders.leaseFor(first), 0, 'although it is back');
     proposals.fail = false;
-    holders.review();
+    holders.assignMissingHolders();
     await settled();
     t.equal(catalog.instance('i')?.holder, second.id);
     proposals.fail = true;
     state.now = 8400;
-    holders.noteContact(first, false);
-    holders.review();
+    holders.recordContact(first, false);
+    holders.assignMissingHolders();
     await settled();
-    holders.noteContact(second, false);
+    holders.recordContact(second, false);
     t.equal(holders.leaseFor(second), 0);
     apply({ putInstance: { ...catalog.instance('i'), state: whinyoke.InstanceState.GONE } });
-    holders.review();
+    holders.assignMissingHolders();
     t.equal(
       holders.leaseFor(second),
       3000,
@@ -294,10 +294,10 @@
 
 void t.test('a holder that leaves is followed after a window', async (t) => {
   const { catalog, state, holders, first, second } = await heldInstance();
-  holders.noteContact(first, true);
+  holders.recordContact(first, true);
   state.now = 1200;
-  holders.noteContact(second, false);
-  holders.review();
+  holders.recordContact(second, false);
+  holders.assignMissingHolders();
   await settled();
   t.equal(catalog.instance('i')?.holder, second.id);
 });
@@ -309,12 +309,12 @@
   t.equal(successor.leaseFor(first), 3000);
   for (const at of [4300, 5299]) {
     state.now = at;
-    successor.noteContact(second, false);
-    successor.review();
+    successor.recordContact(second, false);
+    successor.assignMissingHolders();
     t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
   }
   state.now = 5300;
-  successor.review();
+  successor.assignMissingHolders();
   await settled();
   t.equal(catalog.instance('i')?.holder, second.id);
 });
@@ -359,7 +359,7 @@
     const table = new InstanceTable();
     table.put(1, NEW);
     table.put(2, { ...NEW, id: 'j', zone: 'y' });
-    t.ok(table.cool('z', 7));
+    t.ok(table.markZoneCold('z', 7));
     t.match(table.get('i'), { isCold: true, coldSince: 7, version: 7 });
     t.notOk(table.get('j')?.isCold);
     t.ok(table.setHolder(8, { instance: 'i', holder: 'a', incarnation: 'a1', address: 'a:1' }));
@@ -368,7 +368,7 @@
     t.match(table.get('i'), { isCold: true, coldSince: 7, holder: 'a' });
     table.put(11, { ...NEW, isCold: false, coldSince: 7 });
     t.match(table.get('i'), { isCold: false, coldSince: 0, holder: 'a' }, 'the holder stays');
-    t.notOk(table.cool('x', 12));
+    t.notOk(table.markZoneCold('x', 12));
     t.end();
   },
 );
