--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -39,7 +39,7 @@
 }
 
 /** A clock that stands still until it is moved. */
-class StillClock implements Clock {
+class ManualClock implements Clock {
   constructor(private time: number) {}
 
   now(): number {
@@ -56,11 +56,15 @@
 }
 
 /** Refuses all connections. */
-const NO_CONNECTOR: InstanceConnector = {
+const REFUSING_CONNECTOR: InstanceConnector = {
   connect: () => Promise.reject(new ConnectError('nobody listens', { failure: 'refused' })),
 };
 
-function cacheOf(catalog: Catalog, clock: Clock, connector = NO_CONNECTOR): PrimaryPositionCache {
+function cacheOf(
+  catalog: Catalog,
+  clock: Clock,
+  connector = REFUSING_CONNECTOR,
+): PrimaryPositionCache {
   return new PrimaryPositionCache(clock, catalog, connector, () => true);
 }
 
@@ -108,34 +112,36 @@
   const known = catalog.version;
   await apply(steadyGroup(2));
   t.not(updates.since(0, 0), first, 'the catalog has changed');
-  const news = whinyoke.CatalogUpdate.decode(updates.since(known, 5));
-  t.match(news, { isWhole: false, groups: [{ group: 'g', epoch: 2 }] });
-  t.equal(news.document, null);
+  const update = whinyoke.CatalogUpdate.decode(updates.since(known, 5));
+  t.match(update, { isWhole: false, groups: [{ group: 'g', epoch: 2 }] });
+  t.equal(update.document, null);
 });
 
 void t.test('the leader hands on positions of the present epoch only', async (t) => {
   const { catalog, apply } = createCatalog();
-  const clock = new StillClock(1000);
+  const clock = new ManualClock(1000);
   const cache = cacheOf(catalog, clock);
   await apply(steadyGroup(1));
   t.equal(cache.newest(), undefined);
-  cache.note([{ group: 'g', epoch: 2, position: POSITION, askedAt: 900 }]);
+  cache.recordReports([{ group: 'g', epoch: 2, position: POSITION, askedAt: 900 }]);
   t.equal(cache.newest(), undefined, 'of an epoch that is not known');
-  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 1100 }]);
+  cache.recordReports([{ group: 'g', epoch: 1, position: POSITION, askedAt: 1100 }]);
   t.equal(cache.newest(), undefined, 'of the future');
-  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 900 }]);
-  cache.note([{ group: 'g', epoch: 1, position: { term: 3, sequence: 39 }, askedAt: 800 }]);
+  cache.recordReports([{ group: 'g', epoch: 1, position: POSITION, askedAt: 900 }]);
+  cache.recordReports([
+    { group: 'g', epoch: 1, position: { term: 3, sequence: 39 }, askedAt: 800 },
+  ]);
   t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [100] });
   clock.advance(5000);
   t.equal(cache.newest(), undefined, 'too old');
-  cache.note([{ group: 'g', epoch: 1, position: POSITION, askedAt: 5900 }]);
+  cache.recordReports([{ group: 'g', epoch: 1, position: POSITION, askedAt: 5900 }]);
   await apply({ putGroup: { group: 'g', epoch: 2, phase: GroupPhase.CHANGING } });
   t.equal(cache.newest(), undefined, 'the primary is being changed');
 });
 
 void t.test('the leader asks a primary when a position is wanted and nobody reports', async (t) => {
   const { catalog, apply } = createCatalog();
-  const clock = new StillClock(1000);
+  const clock = new ManualClock(1000);
   const asked: string[] = [];
   const cache = cacheOf(catalog, clock, {
     connect: (target) => {
@@ -151,18 +157,18 @@
   });
   await apply({ putInstance: { id: 'i-1', group: 'g', address: '10.0.0.1:5000' } });
   await apply(steadyGroup(1));
-  await cache.askMissing();
+  await cache.probeMissing();
   t.same(asked, [], 'nobody wants it');
-  cache.noteWanted();
-  await cache.askMissing();
+  cache.recordDemand();
+  await cache.probeMissing();
   t.same(asked, ['i-1']);
   t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [1] });
   clock.advance(500);
-  cache.noteWanted();
-  await cache.askMissing();
+  cache.recordDemand();
+  await cache.probeMissing();
   t.same(asked, ['i-1'], 'young enough');
   clock.advance(200);
-  await cache.askMissing();
+  await cache.probeMissing();
   t.same(asked, ['i-1', 'i-1']);
 });
 
@@ -177,7 +183,7 @@
         clockReplyDelay: delays,
         asked: fc.integer({ min: -400, max: 400 }),
         requestDelay: delays,
-        heldAtLeader: delays,
+        longPollDelay: delays,
         readerRequestDelay: delays,
         readerReplyDelay: delays,
       }),
@@ -192,15 +198,15 @@
         writer.noteOwn('g', 1, askedAt + drawn.writerOffset, POSITION);
         const reportAt = Math.max(askedAt, clockReadAt) + 5;
         const reports = writer.takeReports(reportAt + drawn.writerOffset);
-        const told = (reports[0]?.askedAt ?? 0) - drawn.leaderOffset;
-        if (told > askedAt) return false;
+        const reportedAskedAt = (reports[0]?.askedAt ?? 0) - drawn.leaderOffset;
+        if (reportedAskedAt > askedAt) return false;
         // The leader answers another proxy.
-        const readerSentAt = reportAt + drawn.requestDelay + drawn.heldAtLeader;
+        const readerSentAt = reportAt + drawn.requestDelay + drawn.longPollDelay;
         const answeredAt = readerSentAt + drawn.readerRequestDelay;
         const positions = {
           terms: [3],
           sequences: [40],
-          agesMs: [Math.max(1, Math.ceil(answeredAt - told))],
+          agesMs: [Math.max(1, Math.ceil(answeredAt - reportedAskedAt))],
         };
         const [seen] = sharedPositionsOf({ positions }, ['g'], readerSentAt + drawn.readerOffset);
         return seen!.askedAt - drawn.readerOffset <= askedAt;
