--- a/src/appointed/catalog/instance_table.ts
+++ b/src/appointed/catalog/instance_table.ts
@@ -6,7 +6,7 @@
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { classifyEntry } from './incarnation_order.js';
-import { coldStateAfter } from './coldness.js';
+import { coldStateAfter } from './cold_state.js';
 
 const { InstanceState } = whinyoke;
 
--- a/src/appointed/control/warm_up_monitor.ts
+++ b/src/appointed/control/warm_up_monitor.ts
@@ -10,7 +10,7 @@
  * Owns when it saw each coldness begin; a machine that got them with a snapshot counts from then. Relies on the catalog only.
  */
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
-import { isOtherIncarnation } from '../catalog/coldness.js';
+import { isOtherIncarnation } from '../catalog/cold_state.js';
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
--- a/src/consensus/raft_node.ts
+++ b/src/consensus/raft_node.ts
@@ -21,7 +21,7 @@
 import { LogReplication } from './log_replication.js';
 import { type RaftObserver, type RaftRole, type RaftRuntime, MemberState } from './member_state.js';
 import { type Member, Membership } from './membership.js';
-import { PendingProposals } from './proposals.js';
+import { PendingProposals } from './pending_proposals.js';
 import { NotLeaderError } from './raft_errors.js';
 import type { LogEntry, RaftLog } from './raft_log.js';
 import type { RaftOptions } from './raft_options.js';
