--- a/lab/appointed/disabled_protections.ts
+++ b/lab/appointed/disabled_protections.ts
@@ -6,7 +6,7 @@
   OpenedConnection,
 } from '../../src/appointed/instance/instance_connection.js';
 import {
-  LONGEST_REPLICA_LEASE_SILENCE_MS,
+  MAX_REPLICA_LEASE_SILENCE_MS,
   REPLICA_LEASE_MS,
 } from '../../src/appointed/leases/replica_lease.js';
 import type { AppointedControl } from '../../src/appointed/control/appointed_control.js';
@@ -107,31 +107,31 @@
 
 /** Makes a proxy go on sending to zones that are evacuated. */
 export function disableEvacuatedZones(core: AppointedProxy): void {
-  core.evacuatedZones.adopt = () => undefined;
+  core.evacuatedZones.applyUpdate = () => undefined;
 }
 
 /** Makes a proxy run every operation of a tenant, whatever its limit. */
 export function disableQuota(core: AppointedProxy): void {
-  core.allowances.take = () => ({ isGranted: true });
+  core.allowances.acquire = () => ({ isGranted: true });
 }
 
 /** Makes a proxy send to cold instances as to warm ones. */
 export function disableSlowStart({ slowStarts }: AppointedProxy): void {
   slowStarts.routeTo = () => undefined;
-  slowStarts.enter = () => () => undefined;
+  slowStarts.reserve = () => () => undefined;
   slowStarts.admit = () => true;
 }
 
 /** Makes an issuer use its reserves and leased rates on after their end. */
 export function disableIssuerLease(core: AppointedProxy): void {
-  core.allowances.allowances.lease = { endsAt: () => Infinity };
+  core.allowances.allowances.lease = { expiresAt: () => Infinity };
 }
 
 /** Makes a proxy extend its leases while control is out of reach without asking the replicas. */
 export function disableReplicaLeases(core: AppointedProxy): void {
   const { leases, clock } = core;
   core.leaseConfirmer.maintain = (silenceMs) => {
-    if (silenceMs > LONGEST_REPLICA_LEASE_SILENCE_MS) return;
+    if (silenceMs > MAX_REPLICA_LEASE_SILENCE_MS) return;
     for (const group of leases.leasedGroups()) {
       leases.extend(group, leases.entryOf(group)?.epoch ?? 0, clock.now() + REPLICA_LEASE_MS);
     }
--- a/src/appointed/proxy/proxy_context.ts
+++ b/src/appointed/proxy/proxy_context.ts
@@ -10,7 +10,7 @@
 import type { PrimaryHealthTracker } from '../trust/primary_health_tracker.js';
 import type { PrimaryLeases } from '../trust/primary_leases.js';
 import type { EvacuationStage } from '../placement/evacuated_zones.js';
-import type { EndWait } from '../placement/slow_start_gate.js';
+import type { CancelReservation } from '../placement/slow_start_gate.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import type { RouteTable } from '../catalog/route_table.js';
 import type { PrimaryPositions } from './primary_positions.js';
@@ -24,7 +24,7 @@
   /** A statement was tried again. */
   retried(route: string, cause: string): void;
   /** A request was refused since its homes left no instance. */
-  refusedByHomes(route: string): void;
+  refusedByAllowedRegions(route: string): void;
 }
 
 /** Health of primaries as the proxy's own statements show it. */
@@ -36,13 +36,13 @@
 /** Positions of primaries, without their synchronisation with control. */
 type SessionPositions = Pick<
   PrimaryPositions,
-  'floorOf' | 'noteFromPrimary' | 'awaitFloor' | 'noteReplicaRead'
+  'minimumPositionOf' | 'recordFromPrimary' | 'awaitMinimumPosition' | 'recordReplicaRead'
 >;
 
 /** Confirmation of leases by replicas, while control is out of reach. */
 interface SessionLeaseConfirmer {
   /** Notes that a statement wants the primary of a group. */
-  noteWanted(group: string): void;
+  recordPrimaryNeeded(group: string): void;
 }
 
 /** Instances that statements may be sent to. */
@@ -54,11 +54,11 @@
   /** Instances of a group that may be sent a read now. */
   readCandidates(group: string): readonly ReadCandidate[];
   /** Instances of a group that take new work, cold ones without room for more included. */
-  takingNewWork(group: string): readonly string[];
+  instancesAcceptingWork(group: string): readonly string[];
   /** Zone of an instance; undefined when the catalog does not list it. */
   zoneOf(instance: string): string | undefined;
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(instance: string, isUrgent: boolean): EndWait | undefined;
+  enter(instance: string, isUrgent: boolean): CancelReservation | undefined;
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
   admit(instance: string, isUrgent: boolean): boolean;
 }
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -15,7 +15,7 @@
   InstanceTarget,
 } from '../instance/instance_connection.js';
 import type { EvacuatedZones, EvacuationStage } from '../placement/evacuated_zones.js';
-import type { EndWait, SlowStartGate } from '../placement/slow_start_gate.js';
+import type { CancelReservation, SlowStartGate } from '../placement/slow_start_gate.js';
 import type { ReadCandidate } from '../routing/replica_selector.js';
 import { distrustOtherIncarnation, distrustShorterLog } from '../trust/primary_incarnation.js';
 import type { ZoneProxies } from '../relay/connection_owners.js';
@@ -30,7 +30,7 @@
 const { PrimaryHealth } = whinyoke;
 
 /** Parts of the proxy that its instances depend on. */
-interface InstancesSurroundings {
+interface ProxyInstancesDependencies {
   readonly runtime: Runtime;
   /** Address for messages of other processes. */
   readonly ownAddress: string;
@@ -53,9 +53,9 @@
   /** Whether a zone was evacuated at the last look, so that pools may have to serve again. */
   private wasEvacuating = false;
 
-  constructor(private readonly surroundings: InstancesSurroundings) {
-    const { runtime, ownAddress, regionByZone, connector, log, document, fleet } = surroundings;
-    const { evacuatedZones, slowStarts } = surroundings;
+  constructor(private readonly dependencies: ProxyInstancesDependencies) {
+    const { runtime, ownAddress, regionByZone, connector, log, document, fleet } = dependencies;
+    const { evacuatedZones, slowStarts } = dependencies;
     const { clock } = runtime;
     this.directory = new InstanceDirectory({
       runtime,
@@ -67,14 +67,14 @@
       connectionLimitOf: (group) => document.table?.limitsByGroup.get(group)?.connectionLimit ?? 0,
       table: () => document.table,
       hasTenants: () => document.table === undefined || document.table.tenants.size > 0,
-      tenantRate: (tenant) => document.table?.tenants.named(tenant)?.limit?.ratePerSecond,
+      tenantRate: (tenant) => document.table?.tenants.findByName(tenant)?.limit?.ratePerSecond,
       // Asked for each instance of each read: the clock is read only where it decides.
-      stageOf: (zone) =>
-        evacuatedZones.isAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
+      zoneEvacuationStage: (zone) =>
+        evacuatedZones.hasAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
       liveProxies: () => fleet.liveProxies,
       onConnectFailed: (target, error) => this.onConnectFailed(target, error),
-      onStartedAgain: ({ id, group }, incarnation) =>
-        distrustOtherIncarnation({ ...surroundings, clock }, group, id, incarnation),
+      onInstanceRestarted: ({ id, group }, incarnation) =>
+        distrustOtherIncarnation({ ...dependencies, clock }, group, id, incarnation),
       onOpened: (target, position, startedAt) => this.onOpened(target, position, startedAt),
     });
   }
@@ -96,7 +96,7 @@
 
   /** Pool of this process's own connections to an instance. */
   localPool(instance: string): InstancePool | undefined {
-    return this.directory.access(instance)?.local;
+    return this.directory.access(instance)?.localPool;
   }
 
   /** When this process last took a connection to an instance of a zone for a caller's statement; -Infinity: never. */
@@ -106,7 +106,7 @@
 
   /** How far the evacuation of an instance's zone has come; undefined when it is not evacuated. */
   evacuationStageOf(instance: string): EvacuationStage | undefined {
-    return this.directory.stageOf(instance);
+    return this.directory.evacuationStageOf(instance);
   }
 
   /** Instances of a group that may be sent a read now. */
@@ -115,8 +115,8 @@
   }
 
   /** Instances of a group that take new work, cold ones without room for more included. */
-  takingNewWork(group: string): readonly string[] {
-    return this.directory.takingNewWork(group);
+  instancesAcceptingWork(group: string): readonly string[] {
+    return this.directory.instancesAcceptingWork(group);
   }
 
   /** Zone of an instance; undefined when the catalog does not list it. */
@@ -125,8 +125,8 @@
   }
 
   /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
-  enter(instance: string, isUrgent: boolean): EndWait | undefined {
-    return this.directory.enter(instance, isUrgent);
+  enter(instance: string, isUrgent: boolean): CancelReservation | undefined {
+    return this.directory.beginWait(instance, isUrgent);
   }
 
   /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
@@ -141,28 +141,28 @@
 
   /** Takes over what changed in the catalog. */
   adopt(update: whinyoke.ICatalogUpdate): void {
-    this.directory.adopt(update);
-    this.evacuate();
+    this.directory.applyUpdate(update);
+    this.updateEvacuations();
   }
 
   /** Takes over which proxies may own connections, by zone. */
   adoptOwners(zones: readonly ZoneProxies[]): void {
-    this.directory.owners.update(zones);
+    this.directory.owners.updateProxies(zones);
   }
 
   /** Ends the wait of all statements for an answer of the old primary of a group that changes its primary. */
   abandonPrimary(group: string): void {
-    this.directory.access(this.primaryOf(group))?.abandonInUse();
+    this.directory.access(this.primaryOf(group))?.closeInUse();
   }
 
   /** Opens another connection to an instance that leaves statements unanswered. */
   probe(instance: string): void {
-    this.localPool(instance)?.probe();
+    this.localPool(instance)?.probeByConnecting();
   }
 
   /** Looks after all pools; called often. */
   maintain(): void {
-    this.evacuate();
+    this.updateEvacuations();
     this.directory.maintain();
   }
 
@@ -171,15 +171,15 @@
     this.directory.close();
   }
 
-  private evacuate(): void {
-    const { isAny } = this.surroundings.evacuatedZones;
-    if (!isAny && !this.wasEvacuating) return;
-    this.wasEvacuating = isAny;
-    this.directory.evacuate((instance, group) => this.primaryOf(group) === instance);
+  private updateEvacuations(): void {
+    const { hasAny } = this.dependencies.evacuatedZones;
+    if (!hasAny && !this.wasEvacuating) return;
+    this.wasEvacuating = hasAny;
+    this.directory.applyEvacuations((instance, group) => this.primaryOf(group) === instance);
   }
 
   private primaryOf(group: string): string {
-    return this.surroundings.leases.entryOf(group)?.primary ?? '';
+    return this.dependencies.leases.entryOf(group)?.primary ?? '';
   }
 
   /** The position that a leased primary sends when a connection opens is as good as that of an answer. */
@@ -188,28 +188,28 @@
     position: Position,
     startedAt: number,
   ): void {
-    const { leases, primaryHealth, positions, runtime } = this.surroundings;
+    const { leases, primaryHealth, positions, runtime } = this.dependencies;
     const { epoch, primary } = leases.entryOf(group) ?? {};
     if (primary !== instance || epoch === undefined || epoch === null) return;
     const { clock } = runtime;
-    const trust = { ...this.surroundings, clock };
+    const trust = { ...this.dependencies, clock };
     if (distrustShorterLog(trust, { group, epoch }, position, undefined)) return;
     if (!leases.accepts(group, epoch, clock.now())) return;
-    primaryHealth.of(group, epoch).opened(clock.now());
-    positions.noteFromPrimary(group, epoch, startedAt, position);
+    primaryHealth.of(group, epoch).onConnectionOpened(clock.now());
+    positions.recordFromPrimary(group, epoch, startedAt, position);
   }
 
   private onConnectFailed({ id: instance, group }: InstanceTarget, error: ConnectError): void {
-    const { leases, primaryHealth, runtime } = this.surroundings;
+    const { leases, primaryHealth, runtime } = this.dependencies;
     const entry = leases.entryOf(group);
     if (entry?.primary !== instance) return;
     const tracker = primaryHealth.of(group, entry.epoch ?? 0);
     // A primary that turns connections away because it is full is alive.
     if (error.failure === 'connectionLimit' || error.failure === 'busy') {
-      tracker.opened(runtime.clock.now());
+      tracker.onConnectionOpened(runtime.clock.now());
       return;
     }
     const health = error.failure === 'silent' ? PrimaryHealth.SILENT : PrimaryHealth.REFUSING;
-    tracker.failed(health, runtime.clock.now());
+    tracker.onFailure(health, runtime.clock.now());
   }
 }
