--- a/src/appointed/failover/appointment_fence.ts
+++ b/src/appointed/failover/appointment_fence.ts
@@ -1,36 +1,38 @@
 /**
- * DECISION: when a replica may be appointed beside proxies that did not confirm the end of their leases.
+ * Decides when a replica may be appointed beside proxies that did not confirm the end of their leases.
  *
- * Answers: a change of primary while some proxies are cut off from control but reach the instances.
- * Inputs: since when the replica has been held, the catalog version that names it, the oldest catalog version that such a
- *   proxy knows, and until when such a proxy asks replicas (milliseconds on the leader's clock).
- * Rule: such a proxy may trust the old primary for as long as no replica that it knows is held
- *   (`src/appointed/leases/replica_lease.ts`). So the replica must be known to it, and must have been held for longer than a
- *   lease that replicas confirm; or the proxy must have stopped asking.
- * Constants: below, and those of `replica_lease.ts`. See docs/design/appointed-primaries.md. Pure.
+ * Such a proxy may be cut off from control, still reach the instances, and use the old primary for as long as no replica
+ * that it knows is fenced (`src/appointed/leases/replica_lease.ts`). So either it must have stopped asking replicas, or it
+ * must know the replica, which must have been fenced for longer than a lease confirmed by replicas lasts. Times are
+ * milliseconds on the leader's clock. Pure.
+ *
+ * Design: docs/design/appointed-primaries.md.
  */
 import { MAX_REPLICA_LEASE_SILENCE_MS, REPLICA_LEASE_MS } from '../leases/replica_lease.js';
 
-/** Allowance for steady clocks that run differently, in milliseconds. A guess, not measured. */
+/** Allowance for monotonic clocks that run at different rates. */
 const CLOCK_MARGIN_MS = 100;
 
-/** From its last contact on, a proxy may have its leases confirmed by replicas for that long, in milliseconds. */
+/** A proxy may have its leases confirmed by replicas for this long after its last contact with control. */
 export const MAX_REPLICA_LEASE_TRUST_MS =
   MAX_REPLICA_LEASE_SILENCE_MS + REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
 
-/** What is known of the proxies that did not confirm. */
+/** What control knows of the proxies that did not confirm. */
 export interface UnconfirmedProxies {
-  /** Version of the catalog that all of them know at least. */
+  /** Catalog version that all of them are known to have reached. */
   readonly knownVersion: number;
-  /** When the last of them stops to ask replicas. */
+  /** When the last of them stops asking replicas. */
   readonly trustUntil: number;
 }
 
-/** What is known of the chosen replica. */
+/** What control knows of the chosen replica. */
 export interface FencedReplica {
-  /** Version of the catalog since which it is where it is; it may be cold, or have another holder, since a later one. */
+  /**
+   * Catalog version since which its group, address, state and incarnation are unchanged, so that a proxy that knows this
+   * version finds it.
+   */
   readonly placedSince: number;
-  /** Since when it has been held, or has followed a newer term, without a break; undefined when it has not. */
+  /** Since when it has been fenced, or has followed a newer term, without a break; undefined when it has not. */
   readonly fencedSince: number | undefined;
 }
 
@@ -41,9 +43,12 @@
   now: number,
 ): string | undefined {
   if (now > proxies.trustUntil) return undefined;
-  if (replica.fencedSince === undefined) return 'it is not held';
-  if (replica.placedSince > proxies.knownVersion) return 'a proxy out of reach may not know it';
+  if (replica.fencedSince === undefined) return 'the replica is not fenced';
+  if (replica.placedSince > proxies.knownVersion)
+    return 'an unreachable proxy may not know the replica';
   const fencedMs = now - replica.fencedSince;
   const isLongEnough = fencedMs > REPLICA_LEASE_MS + CLOCK_MARGIN_MS;
-  return isLongEnough ? undefined : `it has been held for ${Math.round(fencedMs)} ms only`;
+  return isLongEnough
+    ? undefined
+    : `the replica has been fenced for ${Math.round(fencedMs)} ms only`;
 }
--- a/src/appointed/failover/appointment_lease.ts
+++ b/src/appointed/failover/appointment_lease.ts
@@ -1,57 +1,48 @@
 /**
- * DECISION: who may call the platform to appoint a primary.
+ * Decides which control machine may call the platform to appoint a primary.
  *
- * Answers: two control machines that both believe to lead; a holder that crashed or stood still.
- * Inputs: holder and fencing token in the replicated log, whether the holder answered the leader lately, whether what this
- *   process knows of the log is current.
- * Rule: one process holds the lease at a time. It stays with its holder while that is in touch, also when another machine
- *   leads; the leader then asks the holder to appoint. Otherwise the leader takes it, which raises the token; where the platform
- *   requires fencing, it refuses lower ones. A holder calls only while its knowledge is current.
- * Constants: below, and the two of `cluster_contact.ts` in `src/appointed/control`.
+ * One process holds the appointment lease at a time, so that two machines that both believe they lead, or a holder that
+ * stalled, can't make conflicting calls. The lease stays with a holder that is reachable, also when another machine leads;
+ * the leader then asks the holder to appoint. Otherwise the leader takes the lease, which raises the fencing token; where
+ * the platform requires fencing, it refuses lower tokens. A holder calls only while its view of the log is current.
  *
- * Owns nothing: the lease is in the catalog, under its stored name `duty`. Relies on a majority (to take the lease), on the
- * holder's answer and on the platform; each may fail, and the change of primary tries again.
+ * The lease is stored in the catalog under the name `duty`. A step that fails is retried by the change of primary.
  */
 import type { Catalog } from '../catalog/catalog.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Messenger } from '../../runtime/runtime.js';
 import type { AppointmentAuthority, PrimaryAppointer } from './primary_appointer.js';
 
-/** Time for the holder to call the platform and answer, in milliseconds. A guess, not measured. */
+/** Timeout for the holder to call the platform and answer. */
 const REQUEST_TIMEOUT_MS = 2500;
 
 /** Proposes a command to the replicated log. */
 export type Proposer = (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>;
 
-/** What a control machine knows of the others. */
+/** Reachability of the other control machines. */
 interface ControlContact {
-  /** Whether the control machine at an address answered lately. */
+  /** Whether the control machine at an address answered recently. */
   isInTouch(address: string): boolean;
-  /** Whether what this process knows of the lease is as new as any majority knows. */
+  /** Whether this process's view of the lease is as new as that of any majority. */
   readonly isCurrent: boolean;
 }
 
-/** What the lease needs of its control machine. */
 export interface AppointmentLeaseDependencies {
   /** Name and address under which this process holds the lease. */
   readonly self: { readonly name: string; readonly address: string };
-  /** The replicated state. */
   readonly catalog: Catalog;
-  /** The way to other processes. */
   readonly messenger: Messenger;
-  /** Calls the platform to appoint a primary. */
   readonly appointer: PrimaryAppointer;
   /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
-  /** What this machine knows of the others. */
   readonly contact: ControlContact;
 }
 
-/** The lease as seen by one control machine. */
+/** The appointment lease as seen by one control machine. */
 export class AppointmentLease {
   constructor(private readonly dependencies: AppointmentLeaseDependencies) {}
 
-  /** Has the holder appoint; takes the lease over when the holder is not in touch. For the leader. */
+  /** Appoints through the holder, or takes the lease over when the holder is unreachable. Called on the leader. */
   async appoint(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
     const { appointmentLeaseEntry: lease } = this.dependencies.catalog;
     const address = lease.holderAddress ?? '';
@@ -65,7 +56,7 @@
     return this.appointAsHolder(group, instance);
   }
 
-  /** Answers the leader: appoints if this process still holds the lease under that token. */
+  /** Handles the leader's request: appoints if this process still holds the lease under that token. */
   async onRequest(request: whinyoke.IAppointRequest): Promise<whinyoke.IAppointReply> {
     const { appointmentLeaseEntry: lease } = this.dependencies.catalog;
     if (lease.holder !== this.dependencies.self.name || lease.token !== request.token) {
@@ -86,7 +77,7 @@
 
   private appointAsHolder(group: string, instance: string): Promise<whinyoke.AppointOutcome> {
     const { appointmentLeaseEntry: lease } = this.dependencies.catalog;
-    // A holder that stood still may have been replaced: it must not call under its former token.
+    // A holder that stalled may have been replaced and must not call under its old token.
     if (lease.holder !== this.dependencies.self.name || !this.dependencies.contact.isCurrent) {
       return Promise.resolve(whinyoke.AppointOutcome.TRY_LATER);
     }
@@ -108,7 +99,7 @@
       const body = await this.dependencies.messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.appointReply?.outcome ?? undefined;
     } catch {
-      // The holder is out of reach: the caller takes the lease over, so no appointment is lost.
+      // The holder is unreachable: the caller takes the lease over and appoints itself.
       return undefined;
     }
   }
--- a/src/appointed/failover/caught_up_instances.ts
+++ b/src/appointed/failover/caught_up_instances.ts
@@ -1,14 +1,12 @@
 /**
- * DECISION: when an instance that started again counts as a replica of its group like any other.
+ * Tracks when a restarted instance counts again as a replica of its group like any other.
  *
- * Answers: a new incarnation is empty at first; its former one may alone have confirmed commits of the epoch, which the primary
- *   holds and sends to it again.
- * Inputs: the primary's received position, asked after the catalog knew the new incarnation; the received position of the latter.
- * Rule: from the moment when its log covers that position it holds everything that the former incarnation had confirmed.
- * Constants: below. Tests: test/unit/incarnations.test.ts.
+ * A new incarnation is empty at first, while its former one may have been the only replica to confirm commits of the epoch.
+ * The primary holds these commits and sends them again. The new incarnation counts once its log covers a position that the
+ * primary reported after the catalog knew the new incarnation.
  *
- * Owns what this leader found out, in memory: another leader asks anew. Relies on the primary and the instance, which may not
- * answer: the instance then goes on counting as missing.
+ * The state is in this leader's memory; a new leader asks anew. An instance whose primary does not answer continues to count
+ * as missing.
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import { coversEpochMinimum } from '../leases/epoch_incarnation.js';
@@ -22,10 +20,9 @@
 
 const { GroupPhase } = whinyoke;
 
-/** Time between two looks, in milliseconds: each takes a slot of two instances. A guess, not measured. */
+/** Interval of checks; each takes a connection slot of two instances. */
 const CHECK_INTERVAL_MS = 500;
 
-/** What is needed of the leader. */
 interface CatchUpContext {
   readonly clock: Clock;
   readonly catalog: Catalog;
@@ -34,21 +31,21 @@
   readonly isLeading: () => boolean;
 }
 
-/** Name of one incarnation of an instance. */
+/** Key of one incarnation of an instance. */
 export function incarnationName({ id, incarnation }: InstanceEntry): string {
   return `${id}/${incarnation ?? 0}`;
 }
 
-/** Incarnations that have caught up, as the leader knows. */
+/** Restarted incarnations that have caught up, as this leader knows. */
 export class CaughtUpInstances {
   private readonly caughtUp = new Set<string>();
-  /** Position that each other new incarnation has to reach, for as long as it has not. */
+  /** Position that each new incarnation has to reach, until it has. */
   private readonly requiredPositions = new Map<string, Position>();
   private timer: Timer | undefined;
 
   constructor(private readonly context: CatchUpContext) {}
 
-  /** Starts to look; does nothing while this machine does not lead. */
+  /** Starts the periodic check, which does nothing while this machine does not lead. */
   start(): void {
     this.timer = this.context.clock.setTimer(CHECK_INTERVAL_MS, () => {
       void this.checkAll();
@@ -56,17 +53,16 @@
     });
   }
 
-  /** Stops. */
   stop(): void {
     this.timer?.cancel();
   }
 
-  /** Whether the present incarnation of an instance holds what its former ones had confirmed. */
+  /** Whether the current incarnation of an instance holds what its former ones had confirmed. */
   has(instance: InstanceEntry): boolean {
     return this.caughtUp.has(incarnationName(instance));
   }
 
-  /** Asks once about all that have not caught up. */
+  /** Checks all instances that have not caught up. */
   async checkAll(): Promise<void> {
     const { catalog, isLeading } = this.context;
     if (!isLeading()) return;
@@ -101,7 +97,7 @@
     });
   }
 
-  /** Position of the primary, if it is still the incarnation for which the epoch was begun. */
+  /** Received position of the primary if it is still the incarnation for which the epoch was begun. */
   private async primaryPosition(group: string): Promise<Position | undefined> {
     const { catalog, administrator } = this.context;
     const entry = catalog.group(group);
--- a/src/appointed/failover/failover_controller.ts
+++ b/src/appointed/failover/failover_controller.ts
@@ -1,18 +1,14 @@
 /**
- * DECISION: when a primary is replaced. The steps of a change: `primary_changer.ts`.
+ * Decides when the primary of a group is replaced. The steps of a change are in `primary_changer.ts`.
  *
- * Answers: a primary that crashed, refuses, is cut off, stands still, leaves or is in an evacuated zone, and proxies that are
- *   cut off themselves.
- * Inputs: the primary's state and incarnation in the catalog; opinions of the proxies (`primary_health_opinions.ts`), age of its
- *   newest heartbeat, what it answers to control itself (`direct_questions.ts`), milliseconds since its epoch began.
- * Rule: only with another ready instance in the group. A primary that leaves, is gone or started again is replaced at once; whether
- *   any other has failed is decided in `primary_trouble.ts`. One that is well leaves an evacuated zone by a planned change
- *   (`primary_evacuation.ts`), and is replaced as planned when homes of routes keep it from more of them than another instance
- *   (`placement/primary_homes.ts`).
- * Constants: below. Tests: test/unit/failover.test.ts.
+ * A primary is replaced only when the group has another ready instance:
+ * - at once, when it leaves, is gone or has restarted;
+ * - when it has failed (`primary_failure.ts`), as judged by health reports of proxies, its heartbeats and probes of control;
+ * - as planned, when it is healthy in an evacuated zone (`primary_evacuation.ts`);
+ * - as planned, when another instance may serve more of the group's region-bound routes (`placement/servable_routes.ts`).
  *
- * Owns which groups this leader is changing. Relies on a majority for each step; a step that fails is logged and begun again
- * at a later tick, here or at the next leader.
+ * Each step needs a majority of the control machines. A step that fails is logged and retried at a later check, by this
+ * leader or the next one.
  */
 import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import { unusableReason } from '../catalog/usable_instance.js';
@@ -32,12 +28,12 @@
 
 const { GroupPhase, InstanceRole, InstanceState } = whinyoke;
 
-/** Time between two looks at all groups, in milliseconds. A guess, not measured. */
+/** Interval of checks of all groups. */
 const CHECK_INTERVAL_MS = 50;
 
 /**
- * A change for the sake of homes that ended outside them again, for want of a proof, is not tried anew for this long, in
- * milliseconds: each try keeps writes waiting. A guess, not measured.
+ * After a change for allowed regions that ended outside them again, for want of a proof, the next one waits this long: each
+ * attempt delays writes.
  */
 const ALLOWED_REGIONS_RETRY_MS = 30_000;
 
@@ -46,7 +42,7 @@
   readonly startedAt: number;
 }
 
-/** An instance that says that it is primary of a term. */
+/** An instance that reports itself as primary of a term. */
 interface PrimaryClaim {
   readonly primary: string;
   readonly term: number;
@@ -60,11 +56,11 @@
   readonly isPlanned: boolean;
 }
 
-/** Controller of one control machine. */
+/** Failover controller of one control machine. */
 export class FailoverController {
   private timer: Timer | undefined;
   private readonly changingGroups = new Set<string>();
-  /** Epochs that this leader saw begin, and when. */
+  /** Newest epoch of each group, and when it began as far as this leader knows. */
   private readonly knownEpochs = new Map<string, KnownEpoch>();
   private isAdopting = false;
   private readonly prober: PrimaryProber;
@@ -79,7 +75,7 @@
     this.evacuation = new PrimaryEvacuation(context.catalog, monitor, context.log);
   }
 
-  /** Starts to watch; does nothing while this machine does not lead. */
+  /** Starts the periodic check, which does nothing while this machine does not lead. */
   start(): void {
     this.timer = this.context.clock.setTimer(CHECK_INTERVAL_MS, () => {
       this.checkAll();
@@ -87,12 +83,11 @@
     });
   }
 
-  /** Stops. */
   stop(): void {
     this.timer?.cancel();
   }
 
-  /** Looks at all groups once. */
+  /** Checks all groups once. */
   checkAll(): void {
     if (!this.context.isLeading()) return;
     const { catalog } = this.context;
@@ -106,7 +101,7 @@
     this.evacuation.reportProgress();
   }
 
-  /** A group seen for the first time: the instance that leads it now becomes its primary. */
+  /** Creates the first epoch of a new group, with the instance that currently leads it as primary. */
   private async adoptPrimary(group: string): Promise<void> {
     if (this.isAdopting) return;
     this.isAdopting = true;
@@ -116,14 +111,14 @@
       const { STEADY: phase } = GroupPhase;
       await this.context.propose({ putGroup: { group, epoch: 1, phase, ...claim } });
     } catch (error) {
-      // The group has no epoch yet; the next tick tries again, on the machine that leads then.
+      // The group has no epoch yet; the next check tries again, on the machine that leads then.
       this.logFailure(group, 'adopt', error);
     } finally {
       this.isAdopting = false;
     }
   }
 
-  /** The instance of the newest term, among those that call themselves primary of a group. */
+  /** The claim of the newest term among the instances that report themselves as primary of a group. */
   private async strongestClaim(group: string): Promise<PrimaryClaim | undefined> {
     const { administrator } = this.context;
     const claimants = this.usableInstances.filter(
@@ -176,7 +171,7 @@
       const next = { ...entry, epoch: (entry.epoch ?? 0) + 1, phase: GroupPhase.CHANGING };
       await this.context.propose({ putGroup: { ...next, planned: isPlanned, target: '' } });
     } catch (error) {
-      // Nothing has begun. The next look, here or at the next leader, finds the same cause.
+      // Nothing has begun: the next check, by this leader or the next one, finds the same cause.
       this.logFailure(group, 'begin', error);
     } finally {
       this.changingGroups.delete(group);
@@ -192,8 +187,7 @@
     if (!this.hasReplacement(entry)) return undefined;
     const primary = this.context.catalog.instance(entry.primary ?? '');
     const isSameIncarnation = (primary?.incarnation ?? 0) === (entry.primaryIncarnation ?? 0);
-    if (primary && !isSameIncarnation)
-      return { text: 'the primary started again', isPlanned: false };
+    if (primary && !isSameIncarnation) return { text: 'the primary restarted', isPlanned: false };
     if (primary?.state === InstanceState.READY) {
       return (
         this.causeByHealth(entry) ??
@@ -218,7 +212,7 @@
     return text === undefined ? undefined : { text, isPlanned: false };
   }
 
-  /** A primary that may serve fewer routes than another instance is replaced as planned. */
+  /** Planned change away from a primary that may serve fewer routes than another instance. */
   private causeByAllowedRegions(
     entry: GroupEntry,
     primary: InstanceEntry,
@@ -233,7 +227,7 @@
       hasRecentHeartbeat(this.monitor, other.id ?? '', now);
     if (!this.replacementsFor(entry).some(isBetter)) return undefined;
     return {
-      text: `its region keeps it from routes that another instance may serve`,
+      text: 'another instance may serve more routes by their allowed regions',
       isPlanned: true,
     };
   }
@@ -244,7 +238,7 @@
     return text === undefined ? undefined : { text, isPlanned: true };
   }
 
-  /** An epoch that was there before this machine led began long ago, as far as it knows. */
+  /** An epoch that existed before this machine led is taken to have begun long ago. */
   private recordEpoch(entry: GroupEntry): void {
     const group = entry.group ?? '';
     const known = this.knownEpochs.get(group);
@@ -272,7 +266,7 @@
     );
   }
 
-  /** Entries that name an instance to use; the other ones make no group and replace nobody. */
+  /** Instances that may be used; other entries neither form a group nor replace a primary. */
   private get usableInstances(): readonly InstanceEntry[] {
     const { catalog, document } = this.context;
     const { table } = document;
--- a/src/appointed/failover/instance_administrator.ts
+++ b/src/appointed/failover/instance_administrator.ts
@@ -1,8 +1,8 @@
 /**
- * Administrative commands to instances: state, stop and resume of receiving, end of a leadership.
+ * Sends administrative commands to instances: status, pause and resume of replication, step-down.
  *
- * Owns no connection beyond one command, and which commands to receive again are under way: one that is sent by an earlier change
- * of primary must not end the hold of a later one. Relies on the instance, which may not answer: the result is undefined then.
+ * A command without an answer has the result undefined. A resume sent by an earlier change of primary must not lift the fence
+ * of a later one, so a pause waits for resume commands in flight to the same instance.
  */
 import {
   ConnectError,
@@ -15,21 +15,21 @@
 import type { InstanceCommand } from '../instance/statement.js';
 import type { PersistentConnections } from './persistent_connections.js';
 
-/** Time to connect, and for an answer, in milliseconds. A guess, not measured. */
+/** Timeout to connect, and for an answer. */
 const COMMAND_TIMEOUT_MS = 500;
 
-/** Whether an instance is there, as control itself found out. */
+/** Result of a probe. */
 export type ProbeResult =
-  /** It answered; without a state where it was too busy to tell one. */
+  /** The instance answered; without a status where it was too busy to report one. */
   | { readonly kind: 'answered'; readonly status: InstanceStatus | undefined }
-  /** Nothing came from it in time. */
+  /** The instance did not answer in time. */
   | { readonly kind: 'silent' }
-  /** Nobody listens at its address, or another instance does. */
+  /** No process listens at its address, or another instance does. */
   | { readonly kind: 'refused' };
 
-/** Administrator of one control machine. Opens a connection for each command where there is no standing one. */
+/** Administrator of one control machine. Opens a connection for a command where there is no persistent one. */
 export class InstanceAdministrator {
-  /** Commands to receive again that are under way, by instance. */
+  /** Resume commands in flight, by instance. */
   private readonly pendingResumes = new Map<string, Promise<unknown>>();
 
   constructor(
@@ -37,12 +37,12 @@
     private readonly persistentConnections: Pick<PersistentConnections, 'of'>,
   ) {}
 
-  /** State of an instance; undefined when it does not answer. */
+  /** Status of an instance; undefined when it does not answer. */
   status(target: InstanceTarget): Promise<InstanceStatus | undefined> {
     return this.run(target, { kind: 'status' });
   }
 
-  /** Stops a replica from receiving from primaries below `term`, after any command to receive again that is under way. */
+  /** Stops a replica from receiving from primaries below `term`, after any resume command in flight. */
   async pause(target: InstanceTarget, term: number): Promise<InstanceStatus | undefined> {
     await this.pendingResumes.get(target.id);
     return this.run(target, { kind: 'pause', term });
@@ -50,7 +50,7 @@
 
   /**
    * Lets a replica receive again.
-   * @param isWanted - whether that is still to be: looked at before it is sent a second time
+   * @param isStillNeeded - checked before the command is sent a second time
    */
   async resume(
     target: InstanceTarget,
@@ -65,24 +65,24 @@
     }
   }
 
-  /** Makes a primary of a term below `term` a replica. */
+  /** Makes a primary of a term below `term` step down to replica. */
   stepDown(target: InstanceTarget, term: number): Promise<InstanceStatus | undefined> {
     return this.run(target, { kind: 'stepDown', term });
   }
 
-  /** Whether an instance is there; an answer that it is full or busy shows that it is. */
+  /** Probes an instance; an answer that it is full or busy counts as an answer. */
   async probe(target: InstanceTarget, timeoutMs: number): Promise<ProbeResult> {
     try {
       const { connection } = await this.connector.connect(target, timeoutMs);
       const status = await connection
         .run({ kind: 'status' }, timeoutMs)
         .then((answer) => answer.status)
-        // It answered the start of the connection, so it is there; only its state is not known.
+        // It accepted the connection, so it is alive; only its status is unknown.
         .catch(() => undefined);
       connection.close();
       return { kind: 'answered', status };
     } catch (error) {
-      // The kind of failure is the result; whoever asked logs what follows from it.
+      // The kind of failure is the result; the caller logs what follows from it.
       const failure = error instanceof ConnectError ? error.failure : 'silent';
       if (failure === 'busy' || failure === 'connectionLimit') {
         return { kind: 'answered', status: undefined };
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Runs a command on the standing connection, and on one of its own where there is none or it fails. */
+  /** Runs a command on the persistent connection, or on a new one where there is none or it fails. */
   private async run(
     target: InstanceTarget,
     command: InstanceCommand,
@@ -119,7 +119,7 @@
         connection.close();
       }
     } catch {
-      // An instance that can't be reached has no known state. Callers repeat their commands and log what they conclude.
+      // An unreachable instance has no known status; callers repeat their commands and log what they conclude.
       return undefined;
     }
   }
@@ -133,7 +133,7 @@
   try {
     return await connection.run(command, COMMAND_TIMEOUT_MS);
   } catch {
-    // No answer is no known state, as for an instance that can't be reached.
+    // Without an answer the status is unknown, as for an unreachable instance.
     return undefined;
   }
 }
--- a/src/appointed/failover/instance_monitor.ts
+++ b/src/appointed/failover/instance_monitor.ts
@@ -1,31 +1,26 @@
 /**
- * What the leader knows of instances from their heartbeats.
+ * Newest heartbeat of each instance, as received by the leader.
  *
- * Owns the newest heartbeat of each instance, in memory: a new leader learns them anew. Relies on the instances, whose
- * heartbeats may be late, missing or out of order.
+ * Heartbeats may be late, missing or out of order. The state is in memory; a new leader starts empty.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 
-/**
- * After such a silence a lower sequence number, or an earlier `born`, is a restart, not a late heartbeat, in milliseconds. A
- * guess, not measured.
- */
+/** After a silence of this length, a lower sequence number or an earlier start time means a restart, not a late heartbeat. */
 const RESTART_SILENCE_MS = 3000;
 
 interface Heartbeat {
   readonly receivedAt: number;
-  /** When its incarnation started, as it tells; 0 where it does not. */
+  /** Start time of its incarnation as reported; 0 where it reports none. */
   readonly startedAt: number;
   readonly sequence: number;
   readonly role: whinyoke.InstanceRole;
 }
 
-/** Monitor of all instances. */
 export class InstanceMonitor {
   private readonly heartbeats = new Map<string, Heartbeat>();
   private leadingSince = 0;
 
-  /** Takes a heartbeat; a late one changes nothing. */
+  /** Records a heartbeat; ignores a late one. */
   recordHeartbeat(heartbeat: whinyoke.IInstanceBeat, now: number): void {
     const id = heartbeat.instance?.id ?? '';
     const sequence = heartbeat.instance?.sequence ?? 0;
@@ -40,7 +35,7 @@
     });
   }
 
-  /** Forgets everything, at the begin of a leadership. */
+  /** Clears all state at the start of a leadership. */
   beginLeadership(now: number): void {
     this.heartbeats.clear();
     this.leadingSince = now;
@@ -51,29 +46,29 @@
     return now - (this.heartbeats.get(instance)?.receivedAt ?? this.leadingSince);
   }
 
-  /** Whether an instance was silent for so long that what contradicts its newest heartbeat is a restart, not late. */
+  /** Whether an instance was silent for so long that a contradicting heartbeat means a restart, not a late one. */
   mayHaveRestarted(instance: string, now: number): boolean {
     return this.heartbeatAgeMs(instance, now) > RESTART_SILENCE_MS;
   }
 
-  /** Whether the newest heartbeat came at `since` or later, and from the incarnation that tells `born`. */
+  /** Whether the newest heartbeat came at `since` or later, and from the incarnation started at `startedAt`. */
   hasHeartbeatSince(instance: string, startedAt: number, since: number): boolean {
     const newest = this.heartbeats.get(instance);
     return newest !== undefined && newest.startedAt === startedAt && newest.receivedAt >= since;
   }
 
-  /** Sequence of the instance's newest heartbeat; undefined when there was none. */
+  /** Sequence number of the newest heartbeat of an instance; undefined when there was none. */
   newestSequenceOf(instance: string): number | undefined {
     return this.heartbeats.get(instance)?.sequence;
   }
 
-  /** Role that the instance's newest heartbeat names. */
+  /** Role in the newest heartbeat of an instance. */
   roleOf(instance: string): whinyoke.InstanceRole {
     return this.heartbeats.get(instance)?.role ?? whinyoke.InstanceRole.UNKNOWN;
   }
 }
 
-/** Whether a heartbeat was sent before the known one, as far as they tell. */
+/** Whether a heartbeat was sent before the known one, by start time and sequence number. */
 function isLate(known: Heartbeat, startedAt: number, sequence: number): boolean {
   if (known.startedAt !== 0 && startedAt !== known.startedAt) return startedAt < known.startedAt;
   return sequence < known.sequence;
--- a/src/appointed/failover/instance_target.ts
+++ b/src/appointed/failover/instance_target.ts
@@ -1,8 +1,7 @@
-/** Where an instance of the catalog is connected to. Pure. */
+/** Connection target of an instance of the catalog. */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceTarget } from '../instance/instance_connection.js';
 
-/** Connection target of an instance. */
 export function targetOf(instance: InstanceEntry): InstanceTarget {
   return {
     id: instance.id ?? '',
--- a/src/appointed/failover/lease_ledger.ts
+++ b/src/appointed/failover/lease_ledger.ts
@@ -1,15 +1,10 @@
 /**
- * DECISION: when all leases on a primary have ended.
+ * Ledger of the leases that proxies hold on primaries; decides when all leases of an epoch have ended.
  *
- * Answers: a change of primary, in which no proxy may still use the old one.
- * Inputs: leases granted to each run of a proxy, confirmations of proxies with what they had acknowledged, the registered
- *   proxies, and when this leadership began (milliseconds on the leader's clock).
- * Rule: a proxy holds no lease once it confirmed the present epoch, or once its newest lease has ended; a new leader counts
- *   leases of former leaders until LEASE_MS and STALE_LEADER_MS after it began. Errs towards longer leases: a proxy counts
- *   from when it sent its request, the ledger from when it answered.
- * Constants: `src/appointed/leases/lease_times.ts`.
- *
- * Owns the account of one leader, in memory. Relies on the proxies, which may be silent: their leases end by time then.
+ * A proxy holds no lease once it has confirmed the current epoch, or once its newest lease has expired. A new leader counts
+ * leases of former leaders until LEASE_MS + STALE_LEADER_MS after it began to lead. The ledger counts from when the leader
+ * answered, a proxy from when it sent its request, so no lease outlasts its entry here. Times are milliseconds on the
+ * leader's clock. The state is in this leader's memory.
  */
 import type { ProxyEntry } from '../catalog/catalog.js';
 import { type Position, START, latest } from '../../positions/position.js';
@@ -17,19 +12,19 @@
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { MAX_REPLICA_LEASE_TRUST_MS, type UnconfirmedProxies } from './appointment_fence.js';
 
-/** What is known of the end of an epoch's leases. */
+/** State of the revocation of an epoch's leases. */
 export interface RevocationState {
-  /** Whether no proxy trusts an earlier epoch any more. */
+  /** Whether no proxy uses an earlier epoch any more. */
   readonly isComplete: boolean;
-  /** Whether every registered proxy said so itself, with what it had acknowledged. */
+  /** Whether every registered proxy confirmed that itself, with what it had acknowledged. */
   readonly isConfirmedByAll: boolean;
-  /** Highest position that a proxy named. */
+  /** Highest position that a proxy reported as acknowledged. */
   readonly acknowledged: Position | undefined;
-  /** The registered proxies that did not say so. */
+  /** The registered proxies that did not confirm. */
   readonly unconfirmed: UnconfirmedProxies;
 }
 
-/** The newest request of a run of a proxy. */
+/** Newest request of one incarnation of a proxy. */
 interface Contact {
   readonly receivedAt: number;
   readonly knownVersion: number;
@@ -41,7 +36,6 @@
   readonly position: Position | undefined;
 }
 
-/** Ledger of one leader. */
 export class LeaseLedger {
   private readonly leasedUntil = new Map<string, number>();
   private readonly confirmations = new Map<string, Confirmation>();
@@ -49,7 +43,7 @@
   private formerLeasesUntil = -Infinity;
   private leadingSince = -Infinity;
 
-  /** Begins a leadership at `now`: earlier leaders may have granted leases until `until`. */
+  /** Starts a leadership at `now`: earlier leaders may have granted leases that last until `until`. */
   beginLeadership(until: number, now: number): void {
     this.leasedUntil.clear();
     this.confirmations.clear();
@@ -58,17 +52,17 @@
     this.leadingSince = now;
   }
 
-  /** A proxy that knows the catalog up to a version sent a request. */
+  /** Records a request of a proxy that knows the catalog up to a version. */
   recordContact(proxy: ProxyEntry, knownVersion: number, now: number): void {
     this.contacts.set(incarnationKey(proxy), { receivedAt: now, knownVersion });
   }
 
-  /** A proxy gets a lease on the present epoch of a group. */
+  /** Records a lease of a proxy on the current epoch of a group. */
   grant(group: string, proxy: ProxyEntry, until: number): void {
     this.leasedUntil.set(leaseKey(group, proxy), until);
   }
 
-  /** A proxy confirms that it trusts no epoch of the group before `epoch`. */
+  /** Records a proxy's confirmation that it uses no epoch of the group before that of the message. */
   confirm(proxy: ProxyEntry, message: whinyoke.IRevocation): void {
     const position = message.hasPosition ? (positionOf(message.position) ?? START) : undefined;
     this.confirmations.set(`${message.group}\n${proxy.id}`, {
--- a/src/appointed/failover/persistent_connections.ts
+++ b/src/appointed/failover/persistent_connections.ts
@@ -1,9 +1,9 @@
 /**
- * Connections of the leader that stay open to each instance which tells when it started. A process that starts again can't go
- * on with a connection of the one before, so an answer on such a connection is of the process that was there when it opened.
+ * Connections of the leader that stay open to each instance which reports its start time.
  *
- * Owns one connection for each such instance, while this machine leads. Relies on the instances: a connection that breaks is
- * opened again at the next look, and vouches from then on only.
+ * A restarted process can't continue a connection of its predecessor, so an answer on a persistent connection comes from the
+ * process that was there when it opened. A broken connection is reopened at the next check, and is evidence only from then
+ * on.
  */
 import type { Catalog } from '../catalog/catalog.js';
 import type {
@@ -14,19 +14,16 @@
 import type { Clock, Timer } from '../../runtime/runtime.js';
 import { targetOf } from './instance_target.js';
 
-/** Time between two looks at what is missing, in milliseconds. A guess, not measured. */
+/** Interval of checks for missing connections. */
 const CHECK_INTERVAL_MS = 500;
-/** Time to open a connection, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** An open connection. */
 export interface PersistentConnection {
   readonly connection: InstanceConnection;
-  /** When it was open at the latest. */
+  /** Time by which it was open. */
   readonly openedAt: number;
 }
 
-/** What is needed of the leader. */
 interface PersistentConnectionsContext {
   readonly clock: Clock;
   readonly catalog: Catalog;
@@ -34,7 +31,6 @@
   readonly isLeading: () => boolean;
 }
 
-/** Connections of one leader. */
 export class PersistentConnections {
   private readonly connections = new Map<string, PersistentConnection>();
   private readonly opening = new Set<string>();
@@ -50,13 +46,13 @@
     });
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   stop(): void {
     this.timer?.cancel();
     this.closeAllExcept(new Map());
   }
 
-  /** The connection to an instance; undefined while there is none. */
+  /** Connection to an instance; undefined while there is none. */
   of(target: InstanceTarget): PersistentConnection | undefined {
     const persistent = this.connections.get(keyOf(target));
     return persistent?.connection.closed ? undefined : persistent;
@@ -91,7 +87,7 @@
       const { connection } = await connector.connect(target, CONNECT_TIMEOUT_MS);
       this.connections.set(key, { connection, openedAt: clock.now() });
     } catch {
-      // An instance that can't be reached is tried at the next look; its answers vouch for nothing until then.
+      // An unreachable instance is retried at the next check; its answers are no evidence until then.
     } finally {
       this.opening.delete(key);
     }
--- a/src/appointed/failover/primary_appointer.ts
+++ b/src/appointed/failover/primary_appointer.ts
@@ -1,17 +1,17 @@
-/** The call to the platform that makes an instance the primary of its group. It may fail; it is safe to repeat. */
+/** The call to the platform that makes an instance the primary of its group. */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /** Who makes the call. */
 export interface AppointmentAuthority {
   /** Name of the process that holds the appointment lease. */
   readonly holder: string;
-  /** Fencing token: rises with each change of holder. */
+  /** Fencing token; rises with each change of holder. */
   readonly token: number;
 }
 
-/** Carries out appointments. */
+/** Appoints primaries through the platform. */
 export interface PrimaryAppointer {
-  /** Asks for an instance to become primary; safe to repeat. */
+  /** Asks for an instance to become primary; may fail, safe to repeat. */
   appoint(
     group: string,
     instance: string,
--- a/src/appointed/failover/primary_change_log.ts
+++ b/src/appointed/failover/primary_change_log.ts
@@ -1,4 +1,4 @@
-/** Log lines of one change of primary. Owns nothing but the time at which the change was taken up. */
+/** Log lines of one change of primary, with the time since this process took it up. */
 import type { InstanceStatus } from '../instance/instance_connection.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import { Events } from '../../observability/events.js';
@@ -7,7 +7,6 @@
 import type { CandidateReport, CandidateChoice } from './candidate.js';
 import type { RevocationState } from './lease_ledger.js';
 
-/** Log of one change. */
 export class PrimaryChangeLog {
   private readonly startedAt: number;
 
@@ -20,19 +19,18 @@
     this.startedAt = clock.now();
   }
 
-  /** Milliseconds since this process took the change up. */
   get elapsedMs(): number {
     return this.clock.now() - this.startedAt;
   }
 
-  /** A step was done. */
+  /** Logs a step of the change. */
   logStep(step: string, detail: string): void {
     const { group, epoch } = this;
     const elapsed = Math.round(this.elapsedMs);
     this.log(Events.primaryChangeStep, { group, epoch, step, elapsed_ms: elapsed, detail });
   }
 
-  /** A replica was chosen, or none could be. */
+  /** Logs the candidates and the choice, if one could be made. */
   logChoice(
     reports: readonly CandidateReport[],
     oldPrimary: InstanceStatus | undefined,
--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -1,16 +1,16 @@
 /**
- * Changes the primary of one group, step by step. Each step can be repeated, and what was decided is in the
- * replicated log, so that the next leader goes on where this one stopped:
+ * Changes the primary of one group, step by step:
  * 1. the epoch is raised and its phase is CHANGING (done by the controller);
- * 2. all leases on the old primary have ended; where proxies did not say so, replicas are held meanwhile, for longer
- *    than such a proxy trusts the old primary without control;
- * 3. the replicas receive nothing more from the old primary, the old primary steps down if it can be reached;
- * 4. the replica that provably holds every acknowledged commit is chosen and named in the log;
- * 5. it is appointed, and says itself that it is primary of a new term;
+ * 2. all leases on the old primary end; where proxies did not confirm, replicas are fenced meanwhile, for longer than such
+ *    a proxy uses the old primary without control;
+ * 3. the replicas stop receiving from the old primary, which steps down if it can be reached;
+ * 4. the replica that provably holds every acknowledged commit is chosen and recorded in the log;
+ * 5. it is appointed, and reports itself that it is primary of a new term;
  * 6. the epoch is raised and its phase is STEADY.
  *
- * Owns the progress of one change in memory only. Relies on the majority of the control machines (a proposal may fail: the
- * controller starts again), on the instances and on the platform's appointment call (a try that fails is repeated).
+ * Every step can be repeated, and decisions are in the replicated log, so that the next leader continues where this one
+ * stopped. A step fails without a majority of the control machines, or when an instance or the platform does not answer; it
+ * is then retried.
  */
 import type { Catalog, GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
@@ -35,61 +35,55 @@
 
 const { AppointOutcome, GroupPhase, InstanceState } = whinyoke;
 
-/** Time between two looks at the leases of proxies, in milliseconds. A guess, not measured. */
+/** Interval of checks of the proxies' leases. */
 const REVOCATION_POLL_MS = 10;
-/** Time between two questions to the appointed instance, in milliseconds. A guess, not measured. */
+/** Interval of status requests to the appointed instance. */
 const STATUS_POLL_MS = 40;
-/** Time for an appointed instance to say that it is primary, in milliseconds. A guess, not measured. */
+/** Time for an appointed instance to report that it is primary. */
 const APPOINTMENT_TIMEOUT_MS = 2000;
-/** Time between two tries of a change, in milliseconds. A guess, not measured. */
+/** Interval between attempts of a change. */
 const RETRY_INTERVAL_MS = 150;
 /**
- * Time for proxies to confirm, in milliseconds, before the replicas are held beside the wait for the leases of those
- * that did not: longer than commits under way hold up a confirmation (250 ms where planned, 80 ms in trouble).
+ * Time for proxies to confirm before the replicas are fenced while the leases of the others run out: longer than commits
+ * in flight delay a confirmation (`PLANNED_COMMIT_WAIT_MS` and `FAILOVER_COMMIT_WAIT_MS` in `trust/group_lease.ts`).
  */
 const PLANNED_CONFIRMATION_WAIT_MS = 400;
 const FAILOVER_CONFIRMATION_WAIT_MS = 150;
-/** Time between two tries to hold replicas beside that wait, in milliseconds: a busy replica refuses. A guess, not measured. */
+/** Interval between attempts to fence replicas during that wait: a busy replica refuses. */
 const FENCE_RETRY_INTERVAL_MS = 100;
 
 /**
- * An instance in an evacuated zone, or one that was to be replaced, leads only when no other one could be proven to hold
- * everything for this time, in milliseconds: several tries. Its replicas receive again then. Guess, not measured.
+ * An instance in an evacuated zone, or the primary that was to be replaced, may lead only after no other instance could be
+ * proven to hold everything for this long, which covers several attempts. Its replicas receive again then.
  */
 const LAST_RESORT_AFTER_MS = 1500;
 
-/** What a change needs of its process. */
+/** Dependencies of a change. */
 export interface PrimaryChangerContext extends PrimaryPlacement {
-  /** Time and timers of this process. */
   readonly clock: Clock;
-  /** The replicated state. */
   readonly catalog: Catalog;
-  /** Leases of this leadership. */
+  /** Leases granted in this leadership. */
   readonly ledger: LeaseLedger;
-  /** Newest heartbeats of instances. */
   readonly monitor: InstanceMonitor;
-  /** Instances that started again and hold everything that they had confirmed before. */
+  /** Restarted instances that hold everything they had confirmed before. */
   readonly caughtUp: Pick<CaughtUpInstances, 'has'>;
-  /** Sends commands to instances. */
   readonly administrator: InstanceAdministrator;
-  /** Decides who calls the platform. */
   readonly appointmentLease: AppointmentLease;
   /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
-  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
   /** Whether this process still leads in the term in which the change was begun. */
   readonly isLeading: () => boolean;
 }
 
-/** Incarnation of an instance that is to lead, and what its log held when that was decided. */
+/** Incarnation that is to lead, and its log position when that was decided. */
 interface Appointee {
   readonly instance: string;
   readonly incarnation: number;
   readonly position: Position;
 }
 
-/** The instance that a former leader appointed in this change before it could finish it. */
+/** The instance that a former leader appointed in this change before it could finish. */
 function findAppointed(
   reports: readonly CandidateReport[],
   oldTerm: number,
@@ -101,7 +95,7 @@
   return leading[0];
 }
 
-/** Changer of one group in one CHANGING epoch. */
+/** Changes the primary of one group in one CHANGING epoch. */
 export class PrimaryChanger {
   private readonly group: string;
   private readonly epoch: number;
@@ -124,7 +118,7 @@
     this.changeLog = new PrimaryChangeLog(clock, log, this.group, this.epoch);
   }
 
-  /** Runs until the group has a primary again, or this process leads no longer. */
+  /** Runs until the group has a primary again, or this process no longer leads. */
   async run(): Promise<void> {
     const revocationState = await this.awaitRevocation();
     if (!revocationState) return;
@@ -136,7 +130,7 @@
     }
   }
 
-  // ---- what is known ----
+  // ---- current state ----
 
   private isCurrent(): boolean {
     return this.context.isLeading() && this.context.catalog.group(this.group)?.epoch === this.epoch;
@@ -160,19 +154,19 @@
     return this.members.find((instance) => instance.id === this.entry.primary);
   }
 
-  /** Whether no run of a proxy ended since the old primary's epoch began. */
+  /** Whether no incarnation of a proxy ended since the old primary's epoch began. */
   private isProxyHistoryComplete(): boolean {
     return this.context.catalog.proxyLossVersion < (this.entry.steadySince ?? 0);
   }
 
-  /** Whether no instance of the group left since the old primary's epoch began. */
+  /** Whether no instance left the group since the old primary's epoch began. */
   private isMembershipUnchanged(): boolean {
     return !this.context.catalog.hasLostInstanceSince(this.group, this.entry.steadySince ?? 0);
   }
 
   // ---- step 2: leases end ----
 
-  /** Waits until no proxy trusts the old primary; undefined when this process leads no longer. */
+  /** Waits until no proxy uses the old primary; undefined when this process no longer leads. */
   private async awaitRevocation(): Promise<RevocationState | undefined> {
     let isFencing = false;
     while (this.isCurrent()) {
@@ -192,8 +186,8 @@
   }
 
   /**
-   * Holds the replicas until each of them is held or the leases have ended: a hold that begins only then lengthens the change
-   * by a whole lease that replicas confirm ({@link appointmentObjection}).
+   * Fences the replicas while leases run out: a fence that began only afterwards would prolong the change by a whole lease
+   * confirmed by replicas ({@link appointmentObjection}).
    */
   private async fenceDuringRevocation(): Promise<void> {
     while (this.isCurrent() && !this.currentRevocation().isComplete) {
@@ -208,7 +202,7 @@
 
   // ---- steps 3 to 6, repeated until they succeed ----
 
-  /** One try of all steps after the end of the leases; resolves with whether the group has a primary again. */
+  /** One attempt of all steps after the end of the leases; resolves with whether the group has a primary again. */
   private async attemptChange(): Promise<boolean> {
     const appointee = await this.chooseAppointee();
     if (!appointee || !this.isCurrent()) return false;
@@ -224,7 +218,7 @@
     return true;
   }
 
-  /** Steps 3 and 4: holds the replicas, ends the old primary's term, and names the instance that follows in the log. */
+  /** Steps 3 and 4: fences the replicas, ends the old primary's term, and records the chosen instance in the log. */
   private async chooseAppointee(): Promise<Appointee | undefined> {
     const { replicas, oldPrimary } = this;
     const { newTerm } = this.replicaFence;
@@ -235,7 +229,7 @@
     const appointed = findAppointed(complete, this.oldTerm);
     if (appointed) return this.appointeeOf(appointed);
     const { reports, missing } = this.evidence.evaluate(replicas, answers);
-    // An old primary that is dark holds the change up only when its answer is needed.
+    // An unresponsive old primary delays the change only when its answer is needed.
     let old: CandidateReport | undefined;
     const candidates = reports.map((report) => this.excludeEvacuated(report));
     let choice = this.choose(candidates, missing, undefined);
@@ -260,12 +254,15 @@
     return this.context.catalog.instance(instance)?.incarnation ?? 0;
   }
 
-  /** Whether an instance tells when it started, so that it may start again empty. */
+  /** Whether an instance reports its start time, so that an empty restart can be detected. */
   private reportsStartTime(instance: string): boolean {
     return Boolean(this.context.catalog.instance(instance)?.born);
   }
 
-  /** The old primary's answer may prove another one; after a while any ready instance may lead. */
+  /**
+   * Chooses with the old primary's answer, which may prove another instance; after {@link LAST_RESORT_AFTER_MS} any ready
+   * instance may lead.
+   */
   private chooseWithOldPrimary(
     reports: readonly CandidateReport[],
     missing: number,
@@ -286,7 +283,10 @@
     return isEvacuated ? { ...report, isEligible: false } : report;
   }
 
-  /** The old primary holds everything; it may lead again when no replica can, unless it has started again meanwhile. */
+  /**
+   * The old primary's report; it holds everything and may lead again when no replica can, unless it has restarted
+   * meanwhile.
+   */
   private async oldPrimaryReport(
     old: InstanceEntry | undefined,
     stepDown: Promise<InstanceStatus | undefined> | undefined,
@@ -326,7 +326,7 @@
   /** Whether the chosen instance may be appointed now, beside proxies that did not confirm. */
   private isSafeToAppoint(instance: string): boolean {
     const { isConfirmedByAll, unconfirmed } = this.currentRevocation();
-    // The old primary that leads again is the one that such a proxy trusts.
+    // If the old primary leads again, it is the one that such a proxy uses.
     if (isConfirmedByAll || instance === this.entry.primary) return true;
     const { catalog, clock } = this.context;
     const entry = catalog.instance(instance);
@@ -334,7 +334,7 @@
       placedSince: catalog.placedSince(instance),
       fencedSince: entry && this.replicaFence.fencedSince(entry),
     };
-    // A proxy that trusts the old primary knows at least the catalog in which that one's epoch began.
+    // A proxy that uses the old primary knows at least the catalog version in which that epoch began.
     const knownVersion = Math.max(unconfirmed.knownVersion, this.entry.steadySince ?? 0);
     const objection = appointmentObjection(replica, { ...unconfirmed, knownVersion }, clock.now());
     if (objection === undefined) return true;
@@ -358,7 +358,7 @@
     return this.context.propose({ setTarget: { group, epoch, ...choice } });
   }
 
-  /** Step 5: waits until the appointed incarnation says itself that it is primary. */
+  /** Step 5: waits until the appointed incarnation reports that it is primary. */
   private async awaitAppointedPrimary(appointee: Appointee): Promise<InstanceStatus | undefined> {
     const { clock, administrator, catalog } = this.context;
     const { instance } = appointee;
@@ -378,7 +378,10 @@
     return undefined;
   }
 
-  /** Whether an answer is that of an incarnation which follows the appointed one: the others still hold what they held. */
+  /**
+   * Whether an answer comes from a later incarnation than the appointed one. The other replicas still hold what they held, so
+   * another one can be chosen.
+   */
   private hasRestarted(
     { instance, incarnation, position }: Appointee,
     status: InstanceStatus,
@@ -387,7 +390,7 @@
     return isShorter || this.incarnationOf(instance) !== incarnation;
   }
 
-  /** Step 6: the next epoch begins, and the other replicas receive again. */
+  /** Step 6: begins the next epoch and lets the other replicas receive again. */
   private async beginNextEpoch(
     { instance: primary, incarnation }: Appointee,
     status: InstanceStatus,
--- a/src/appointed/failover/primary_evacuation.ts
+++ b/src/appointed/failover/primary_evacuation.ts
@@ -1,15 +1,10 @@
 /**
- * DECISION: when the primary of a group leaves an evacuated zone. The change itself: `primary_changer.ts`.
+ * Decides when the primary of a group leaves an evacuated zone. The change itself is in `primary_changer.ts`.
  *
- * Answers: an operator evacuates a zone; what only a primary there can run is refused after a part of the bound.
- * Inputs: evacuated zones and instances of the catalog, the present primary, milliseconds since its epoch began, and since the
- *   newest heartbeats of the others.
- * Rule: as soon as another ready instance stands elsewhere and is heard of, for all groups side by side, but no more begins in a second than
- *   {@link MOST_BEGUN}. A primary that had to be appointed in such a zone, since no other one provably held everything, is
- *   replaced {@link FOLLOW_MS} later: by then the others have followed it. After the end of an evacuation nothing moves back.
- * Constants: below. Tests: test/unit/evacuation.test.ts.
- *
- * Owns how many changes were begun lately, and what was logged. Relies on the catalog only, which can't fail.
+ * A change begins as soon as another ready instance outside evacuated zones has a recent heartbeat. All groups change in
+ * parallel, at most {@link MAX_CHANGES_PER_SECOND} begin in a second. A primary that had to be appointed in an evacuated
+ * zone, because no other instance provably held everything, is replaced after {@link REPLICA_CATCH_UP_MS}, when the others
+ * have caught up. After the end of an evacuation no primary moves back.
  */
 import type { Catalog, GroupEntry } from '../catalog/catalog.js';
 import { Events } from '../../observability/events.js';
@@ -21,19 +16,19 @@
 const { InstanceState } = whinyoke;
 
 /**
- * Changes begun in one second (a count): half of the calls that the platform takes in its example of settings (50 a second);
- * the rest is for failures and repeated calls. Guess, not measured.
+ * Half of the calls that the platform takes in its example settings (50 a second); the rest is for failures and repeated
+ * calls.
  */
 const MAX_CHANGES_PER_SECOND = 25;
-/** Time for replicas elsewhere to follow a primary that nothing is sent to, in milliseconds. Guess, not measured. */
+/** Time for replicas elsewhere to catch up with a primary that gets no new work. */
 const REPLICA_CATCH_UP_MS = 1000;
 /**
- * An instance whose heartbeats are missing for longer can hardly lead, in milliseconds: two of them, which come about every
- * 1.2 s. A new leader counts from its election. Guess, not measured.
+ * An instance without a heartbeat for longer can hardly lead: two heartbeats, which come about every 1.2 s. A new leader
+ * counts from its election.
  */
 const HEARTBEAT_TIMEOUT_MS = 3000;
 
-/** Whether an instance was heard of so lately that a primary that is well may be replaced for it. */
+/** Whether an instance has a recent heartbeat, so that a healthy primary may be replaced by it. */
 export function hasRecentHeartbeat(
   monitor: Pick<InstanceMonitor, 'heartbeatAgeMs'>,
   instance: string,
@@ -42,15 +37,15 @@
   return monitor.heartbeatAgeMs(instance, now) < HEARTBEAT_TIMEOUT_MS;
 }
 
-/** A primary in an evacuated zone. */
+/** Primary in an evacuated zone. */
 export interface EvacuatedPrimary {
   readonly group: string;
   readonly zone: string;
-  /** Whether no ready instance of its group stands elsewhere. */
+  /** Whether its group has no ready instance elsewhere. */
   readonly isStuck: boolean;
 }
 
-/** Evacuated zone of an instance; undefined when it is in no such zone. */
+/** Evacuated zone of an instance; undefined when its zone is not evacuated. */
 export function evacuatedZoneOf(catalog: Catalog, instance: string): string | undefined {
   const zone = catalog.instance(instance)?.zone ?? '';
   return catalog.isEvacuated(zone) ? zone : undefined;
@@ -68,7 +63,7 @@
   return primaries;
 }
 
-/** Whether the primary of a group is in an evacuated zone, and no ready instance of the group stands elsewhere. */
+/** Whether the primary of a group is in an evacuated zone and the group has no ready instance elsewhere. */
 export function isPrimaryStuck(catalog: Catalog, { group, primary }: GroupEntry): boolean {
   if (evacuatedZoneOf(catalog, primary ?? '') === undefined) return false;
   return !hasReadyElsewhere(catalog, group ?? '');
@@ -92,7 +87,7 @@
 export class PrimaryEvacuation {
   private windowStartedAt = -Infinity;
   private changesInWindow = 0;
-  /** What was logged of each evacuated zone. */
+  /** Last logged state of each evacuated zone. */
   private readonly reportedStates = new Map<string, string>();
 
   constructor(
@@ -102,8 +97,8 @@
   ) {}
 
   /**
-   * Cause for a change of a steady group that may begin at `now`, and is counted as begun; undefined when there is none.
-   * @param steadyMs - how long the primary has led
+   * Cause of a change of a steady group that may begin at `now`, counted as begun; undefined when there is none.
+   * @param epochAgeMs - how long the primary has led
    */
   admitChange(entry: GroupEntry, epochAgeMs: number, now: number): string | undefined {
     const zone = evacuatedZoneOf(this.catalog, entry.primary ?? '');
@@ -114,7 +109,7 @@
     return this.admitWithinRate(now) ? `zone ${zone} is evacuated` : undefined;
   }
 
-  /** Logs what changed of the primaries in evacuated zones; called often. */
+  /** Logs changes in the number of primaries in evacuated zones; called often. */
   reportProgress(): void {
     const { evacuatedZones } = this.catalog;
     if (evacuatedZones.length === 0 && this.reportedStates.size === 0) return;
--- a/src/appointed/failover/primary_failure.ts
+++ b/src/appointed/failover/primary_failure.ts
@@ -1,55 +1,51 @@
 /**
- * DECISION: whether a primary that is ready and in the catalog has failed.
+ * Decides whether a primary that is ready in the catalog has failed, from health reports of proxies, heartbeats and probes.
  *
- * Answers: a primary that crashed, stands still or is cut off; one whose connection owners are lost while it is well; one
- *   whose queue is full, or whose connections fell silent; one that can't commit since no replica receives from it.
- * Inputs: verdict of the proxies (`primary_health_opinions.ts`), age of its newest heartbeat, age of its epoch, and what it
- *   answered to control itself (`direct_questions.ts`); times in milliseconds.
- * Rule:
- *   - more proxies find it bad than use it, and two of them do, or one and a late heartbeat, or one and control has no
- *     answer itself. Silence right after a change counts only later.
- *   - silence alone is not believed while heartbeats are fresh and the primary answers control. Then it needs a proof
- *     that its commits don't reach a replica, or that no proxy uses it for {@link DISBELIEVED_MS}.
- *   - proxies that reach no connection owner are believed once control has no answer itself, twice in a row.
- *   - with no good opinion, a heartbeat that is missing for long is enough.
- * Constants: below. Tests: test/unit/primary_trouble.test.ts. Pure.
+ * - It has failed when more proxies report it unhealthy than use it, and either two proxies do, or one does and its
+ *   heartbeat is late or control's probes fail too. Silence soon after a change counts only later.
+ * - Silence alone is not enough while heartbeats are fresh and the primary answers probes, since a full queue or dead
+ *   connections look the same to proxies. It then needs proof that commits reach no replica, or that no proxy has been able
+ *   to use it for {@link UNUSED_PRIMARY_TIMEOUT_MS}.
+ * - Proxies that reach no connection owner count once control's own probes failed twice in a row.
+ * - Without a healthy report, a heartbeat that is missing for {@link MISSING_HEARTBEAT_MS} is enough.
+ *
+ * Pure.
  */
 import type { ProbeEvidence } from './primary_prober.js';
 import type { PrimaryHealthSummary } from './primary_health_reports.js';
 
-/** Without any opinion of a proxy, heartbeats must be missing for this long, in milliseconds. A guess, not measured. */
+/** Heartbeats must be missing for this long where no proxy uses the primary. */
 const MISSING_HEARTBEAT_MS = 5000;
-/** One proxy alone is believed when the primary's heartbeat is older than this, in milliseconds. A guess, not measured. */
+/** One proxy's report suffices when the primary's heartbeat is older than this. */
 const LATE_HEARTBEAT_MS = 1500;
-/** Silence soon after a change is more likely load than a fault, for this many milliseconds. A guess, not measured. */
+/** Silence within this time after a change is more likely load than a failure. */
 const SETTLING_MS = 2000;
 /**
- * A primary that answers control is replaced when no proxy could use it for this long, in milliseconds: all ways from the
- * proxies to it may be cut. Longer than connections that fell silent take to be replaced. A guess, not measured.
+ * A primary that answers control is replaced when no proxy could use it for this long: all routes from proxies to it may be
+ * cut. Longer than it takes to replace dead connections.
  */
 const UNUSED_PRIMARY_TIMEOUT_MS = 1500;
 /**
- * A primary that no proxy uses has this long to answer control's first question before it is given up, in milliseconds: it had
- * 400 before. test/simulation/silent_primary.test.ts holds the whole: with 250 a write waited for 780, without for 700 at most.
+ * Time for a primary that no proxy uses to answer control's first probe. Part of the longest wait of a write that
+ * test/simulation/silent_primary.test.ts bounds.
  */
 const FIRST_PROBE_GRACE_MS = 80;
-/** Questions in a row that must stay without an answer where proxies know no more than that owners are lost. */
+/** Probes in a row that must fail where proxies only know that connection owners are lost. */
 const MIN_FAILED_PROBES = 2;
-/** Proxies that must find no owner: one alone may be cut off itself. */
+/** Proxies that must find no owner: a single one may be cut off itself. */
 const MIN_PROXIES_WITHOUT_OWNER = 2;
 
-/** Everything that decides. */
+/** Input of the decision. */
 export interface PrimaryFailureInput {
   readonly healthSummary: PrimaryHealthSummary;
-  /** Age of the primary's newest heartbeat, in milliseconds. */
+  /** Age of the primary's newest heartbeat. */
   readonly heartbeatAgeMs: number;
-  /** Time since its epoch began, in milliseconds. */
   readonly epochAgeMs: number;
-  /** What it answered to control itself. */
+  /** Results of control's own probes. */
   readonly probeEvidence: ProbeEvidence;
 }
 
-/** Whether control should ask the primary itself: some proxy finds it silent, or reaches none of its owners. */
+/** Whether control should probe the primary itself: a proxy finds it silent, or reaches none of its owners. */
 export function shouldProbePrimary({ silent, withoutOwner }: PrimaryHealthSummary): boolean {
   return silent > 0 || withoutOwner > 0;
 }
@@ -66,7 +62,7 @@
   const isProbeFailing =
     healthy === 0 && input.probeEvidence.consecutiveFailures >= MIN_FAILED_PROBES;
   if (isProbeFailing && withoutOwner >= MIN_PROXIES_WITHOUT_OWNER) {
-    return `${withoutOwner} proxies reach no owner of its connections, control has no answer; ${heartbeat}`;
+    return `${withoutOwner} proxies reach no connection owner, probes by control failed; ${heartbeat}`;
   }
   const isMissing = healthy === 0 && heartbeatAgeMs > MISSING_HEARTBEAT_MS;
   return isMissing ? `no heartbeat for ${Math.round(heartbeatAgeMs)} ms` : undefined;
@@ -85,7 +81,7 @@
   return healthSummary.prevailingFailure !== 'silent' || epochAgeMs > SETTLING_MS;
 }
 
-/** Whether the primary is alive by its heartbeat and its answer to control, so that silence needs a better proof. */
+/** Whether heartbeat and probes show that the primary is alive, so that silence needs better proof. */
 function isContradicted({
   healthSummary,
   heartbeatAgeMs,
--- a/src/appointed/failover/primary_health_reports.ts
+++ b/src/appointed/failover/primary_health_reports.ts
@@ -1,16 +1,9 @@
 /**
- * DECISION: when a primary counts as failed, in the eyes of the proxies. What follows from that: `primary_trouble.ts`.
+ * Health reports of proxies on primaries, and their summary. `primary_failure.ts` decides what follows from it.
  *
- * Answers: a primary that crashed, refuses or is cut off from some proxies only.
- * Inputs: the newest report of each proxy on the primary of an epoch, with its age and the time for which the trouble lasts
- *   (milliseconds).
- * Rule: reports on another epoch and old ones don't count. A report of trouble counts as bad once the trouble has lasted
- *   long enough, any healthy one as good; silence needs more time than a refusal. Reports that no connection owner answered
- *   say nothing of the primary itself, and are counted apart.
- * Constants: `src/appointed/leases/primary_health_times.ts`.
- *
- * Owns the reports that this leader got; a new leader begins without any. Relies on the proxies: one that is cut off from
- * control has no opinion.
+ * Reports on other epochs and expired ones are ignored. A report of a failure counts as unhealthy once the failure has
+ * lasted long enough, silence longer than a refusal; a healthy report counts at once. Reports that no connection owner
+ * answered say nothing about the primary itself and are counted separately. The state is in this leader's memory.
  */
 import {
   COUNTED_REFUSAL_MS,
@@ -31,29 +24,29 @@
   readonly isThroughOwners: boolean;
 }
 
-/** Verdict on one primary. */
+/** Summary of the proxies' reports on one primary. */
 export interface PrimaryHealthSummary {
-  /** Proxies that can't use the primary. */
+  /** Number of proxies that can't use the primary. */
   readonly unhealthy: number;
-  /** Proxies that find it silent, also for too short a time to count as bad. */
+  /** Number of proxies that find it silent, also for too short a time to count as unhealthy. */
   readonly silent: number;
-  /** Those of the bad whose reads it answers, and whose commits it does not. */
+  /** Number of the unhealthy reports in which it answers reads but not commits. */
   readonly commitsOnly: number;
-  /** Proxies that use it. */
+  /** Number of proxies that use it. */
   readonly healthy: number;
-  /** Name of the prevailing trouble; undefined when there is none. */
+  /** Failure in the last of the unhealthy reports; undefined when there is none. */
   readonly prevailingFailure: string | undefined;
-  /** For how long the longest trouble has lasted, in milliseconds. */
+  /** Duration of the longest reported failure. */
   readonly longestFailureMs: number;
-  /** Proxies that no connection owner of the primary answered. */
+  /** Number of proxies that no connection owner of the primary answered. */
   readonly withoutOwner: number;
 }
 
-/** Opinions that one leader received. */
+/** Reports received by one leader. */
 export class PrimaryHealthReports {
   private readonly reportsByGroup = new Map<string, Map<string, ReceivedHealthReport>>();
 
-  /** Takes the newest opinions of a proxy. */
+  /** Records the newest reports of a proxy. */
   record(proxy: string, reports: readonly whinyoke.IPrimaryReport[], now: number): void {
     for (const report of reports) {
       const group = report.group ?? '';
@@ -70,12 +63,12 @@
     }
   }
 
-  /** Forgets everything, at the begin of a leadership. */
+  /** Clears all reports at the start of a leadership. */
   clear(): void {
     this.reportsByGroup.clear();
   }
 
-  /** Verdict on the primary of an epoch. */
+  /** Summary of the reports on the primary of an epoch. */
   summary(group: string, epoch: number, now: number): PrimaryHealthSummary {
     const current = [...(this.reportsByGroup.get(group)?.values() ?? [])].filter(
       (report) => report.epoch === epoch && isFresh(report, now),
--- a/src/appointed/failover/primary_prober.ts
+++ b/src/appointed/failover/primary_prober.ts
@@ -1,9 +1,9 @@
 /**
- * Questions of the leader itself to primaries that proxies find silent, or whose connection owners they don't reach, and to
- * their replicas: a lost owner, a full queue and silent connections look like a lost primary to proxies.
+ * Probes primaries that proxies report as silent or whose connection owners they don't reach, and their replicas.
  *
- * Owns what was answered on the primary of the present epoch of each such group, in memory; a new leader asks anew. Relies
- * on the instances: no answer is evidence too, but not alone, since this machine may be cut off from the primary.
+ * To a proxy, a lost connection owner, a full queue and dead connections look like a lost primary; the leader's own probe
+ * tells them apart. A missing answer alone proves nothing, since this machine may be cut off from the primary. The results
+ * for the current epoch of each group are in this leader's memory; a new leader probes anew.
  */
 import type { GroupEntry, InstanceEntry } from '../catalog/catalog.js';
 import { Events } from '../../observability/events.js';
@@ -12,20 +12,20 @@
 import { targetOf } from './instance_target.js';
 import type { PrimaryChangerContext } from './primary_changer.js';
 
-/** Time for one answer, in milliseconds: more than a trip within a region and a short queue. A guess, not measured. */
+/** Timeout of one probe: more than a round trip within a region and a short queue. */
 const PROBE_TIMEOUT_MS = 250;
-/** Time between the begins of two rounds of questions to one group, in milliseconds. A guess, not measured. */
+/** Interval between the starts of two rounds of probes to one group. */
 const PROBE_INTERVAL_MS = 200;
 
-/** What control itself knows of a primary that is in doubt. */
+/** What control itself found out about a primary in doubt. */
 export interface ProbeEvidence {
-  /** For how long the first question has been without an answer, in milliseconds; undefined once it is over. */
+  /** How long the first probe has been unanswered, in milliseconds; undefined once it is over. */
   readonly firstProbePendingMs: number | undefined;
-  /** Whether the newest question was answered. */
+  /** Whether the newest probe was answered. */
   readonly isAnswered: boolean;
-  /** Newest questions in a row that nobody answered. */
+  /** Number of newest probes in a row without an answer. */
   readonly consecutiveFailures: number;
-  /** Whether the replicas received nothing between the two newest rounds, though the primary has, or may have, more. */
+  /** Whether replicas received nothing between the two newest rounds although the primary has, or may have, more. */
   readonly isReplicationStalled: boolean;
 }
 
@@ -36,14 +36,14 @@
   isReplicationStalled: false,
 };
 
-/** Answers of one round. */
+/** Results of one round. */
 interface ProbeRound {
   readonly probeResult: ProbeResult;
-  /** Newest position that a replica has received; undefined when none told one. */
+  /** Newest position that a replica has received; undefined when none reported one. */
   readonly newestReceived: Position | undefined;
 }
 
-/** Rounds of questions on the primary of one epoch. */
+/** Rounds of probes to the primary of one epoch. */
 interface GroupProbes {
   readonly epoch: number;
   startedAt: number;
@@ -53,7 +53,7 @@
   newestRound: ProbeRound | undefined;
 }
 
-/** Questions of one leader. */
+/** Prober of one leader. */
 export class PrimaryProber {
   private readonly probesByGroup = new Map<string, GroupProbes>();
 
@@ -64,23 +64,23 @@
     >,
   ) {}
 
-  /** Asks a primary that is in doubt, and its replicas, unless that was done a moment ago. */
+  /** Probes a primary in doubt and its replicas, unless a round is in flight or was started recently. */
   probe(entry: GroupEntry): void {
     const probes = this.probesOf(entry);
     const startedAt = this.context.clock.now();
     if (probes.isInFlight || startedAt - probes.startedAt < PROBE_INTERVAL_MS) return;
     probes.isInFlight = true;
     probes.startedAt = startedAt;
-    // Questions never reject: an instance without an answer is an answer here.
+    // A probe never rejects: a missing answer is a result.
     void this.runRound(entry, probes);
   }
 
-  /** Nobody doubts the primary any more: earlier answers say nothing of a later doubt. */
+  /** Removes the results for a group whose primary is no longer in doubt; they say nothing of a later doubt. */
   forget(entry: GroupEntry): void {
     this.probesByGroup.delete(entry.group ?? '');
   }
 
-  /** What is known of the primary of the present epoch. */
+  /** Evidence on the primary of the current epoch. */
   evidenceOn(entry: GroupEntry): ProbeEvidence {
     const probes = this.probesByGroup.get(entry.group ?? '');
     if (probes?.epoch !== entry.epoch || !probes) return NOT_PROBED;
@@ -162,7 +162,10 @@
   }
 }
 
-/** Whether replicas received nothing between two rounds, though the primary has more, or is too busy to tell what it has. */
+/**
+ * Whether replicas received nothing between two rounds although the primary has more, or is too busy to report its
+ * position.
+ */
 function hasReplicationStalled(before: ProbeRound | undefined, latest: ProbeRound): boolean {
   if (!before?.newestReceived || !latest.newestReceived) return false;
   const hasAdvanced = comparePositions(latest.newestReceived, before.newestReceived) !== 0;
--- a/src/appointed/failover/replica_fence.ts
+++ b/src/appointed/failover/replica_fence.ts
@@ -1,9 +1,8 @@
 /**
- * Holds the replicas of a group during a change of primary: they receive nothing more from the old primary, and answer so to
+ * Fences the replicas of a group during a change of primary: they stop receiving from the old primary, and answer so to
  * proxies that ask them to confirm leases (`src/appointed/leases/replica_lease.ts`).
  *
- * Owns since when each replica has been held, and the newest term that an instance named. Relies on the replicas' answers;
- * one that does not answer is no candidate in this try.
+ * A replica that does not answer is no candidate in the current attempt.
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceStatus } from '../instance/instance_connection.js';
@@ -17,11 +16,11 @@
 
 const { InstanceState } = whinyoke;
 
-/** Hold of the replicas of one group in one change. */
+/** Fence of the replicas of one group in one change. */
 export class ReplicaFence {
-  /** Since when each incarnation of a replica has answered without a break that the old primary is not to be trusted. */
+  /** Since when each incarnation of a replica has answered, without a break, that the old primary must not be used. */
   private readonly fencedSinceByIncarnation = new Map<string, number>();
-  /** Newest term that an instance of the group named. */
+  /** Newest term that an instance of the group reported. */
   private newestTerm: number;
 
   /**
@@ -35,17 +34,17 @@
     this.newestTerm = oldTerm;
   }
 
-  /** Term that the new primary will lead at least. */
+  /** Lowest term that the new primary may lead. */
   get newTerm(): number {
     return this.newestTerm + 1;
   }
 
-  /** Since when a replica has been held, or has followed a newer term, without a break; undefined when it has not. */
+  /** Since when a replica has been fenced, or has followed a newer term, without a break; undefined when it has not. */
   fencedSince(instance: InstanceEntry): number | undefined {
     return this.fencedSinceByIncarnation.get(incarnationName(instance));
   }
 
-  /** Holds replicas for a term; those that answer are candidates. */
+  /** Fences replicas for a term; those that answer are candidates. */
   async fenceAll(
     replicas: readonly InstanceEntry[],
     term: number,
@@ -60,11 +59,11 @@
     return reports;
   }
 
-  /** Stops a replica from receiving; one that does so already, or that follows a newer term, is left as it is. */
+  /** Fences a replica; one that is fenced already, or follows a newer term, is left unchanged. */
   private async fence(instance: InstanceEntry, term: number): Promise<InstanceStatus | undefined> {
     const target = targetOf(instance);
     const name = incarnationName(instance);
-    // A restart of an instance ends its hold, so one that was held before is asked whether it still is.
+    // A restart of an instance lifts its fence, so a replica that was fenced before is asked whether it still is.
     const known = this.fencedSinceByIncarnation.has(name)
       ? await this.administrator.status(target)
       : undefined;
--- a/src/appointed/leases/epoch_incarnation.ts
+++ b/src/appointed/leases/epoch_incarnation.ts
@@ -1,26 +1,24 @@
 /**
- * DECISION: whether an answer can come from the incarnation of an instance for which an epoch was begun.
+ * Detects an answer that comes from a later incarnation of a primary than the one its epoch was begun for.
  *
- * Answers: a primary that started again, empty, under its identifier, before control has told of it; an answer names a position
- *   and no incarnation.
- * Inputs: the position of the answer, the least position that the epoch's entry names.
- * Rule: a log only grows within an epoch, so a shorter one is another incarnation's. Connections and statements tell what is
- *   applied, which may be less than what the primary had received when the epoch began: against that only an empty log is shorter.
- *   An entry without a least position is of a primary that does not tell when it started: nothing is concluded then.
- * Constants: none. Tests: test/unit/incarnations.test.ts. Pure; known to control and proxies.
+ * A primary that restarted without its data keeps its identifier, and its answers name a log position but no
+ * incarnation. The log of one incarnation only grows within an epoch, so a shorter log belongs to a later one. Positions
+ * of connections and statements are applied positions, which may be behind what the primary had received when the epoch
+ * began; against that minimum only an empty log counts as shorter. An epoch without a minimum position has a primary that
+ * doesn't report its start time, and nothing is concluded. Pure; used by control and by proxies.
  */
 import type { GroupEntry } from '../catalog/catalog.js';
 import { type Position, START, covers } from '../../positions/position.js';
 import { positionOf } from '../../positions/position_message.js';
 
-/** Whether a received position holds at least what the epoch names; true where it names none. */
+/** Whether a received position covers the minimum position of the epoch; true where it has none. */
 export function coversEpochMinimum(entry: GroupEntry, received: Position): boolean {
   return covers(received, positionOf(entry.leastPosition) ?? START);
 }
 
 /**
- * Whether a position that the primary of an epoch told is that of a later incarnation.
- * @param known - newest position that it had told before it was asked; undefined when there is none
+ * Whether a position reported by the primary of an epoch comes from a later incarnation.
+ * @param known - newest position that it had reported before this request was sent; undefined when there is none
  */
 export function isOfLaterIncarnation(
   entry: GroupEntry,
--- a/src/appointed/leases/primary_health_times.ts
+++ b/src/appointed/leases/primary_health_times.ts
@@ -1,37 +1,23 @@
 /**
- * DECISION: how long a primary must be silent, and for how long an opinion on it counts.
+ * How long a primary must be silent or refuse before it counts as unhealthy, and how long a health report stays valid.
  *
- * Answers: a primary crashed, was cut off or stands still; or it is well and answers a proxy late.
- * Inputs: ages of statements and answers on each proxy, ages of reports on the leading control machine (milliseconds).
- * Rule: a proxy reports a primary as silent, refusing or healthy (`src/appointed/trust`); the leader counts the reports on
- *   the present epoch that are young enough (`src/appointed/failover/primary_health_opinions.ts`), and
- *   `failover_controller.ts` decides from the counts and the primary's own heartbeat.
- *
- * The two sides differ on purpose: a proxy reports a little before the leader counts, since a report travels. Pure.
+ * A proxy reports a primary as silent, refusing or healthy (`src/appointed/trust`); the leader counts the valid reports on
+ * the current epoch (`src/appointed/failover/primary_health_reports.ts`). The proxy's threshold is lower than the leader's
+ * because a report needs time to arrive.
  */
 
-/**
- * At a proxy: statements without an answer for longer than this make a primary silent, in milliseconds. Measured
- * together with COUNTED_SILENCE_MS and a shorter hold by commits: docs/measurements/pieraksts.md ("silence of 350/400 ms").
- */
+/** At a proxy: statements unanswered for longer than this make the primary silent. */
 export const REPORTED_SILENCE_MS = 350;
-/** At a proxy: an answer that is older than this says nothing of a primary, in milliseconds. A guess, not measured. */
+/** At a proxy: an answer older than this is no evidence that the primary is healthy. */
 export const ANSWER_LIFETIME_MS = 1500;
-/**
- * At the leader: a silence counts once it has lasted for this long, in milliseconds. Measured
- * together with REPORTED_SILENCE_MS and a shorter hold by commits: docs/measurements/pieraksts.md ("silence of 350/400 ms").
- */
+/** At the leader: reported silence counts once it has lasted this long. */
 export const COUNTED_SILENCE_MS = 400;
-/**
- * At the leader: a refusal counts once it has lasted for this long, in milliseconds, so that a restart of a proxy's
- * connections is none. A guess, not measured.
- */
+/** At the leader: reported refusal counts once it has lasted this long, so that reconnecting proxies don't count. */
 export const COUNTED_REFUSAL_MS = 60;
 /**
- * At the leader: a good report that is older than this does not count, in milliseconds. A proxy that is in touch renews its
- * report with each request, about every 300 ms; one that was cut off together with the primary must not vouch for it. A guess,
- * not measured.
+ * At the leader: a healthy report older than this is ignored. A connected proxy renews its report about every 300 ms; a
+ * proxy that was cut off together with the primary must not vouch for it.
  */
 export const HEALTHY_REPORT_LIFETIME_MS = 700;
-/** At the leader: a report of trouble that is older than this does not count, in milliseconds. A guess, not measured. */
+/** At the leader: an unhealthy report older than this is ignored. */
 export const UNHEALTHY_REPORT_LIFETIME_MS = 1300;
--- a/src/appointed/trust/group_lease.ts
+++ b/src/appointed/trust/group_lease.ts
@@ -1,69 +1,62 @@
 /**
- * DECISION: the lease of one group: when it may be used, and when its revocation is confirmed. Pure: owns nothing, relies on nothing
- * that may fail.
+ * State of this proxy's lease on the primary of one group: when it may be used, and when its revocation is confirmed.
  *
- * Answers: a primary is replaced while proxies use it, some of them cut off from control.
- * Inputs: the newest known epoch and its phase; when the lease ends, counted from when its request was sent (ms of this
- * process's clock); commits under way; the present time (ms of the same clock).
- * Rule: a statement is sent only when the lease lasts {@link SEND_MARGIN_MS} longer, and its answer counts only before the
- * lease ends. In a changing epoch nothing new is sent. The revocation is confirmed when no commit is under way, or when
- * commits have had their time.
- * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts.
+ * Guards against a proxy that uses a primary which control is replacing. A statement is sent only when the lease lasts
+ * {@link SEND_MARGIN_MS} longer, and its answer is valid only before the lease ends. In a changing epoch no new statement is
+ * sent. The revocation is confirmed when no commit is in flight, or when commits have had their time. Times are
+ * milliseconds on this process's clock; a lease is counted from when its request was sent. Pure.
+ *
+ * Design: docs/design/appointed-primaries.md.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Position } from '../../positions/position.js';
 import type { GroupEntry } from '../catalog/catalog.js';
 
-/** Lease of an epoch that is being revoked: answers count until the revocation is confirmed. */
+/** Lease of an epoch that is being revoked; its answers are valid until the revocation is confirmed. */
 interface EndingLease {
   readonly epoch: number;
   readonly until: number;
 }
 
-/** Lease of the newest known epoch of a group, and of the epoch before while that ends. */
+/** Lease of the newest known epoch of a group, and of the previous epoch until that has ended. */
 export interface GroupLease {
   entry: GroupEntry;
   ending: EndingLease | undefined;
-  /** When the lease ends, on this process's clock; -Infinity where the epoch never had one. */
+  /** When the lease ends; -Infinity where the epoch never had one. */
   leaseUntil: number;
-  /** When this proxy learned of the entry, on its own clock. */
+  /** When this proxy learned of the entry. */
   knownSince: number;
   /** Highest position acknowledged to a caller. */
   acknowledged: Position | undefined;
-  /** Statements under way whose outcome a revocation should wait for. */
+  /** Number of statements in flight that a revocation should wait for. */
   commitsInFlight: number;
-  /** CHANGING epoch for which the leases of earlier ones have ended. */
+  /** CHANGING epoch for which the leases of earlier epochs have ended. */
   revokedEpoch: number;
-  /** Newest epoch whose confirmation control has taken. */
+  /** Newest epoch whose confirmation control has received. */
   confirmedEpoch: number;
-  /** Epoch whose primary has started again: it gets no lease any more. */
+  /** Epoch whose primary has restarted; it gets no lease any more. */
   distrustedEpoch: number;
 }
 
-/**
- * Remaining life of a lease under which nothing new is sent, in milliseconds: the time of a short answer. Guess, not
- * measured.
- */
+/** Remaining time of a lease below which no new statement is sent: the time of a short answer. */
 const SEND_MARGIN_MS = 60;
-/** Longest time that commits under way delay a planned revocation, in milliseconds. Guess, not measured. */
+/** Longest time that commits in flight delay a planned revocation. */
 const PLANNED_COMMIT_WAIT_MS = 250;
 /**
- * Longest time that commits under way delay a revocation where the primary is in trouble, in milliseconds: a few
- * statements' time, for the proxies that can still use it. Commits on a primary that answers nothing only lengthen the
- * change. docs/measurements/pieraksts.md: with a silence of 350 ms, score of a day with
- * faults 0.618 to 0.632 and 0.631.
+ * Longest time that commits in flight delay the revocation of a failed primary: enough for proxies that still reach it.
+ * Waiting for commits on a primary that answers nothing only prolongs the change.
  */
 const FAILOVER_COMMIT_WAIT_MS = 80;
 
 function endingLease(known: GroupLease | undefined): EndingLease | undefined {
   if (!known) return undefined;
   const epoch = known.entry.epoch ?? 0;
-  // An epoch that never had a lease here leaves the lease before it as it was.
+  // An epoch that never had a lease leaves the lease of the epoch before it unchanged.
   if (known.leaseUntil === -Infinity) return known.ending;
   return { epoch, until: known.leaseUntil };
 }
 
-/** Whether the commits under way are over, or have had their time, and control has not taken the confirmation yet. */
+/** Whether commits in flight have ended or timed out, and control has not received the confirmation yet. */
 export function isRevocationDue(lease: GroupLease, now: number): boolean {
   const isChanging = lease.entry.phase === whinyoke.GroupPhase.CHANGING;
   if (!isChanging || lease.confirmedEpoch >= (lease.entry.epoch ?? 0)) return false;
@@ -91,22 +84,22 @@
   };
 }
 
-/** Whether the present epoch has or had a lease, and is not being revoked. */
+/** Whether the current epoch has or had a lease and is not being revoked. */
 export function isLeased({ entry, leaseUntil }: GroupLease): boolean {
   return leaseUntil !== -Infinity && entry.phase !== whinyoke.GroupPhase.CHANGING;
 }
 
-/** Whether the present epoch may be leased: it is not being revoked, and its primary has not started again. */
+/** Whether the current epoch may be leased: it is not being revoked, and its primary has not restarted. */
 export function isLeasable({ entry, distrustedEpoch }: GroupLease): boolean {
   return entry.phase !== whinyoke.GroupPhase.CHANGING && entry.epoch !== distrustedEpoch;
 }
 
-/** Whether a statement may be sent to the primary at `now`: the lease will outlast a short answer. */
+/** Whether a statement may be sent to the primary at `now`. */
 export function isUsable({ leaseUntil }: GroupLease, now: number): boolean {
   return now < leaseUntil - SEND_MARGIN_MS;
 }
 
-/** Whether an answer of the primary of `epoch` counts at `now`. */
+/** Whether an answer of the primary of `epoch` is valid at `now`. */
 export function isAnswerValid(
   { entry, leaseUntil, ending }: GroupLease,
   epoch: number,
--- a/src/appointed/trust/primary_health_tracker.ts
+++ b/src/appointed/trust/primary_health_tracker.ts
@@ -1,15 +1,10 @@
 /**
- * DECISION: whether the primary of one group is healthy in one epoch, as this proxy's own statements show it. Owns which statements
- * are unanswered; relies on nothing that may fail.
+ * Health of one group's primary in one epoch, derived from this proxy's own statements and connections.
  *
- * Answers: a primary that stops, hangs, refuses connections or says that it is none.
- * Inputs: when statements were sent and answered, when connections opened or failed (ms of this process's clock).
- * A proxy that reaches the primary through connection owners only can't tell a lost owner from a lost primary: it reports that
- * no owner answered, which control takes as a reason to ask the primary itself.
- * Rule: a failed connection, or an answer that it is no primary, is an opinion at once; statements without any answer for
- * {@link REPORTED_SILENCE_MS} make it silent, also where only commits have none; otherwise an answer within
- * {@link ANSWER_LIFETIME_MS} makes it healthy. Silence is as old as the first statement since the last answer.
- * Shown by: test/unit/router.test.ts.
+ * A failed connection, or an answer that the instance is no primary, is reported at once. Statements without any answer
+ * for {@link REPORTED_SILENCE_MS} make the primary silent, also where only commits get none; otherwise an answer within
+ * {@link ANSWER_LIFETIME_MS} makes it healthy. A proxy that reaches the primary only through connection owners can't tell a
+ * lost owner from a lost primary: it reports that no owner answered, and control probes the primary itself.
  */
 import { ANSWER_LIFETIME_MS, REPORTED_SILENCE_MS } from '../leases/primary_health_times.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -17,43 +12,42 @@
 const { PrimaryHealth } = whinyoke;
 
 /**
- * Statements without an answer for longer than this have another connection opened, in milliseconds: connections may fall
- * silent for good while new ones work. Before {@link REPORTED_SILENCE_MS} by a round of upkeep (100 ms) and the time to open one.
- * Guess, not measured.
+ * Statements unanswered for longer than this open another connection: existing connections may be dead while new ones
+ * work. Less than {@link REPORTED_SILENCE_MS} by a maintenance interval (100 ms) and the time to connect.
  */
 const SUSPECT_AFTER_MS = 200;
 
-/** Opinion on a primary, which control counts with those of other proxies. */
+/** Health report on a primary; control counts those of all proxies. */
 interface PrimaryHealthReport {
   readonly health: whinyoke.PrimaryHealth;
-  /** How long the primary has been like this, in milliseconds; for a healthy one the age of the newest answer. */
+  /** How long the primary has been in this state, in milliseconds; for a healthy one the age of the newest answer. */
   readonly sinceMs: number;
-  /** Whether only commits and writes stay without an answer. */
+  /** Whether only commits and writes are unanswered. */
   readonly isCommitsOnly: boolean;
-  /** Whether this proxy knows no more than that connection owners did not answer. */
+  /** Whether the report says only that connection owners did not answer. */
   readonly isThroughOwners: boolean;
 }
 
 /**
- * Silence goes on over statements that were given up when the next one is sent within this time, in milliseconds: control waits
- * longer (`src/appointed/failover/primary_trouble.ts`) than statements do. Guess, not measured.
+ * Silence continues across abandoned statements when the next one is sent within this time: control waits longer
+ * (`src/appointed/failover/primary_failure.ts`) than statements do.
  */
 const MAX_SILENCE_GAP_MS = 1000;
 
-/** For how long statements that no connection owner answered are reported, in milliseconds. Guess, not measured. */
+/** How long statements that no connection owner answered are reported. */
 const OWNERS_SILENCE_LIFETIME_MS = 1000;
 
-/** Statements of this proxy that nobody answered, or no connection owner. */
+/** Period in which statements got no answer, from the primary or from any connection owner. */
 interface Silence {
   readonly since: number;
   readonly newestAt: number;
 }
 
-/** Statements of one kind that were sent and not answered yet. */
+/** Statements of one kind that were sent and have no answer yet. */
 class UnansweredStatements {
   private readonly sentTimes = new Map<number, number>();
   private lastAnswerAt = -Infinity;
-  /** Statements since the last answer that were given up. */
+  /** Statements since the last answer that were abandoned without one. */
   private abandoned: Silence | undefined;
   private nextKey = 1;
 
@@ -77,9 +71,9 @@
     this.abandoned = undefined;
   }
 
-  /** Since when statements stay without any answer; undefined while that is not longer than `silenceMs`. */
+  /** Since when statements are unanswered; undefined while that is not longer than `silenceMs`. */
   silentSince(now: number, silenceMs: number): number | undefined {
-    // Statements are kept in the order in which they were sent.
+    // The map iterates in the order in which statements were sent.
     for (const sentAt of this.sentTimes.values()) {
       if (sentAt < this.lastAnswerAt) continue;
       return now - sentAt > silenceMs ? this.silenceBegan(sentAt) : undefined;
@@ -87,7 +81,7 @@
     return undefined;
   }
 
-  /** When the silence began in which a statement was sent. */
+  /** Start of the silence that includes a statement sent at `sentAt`. */
   private silenceBegan(sentAt: number): number {
     const { since, newestAt } = this.abandoned ?? { since: sentAt, newestAt: sentAt };
     return sentAt - newestAt <= MAX_SILENCE_GAP_MS ? Math.min(since, sentAt) : sentAt;
@@ -98,14 +92,14 @@
   }
 }
 
-/** Tracker of one group in one epoch. */
+/** Health tracker of one group in one epoch. */
 export class PrimaryHealthTracker {
   private readonly all = new UnansweredStatements();
   private readonly commits = new UnansweredStatements();
   private ownersSilence: Silence | undefined;
   private failure: { health: whinyoke.PrimaryHealth; since: number } | undefined;
 
-  /** Notes a statement that was sent; returns what ends it. */
+  /** Records a statement that was sent; the returned function records its end. */
   onStatementSent(mayCommit: boolean, now: number): (isAnswered: boolean, endedAt: number) => void {
     const keys = { all: this.all.start(now), commit: mayCommit ? this.commits.start(now) : 0 };
     return (isAnswered, endedAt) => {
@@ -115,34 +109,34 @@
     };
   }
 
-  /** Notes that a connection could not be opened, or that the instance says it is no primary. */
+  /** Records that a connection could not be opened, or that the instance says it is no primary. */
   onFailure(health: whinyoke.PrimaryHealth, now: number): void {
     if (this.failure?.health === health) return;
     this.failure = { health, since: this.failure?.since ?? now };
   }
 
-  /** Notes that the primary opened a connection: whatever stays without an answer, it is alive. */
+  /** Records that the primary accepted a connection, so it is alive whatever else is unanswered. */
   onConnectionOpened(now: number): void {
     this.all.recordAnswer(now);
   }
 
-  /** Notes that no connection owner answered a statement for the primary. */
+  /** Records that no connection owner answered a statement for the primary. */
   onOwnersSilent(now: number): void {
     this.ownersSilence = { since: this.ownersSilence?.since ?? now, newestAt: now };
   }
 
-  /** Notes that a connection owner passed on an answer of the primary. */
+  /** Records that a connection owner returned an answer of the primary. */
   onOwnerAnswered(): void {
     this.ownersSilence = undefined;
   }
 
-  /** Whether statements are without any answer for long enough to try another connection. */
+  /** Whether statements are unanswered for long enough to try another connection. */
   isSuspect(now: number): boolean {
     const since = this.all.silentSince(now, SUSPECT_AFTER_MS);
     return since !== undefined && this.failure === undefined;
   }
 
-  /** Present opinion; undefined without recent evidence. */
+  /** Current health report; undefined without recent evidence. */
   healthReport(now: number): PrimaryHealthReport | undefined {
     return this.directHealthReport(now) ?? this.healthReportThroughOwners(now);
   }
@@ -173,7 +167,7 @@
   }
 }
 
-/** Opinion that rests on connections of this proxy. */
+/** Report based on this proxy's own connections. */
 function directReport(
   health: whinyoke.PrimaryHealth,
   sinceMs: number,
--- a/src/appointed/trust/primary_health_trackers.ts
+++ b/src/appointed/trust/primary_health_trackers.ts
@@ -1,12 +1,9 @@
 /**
- * DECISION: which opinions on the primaries of all groups control receives, and when. Owns the trackers and what was
- * reported last; relies on nothing that may fail.
+ * Health trackers of all groups of one proxy, and which health reports control receives when.
  *
- * Answers: a primary fails, and control should hear of it before the next usual request.
- * Inputs: opinions of the trackers, the newest known epoch and phase of each group.
- * Rule: every request carries the opinions on present primaries. A changed opinion is sent at once, but for the first one if
- * it is a good one. While a group changes its primary nothing is sent at once.
- * No constants.
+ * Every request to control carries the reports on current primaries. A changed report is sent at once, so that control
+ * learns of a failure before the next regular request; a first report that is healthy can wait. Nothing is sent at once
+ * while a group changes its primary.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { PrimaryHealthTracker } from './primary_health_tracker.js';
@@ -14,23 +11,22 @@
 
 const { PrimaryHealth, GroupPhase } = whinyoke;
 
-/** Tracker of the newest epoch of a group that was used. */
+/** Tracker of the newest epoch used in a group. */
 interface TrackedEpoch {
   readonly epoch: number;
   readonly tracker: PrimaryHealthTracker;
-  /** Health that control received last; undefined before the first report. */
+  /** Health reported last; undefined before the first report. */
   reportedHealth: whinyoke.PrimaryHealth | undefined;
-  /** Whether that report rested on connection owners only. */
+  /** Whether that report was based on connection owners only. */
   isReportedThroughOwners: boolean;
 }
 
-/** Trackers of one proxy. */
 export class PrimaryHealthTrackers {
   private readonly tracked = new Map<string, TrackedEpoch>();
 
   constructor(private readonly leases: PrimaryLeases) {}
 
-  /** Tracker of an epoch; of a later one, if there is one. */
+  /** Tracker of an epoch, or of a later one that is already tracked. */
   of(group: string, epoch: number): PrimaryHealthTracker {
     const known = this.tracked.get(group);
     if (known && known.epoch >= epoch) return known.tracker;
@@ -44,7 +40,7 @@
     return tracker;
   }
 
-  /** Opinions on the present primaries, for a request to control that is sent now. */
+  /** Reports on the current primaries for a request that is sent to control now. */
   takeReports(now: number): whinyoke.IPrimaryReport[] {
     const reports: whinyoke.IPrimaryReport[] = [];
     for (const [group, tracked] of this.tracked) {
@@ -61,7 +57,7 @@
     return reports;
   }
 
-  /** Whether an opinion has changed that control should hear of at once. */
+  /** Whether a report has changed that control should receive at once. */
   hasUpdates(now: number): boolean {
     for (const [group, tracked] of this.tracked) {
       const { epoch, tracker, reportedHealth } = tracked;
@@ -76,7 +72,7 @@
     return false;
   }
 
-  /** Primaries that answer nothing, maybe only because connections to them fell silent. */
+  /** Primaries without answers, possibly only because the connections to them are dead. */
   suspects(now: number): readonly string[] {
     const suspects: string[] = [];
     for (const [group, { epoch, tracker }] of this.tracked) {
--- a/src/appointed/trust/primary_incarnation.ts
+++ b/src/appointed/trust/primary_incarnation.ts
@@ -1,15 +1,10 @@
 /**
- * DECISION: when a proxy stops to trust the primary of an epoch since that has started again.
+ * Ends a proxy's lease on a primary that has restarted within its epoch.
  *
- * Answers: the new incarnation of a primary opens connections and answers before control has begun to replace it. It lacks every
- *   commit, so a read there is stale and a write there is lost.
- * Inputs: the positions that the primary names, those that it named before it was asked, the least position of the epoch, its
- *   incarnation in the catalog.
- * Rule: a log that has become shorter, or another incarnation than the epoch's, ends the lease on that epoch for good, and is
- *   reported as a primary that is none.
- * Constants: none. Tests: test/unit/incarnations.test.ts.
- *
- * Owns nothing. An answer that names no position tells nothing.
+ * The new incarnation may accept connections and answer before control starts to replace it. It lacks every commit, so a
+ * read there is stale and a write there is lost. A log that has become shorter, or an incarnation in the catalog other than
+ * the epoch's, ends the lease on that epoch for good and reports the instance as not primary. An answer without a position
+ * is no evidence.
  */
 import { isOfLaterIncarnation } from '../leases/epoch_incarnation.js';
 import { Events } from '../../observability/events.js';
@@ -22,7 +17,6 @@
 
 const { PrimaryHealth } = whinyoke;
 
-/** What the rule needs of the proxy. */
 interface TrustDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
@@ -31,8 +25,8 @@
 }
 
 /**
- * Ends the lease where a position shows that the primary of `epoch` has lost its log; returns whether it does.
- * @param known - newest position that the primary had told before it was asked
+ * Ends the lease if a position shows that the primary of `epoch` has lost its log; returns whether it did.
+ * @param known - newest position that the primary had reported before this request was sent
  */
 export function distrustShorterLog(
   dependencies: TrustDependencies,
@@ -46,7 +40,7 @@
   return true;
 }
 
-/** Ends the lease where the catalog names another incarnation than that of the present epoch. */
+/** Ends the lease if the catalog names another incarnation than that of the current epoch. */
 export function distrustOtherIncarnation(
   dependencies: TrustDependencies,
   group: string,
--- a/src/appointed/trust/primary_leases.ts
+++ b/src/appointed/trust/primary_leases.ts
@@ -1,7 +1,8 @@
 /**
- * The leases of a proxy on the primaries of its groups. Owns them, in memory only: a restart holds none. Relies on control
- * for leases and epochs, and on replicas while control is out of reach; without both the leases end by themselves.
- * The rule of a single lease is in `group_lease.ts`.
+ * Leases of a proxy on the primaries of its groups, kept in memory only: a restarted proxy has none.
+ *
+ * Control grants and extends them; replicas extend them while control is unreachable. Without either they expire. The
+ * rules of a single lease are in `group_lease.ts`.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { type GroupEntry, compareNames } from '../catalog/catalog.js';
@@ -16,14 +17,14 @@
   updatedLease,
 } from './group_lease.js';
 
-/** A primary that may be used now. */
+/** Primary that may be used now. */
 interface LeasedPrimary {
   readonly epoch: number;
   readonly instance: string;
   readonly term: number;
 }
 
-/** This proxy uses no epoch of a group before `epoch`. */
+/** Confirmation that this proxy uses no epoch of a group before `epoch`. */
 interface Confirmation {
   readonly group: string;
   readonly epoch: number;
@@ -31,13 +32,12 @@
   readonly position: Position | undefined;
 }
 
-/** Leases of one proxy. */
 export class PrimaryLeases {
   private readonly groups = new Map<string, GroupLease>();
   private sortedNames: readonly string[] | undefined;
   private waiters: (() => void)[] = [];
 
-  /** Takes over the state of all groups from a reply that arrived at `now`. */
+  /** Applies the entries of a reply that arrived at `now`. */
   update(entries: readonly GroupEntry[], now: number): void {
     for (const entry of entries) {
       const name = entry.group ?? '';
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Extends the leases of all present epochs, but of those that are being revoked or whose primary has started again. */
+  /** Extends the leases of all current epochs, except those being revoked or whose primary has restarted. */
   extendAll(until: number): void {
     for (const lease of this.groups.values()) {
       if (!isLeasable(lease)) continue;
@@ -57,7 +57,7 @@
     this.wakeWaiters();
   }
 
-  /** Extends the lease of one epoch, if it is the present one and ever had a lease. */
+  /** Extends the lease of one epoch if it is the current one and ever had a lease. */
   extend(group: string, epoch: number, until: number): void {
     const lease = this.groups.get(group);
     if (!lease || lease.entry.epoch !== epoch || !isLeased(lease)) return;
@@ -65,7 +65,7 @@
     this.wakeWaiters();
   }
 
-  /** Ends the lease on the primary of an epoch for good: it has started again. Returns whether that was not known. */
+  /** Ends the lease on an epoch whose primary has restarted, for good. Returns whether that was new. */
   distrust(group: string, epoch: number): boolean {
     const lease = this.groups.get(group);
     if (!lease || lease.distrustedEpoch >= epoch) return false;
@@ -75,24 +75,24 @@
     return true;
   }
 
-  /** Whether an instance is the primary of the present epoch of a group, and has started again since that began. */
+  /** Whether an instance is the primary of the current epoch and has restarted since that began. */
   isDistrusted(group: string, instance: string): boolean {
     const { entry, distrustedEpoch } = this.groups.get(group) ?? {};
     return entry?.primary === instance && entry.epoch === distrustedEpoch;
   }
 
-  /** Names of all known groups, in order. */
+  /** Names of all known groups, sorted. */
   get groupNames(): readonly string[] {
     this.sortedNames ??= [...this.groups.keys()].sort(compareNames);
     return this.sortedNames;
   }
 
-  /** Groups whose present epoch has or had a lease here. */
+  /** Groups whose current epoch has or had a lease here. */
   leasedGroups(): readonly string[] {
     return [...this.groups].filter(([, lease]) => isLeased(lease)).map(([group]) => group);
   }
 
-  /** Primary to which a statement may be sent at `now`: the lease will outlast a short answer. */
+  /** Primary to which a statement may be sent at `now`; undefined without a usable lease. */
   primaryOf(group: string, now: number): LeasedPrimary | undefined {
     const lease = this.groups.get(group);
     if (!lease || !isUsable(lease, now)) return undefined;
@@ -105,7 +105,7 @@
     return [...this.groups.values()].some((lease) => isUsable(lease, now));
   }
 
-  /** Whether answers of the primary of `epoch` still count at `now`. */
+  /** Whether answers of the primary of `epoch` are valid at `now`. */
   accepts(group: string, epoch: number, now: number): boolean {
     const lease = this.groups.get(group);
     return lease !== undefined && isAnswerValid(lease, epoch, now);
@@ -116,26 +116,26 @@
     return this.groups.get(group)?.entry;
   }
 
-  /** How long the present phase of a group has been known, in milliseconds. */
+  /** How long the current phase of a group has been known, in milliseconds. */
   phaseAgeMs(group: string, now: number): number {
     const lease = this.groups.get(group);
     return lease ? now - lease.knownSince : 0;
   }
 
-  /** Notes a commit that is acknowledged to a caller. */
+  /** Records a commit that is acknowledged to a caller. */
   recordAcknowledged(group: string, position: Position): void {
     const lease = this.groups.get(group);
     if (!lease) return;
     lease.acknowledged = lease.acknowledged ? latest(lease.acknowledged, position) : position;
   }
 
-  /** Notes the start of a statement that may commit. */
+  /** Records the start of a statement that may commit. */
   onCommitStarted(group: string): void {
     const lease = this.groups.get(group);
     if (lease) lease.commitsInFlight++;
   }
 
-  /** Notes the end of a statement that may commit. */
+  /** Records the end of a statement that may commit. */
   onCommitEnded(group: string): void {
     const lease = this.groups.get(group);
     if (lease) lease.commitsInFlight--;
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Confirmations of all revocations that go on, those included that control has taken already: a new leader knows
-   * nothing of them.
+   * Confirmations of all ongoing revocations, also of those that control has already received: a new leader knows none of
+   * them.
    */
   confirmations(): readonly Confirmation[] {
     const confirmations: Confirmation[] = [];
@@ -174,13 +174,13 @@
     return confirmations;
   }
 
-  /** Notes that control has taken a revocation. */
+  /** Records that control has received the confirmation of a revocation. */
   recordConfirmed(group: string, epoch: number): void {
     const lease = this.groups.get(group);
     if (lease) lease.confirmedEpoch = Math.max(lease.confirmedEpoch, epoch);
   }
 
-  /** Resolves when a lease is extended. */
+  /** Resolves when a lease is next extended. */
   nextExtension(): Promise<void> {
     return new Promise((resolve) => this.waiters.push(resolve));
   }
--- a/src/appointed/trust/primary_waiter.ts
+++ b/src/appointed/trust/primary_waiter.ts
@@ -1,6 +1,6 @@
 /**
- * Waits for a primary under a lease; how long is decided in `routing/request_deadline.ts`. Owns nothing; relies on control or
- * replicas to extend the lease, which may not happen: the wait then ends by the request's deadline.
+ * Waits until the primary of a group is under a usable lease. The longest wait is decided in
+ * `routing/request_deadline.ts`; without control and replicas no lease is extended and the wait ends by that deadline.
  */
 import { delay } from '../../runtime/runtime.js';
 import { isPrimaryBlockedByEvacuation } from '../routing/evacuated_primary.js';
@@ -14,7 +14,10 @@
 import { type Target, primaryWithinRegions } from '../routing/target_planner.js';
 import type { Tenant } from '../tenancy/tenant.js';
 
-/** The leased primary; undefined when the request may not wait longer for one, or its homes make that vain. */
+/**
+ * The leased primary; undefined when the request's wait is over, its allowed regions exclude any primary, or the primary's
+ * zone is evacuated.
+ */
 export async function awaitPrimary(
   context: ProxyContext,
   deadline: RequestDeadline,
--- a/src/appointed/trust/replica_lease_confirmer.ts
+++ b/src/appointed/trust/replica_lease_confirmer.ts
@@ -1,24 +1,18 @@
 /**
- * DECISION: when replicas extend a lease while control is out of reach. Owns the rounds of questions; relies on replicas,
- * which may not answer: the lease then ends by itself.
+ * Extends leases by asking replicas while control is unreachable.
  *
- * Answers: control, or the network to it, is gone while primaries work on.
- * Inputs: age of control's newest answer (ms), groups whose primary statements want, answers of replicas (role, term, term
- * for which they are held).
- * Rule: a lease is extended for {@link REPLICA_LEASE_MS} from when the replicas were asked, if every replica of the group
- * answers and none of them is primary, follows a newer term or is held for one.
+ * A lease is extended for {@link REPLICA_LEASE_MS} from when the replicas were asked, if every replica of the group answers
+ * and none is primary, follows a newer term or is fenced for one.
  *
- * Why that is safe: a change of primary holds the replica that it appoints: the replica receives
- * nothing from the old primary any more, and answers so. As long as no replica of a group is held, no change has
- * come that far, so the primary may be used for a moment longer. Control appoints a replica beside proxies that it can't
- * reach only after it was held for longer than that moment (`src/appointed/failover/appointment_fence.ts`).
+ * Why that is safe: a change of primary fences the replica that it appoints, so that it receives nothing from the old
+ * primary and answers so. While no replica of a group is fenced, no change has come that far. Beside proxies that control
+ * can't reach, it appoints a replica only after that was fenced for longer than such a lease lasts
+ * (`src/appointed/failover/appointment_fence.ts`).
  *
- * Only primaries that statements wait for are confirmed: each round takes a slot of every replica of the group, and with
- * many proxies in front of many groups all rounds together would take the slots of callers (docs/measurements/large.md: 115
- * proxies x 28 replicas x 5 questions a second, 1,282 answers `busy`).
+ * Only primaries that statements need are confirmed: each round takes a connection slot of every replica of the group, and
+ * the rounds of many proxies for many groups would use up the slots of callers.
  *
- * Shown by: docs/design/appointed-primaries.md; test/unit/failover.test.ts; test/simulation/control_silence.test.ts;
- * docs/measurements/pieraksts.md for the mechanism as a whole: score of a day with faults 0.449 to 0.609.
+ * Design: docs/design/appointed-primaries.md.
  */
 import {
   MAX_REPLICA_LEASE_SILENCE_MS,
@@ -33,70 +27,63 @@
 import type { PrimaryLeases } from './primary_leases.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 
-/** Silence of control after which replicas are asked, in milliseconds: well before a lease of control ends. Guess, not measured. */
+/** Time without an answer of control after which replicas are asked; well before a lease of control ends. */
 const MIN_CONTROL_SILENCE_MS = 1200;
-/** Time between two rounds of a group, in milliseconds: three rounds in a lease. Guess, not measured. */
+/** Interval between rounds of a group: three rounds in a lease. */
 const ROUND_INTERVAL_MS = 200;
-/**
- * A primary that was wanted within this time is confirmed in each round, in milliseconds; any other when it is wanted.
- * Guess, not measured.
- */
+/** A primary needed within this time is confirmed in each round; any other one when it is next needed. */
 const RECENT_USE_MS = 400;
-/**
- * Time between two rounds of the one group that is confirmed though nobody wants its primary, in milliseconds: shorter than
- * the lease. Guess, not measured.
- */
+/** Interval between rounds of the one group that is confirmed without being needed; shorter than the lease. */
 const UNUSED_GROUP_ROUND_INTERVAL_MS = 600;
-/** Time for a connection, and for an answer on it, in milliseconds. Guess, not measured. */
+/** Timeout to get a connection, and for an answer on it. */
 const ANSWER_TIMEOUT_MS = 250;
-/** Before all requests of callers, which depend on the answer. */
+/** Ahead of all requests of callers, which depend on the answer. */
 const PRIORITY = 0;
-/** Outcome of a round in which no replica objected. */
+/** Outcome of a round without an objection. */
 const CONFIRMED = 'confirmed';
-/** Any connection will do, also one of a tenant: the question is the system's own. */
+/** Any connection serves, also one of a tenant: the status request belongs to no tenant. */
 const STATUS_CONNECTION_REQUEST: ConnectionRequest = {
   tenant: undefined,
   values: new Map(),
   priority: PRIORITY,
 };
 
-/** A replica of a group as the proxy knows it. */
+/** Replica of a group as this proxy knows it. */
 export interface ConfirmingReplica {
   readonly instance: string;
   /** Undefined when the proxy has no connections to it. */
   readonly pool: ConnectionSource | undefined;
 }
 
-/** What the confirmer needs of its proxy. */
 interface ReplicaLeaseConfirmerDependencies {
   readonly clock: Clock;
   readonly leases: PrimaryLeases;
   readonly log: DecisionLog;
-  /** All instances of a group but its primary, whatever their state. */
+  /** All instances of a group except its primary, in any state. */
   replicasOf(group: string): readonly ConfirmingReplica[];
 }
 
-/** Rounds of questions for one group. */
+/** Status rounds of one group. */
 interface GroupRounds {
-  /** When the newest round was started. */
+  /** Start of the newest round. */
   startedAt: number;
-  /** Whether answers of it are awaited. */
+  /** Whether its answers are outstanding. */
   isInFlight: boolean;
-  /** Outcome of the newest round, as logged. */
+  /** Outcome of the newest completed round, as logged. */
   outcome: string | undefined;
 }
 
-/** Asks the replicas of all groups of one proxy. */
+/** Lease confirmer of one proxy. */
 export class ReplicaLeaseConfirmer {
   private readonly rounds = new Map<string, GroupRounds>();
   private readonly neededAt = new Map<string, number>();
   private isActive = false;
-  /** Group that is confirmed though nobody wants its primary, so that the proxy knows whether it can serve at all. */
+  /** Group that is confirmed without being needed, so that the proxy knows whether it can serve at all. */
   private unusedGroup = '';
 
   constructor(private readonly dependencies: ReplicaLeaseConfirmerDependencies) {}
 
-  /** Notes that a statement wants the primary of a group. */
+  /** Records that a statement needs the primary of a group; starts a round if its lease is missing. */
   recordPrimaryNeeded(group: string): void {
     const now = this.dependencies.clock.now();
     this.neededAt.set(group, now);
@@ -106,8 +93,8 @@
   }
 
   /**
-   * Asks the replicas of the groups that are due; called often, with the age of the newest request that control answered, in
-   * milliseconds.
+   * Starts the rounds that are due; called often.
+   * @param controlSilenceMs - age of the newest request that control answered
    */
   maintain(controlSilenceMs: number): void {
     this.isActive =
@@ -125,7 +112,7 @@
     this.confirmUnusedGroup(groups, now);
   }
 
-  /** Keeps the lease of one group that nobody wants; of another one when the present one is not confirmed. */
+  /** Confirms one group that no statement needs; moves to the next group when a round was not confirmed. */
   private confirmUnusedGroup(groups: readonly string[], now: number): void {
     const known = this.rounds.get(this.unusedGroup);
     const hasEnded = known !== undefined && !known.isInFlight;
@@ -173,33 +160,35 @@
     this.logOutcome(group, rounds, objection ?? CONFIRMED);
   }
 
-  /** Why the replicas that were asked can't answer for the group now. */
+  /** Why the answers of these replicas don't count for the group now; undefined when they do. */
   private memberObjection(group: string, asked: readonly ConfirmingReplica[]): string | undefined {
-    if (asked.length === 0) return 'no replica is known';
+    if (asked.length === 0) return 'the group has no known replica';
     const present = new Map(
       this.dependencies.replicasOf(group).map(({ instance, pool }) => [instance, pool]),
     );
     const changed = asked.find(
       ({ instance, pool }) => present.has(instance) && present.get(instance) !== pool,
     );
-    return changed && `${changed.instance} started again`;
+    return changed && `${changed.instance} restarted during the round`;
   }
 
   private async statusOf({ instance, pool }: ConfirmingReplica): Promise<ReplicaAnswer> {
-    if (!pool) return { instance, problem: 'not connected' };
+    if (!pool) return { instance, problem: 'no connections to the replica' };
     let pooled: PooledConnection | undefined;
     try {
       pooled = await pool.acquire(STATUS_CONNECTION_REQUEST, ANSWER_TIMEOUT_MS);
       const { status, error } = await pooled.connection.run({ kind: 'status' }, ANSWER_TIMEOUT_MS);
       pool.release(pooled);
-      return status ? { instance, status } : { instance, problem: error?.kind ?? 'no state' };
+      return status
+        ? { instance, status }
+        : { instance, problem: error?.kind ?? 'answer without status' };
     } catch (error) {
       if (pooled) pool.discard(pooled);
       return { instance, problem: error instanceof Error ? error.message : 'no answer' };
     }
   }
 
-  /** Logs an outcome that differs from that of the round before. */
+  /** Logs an outcome that differs from the previous round's. */
   private logOutcome(group: string, rounds: GroupRounds, outcome: string): void {
     if (rounds.outcome === outcome) return;
     rounds.outcome = outcome;
--- a/test/tools/primary_change_scenario.ts
+++ b/test/tools/primary_change_scenario.ts
@@ -1,4 +1,4 @@
-/** A group of three instances on a leader that changes its primary: a catalog, instances that answer, appointments. */
+/** A leader that changes the primary of a group of three instances: catalog, scripted instances and recorded appointments. */
 import { tableWithGroup } from './route_table.js';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import type { AppointmentLease } from '../../src/appointed/failover/appointment_lease.js';
@@ -30,7 +30,7 @@
 /** Term that the old primary leads. */
 const TERM = 3;
 
-/** State of an instance that has received up to `sequence` of term 3; of one that holds nothing when left out. */
+/** Status of an instance that has received up to `sequence` of term 3, or nothing when that is omitted. */
 export function statusUpTo(
   sequence?: number,
   role: InstanceStatus['role'] = 'replica',
@@ -39,7 +39,7 @@
   return { role, term: received.term, received, fencedTerm: 0, lagMs: 0 };
 }
 
-/** The group `g` of the instances a (the primary), b and c. */
+/** Group `g` with instances a (the primary), b and c. */
 export class PrimaryChangeScenario {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
@@ -47,11 +47,11 @@
   readonly ledger = new LeaseLedger();
   caughtUp = { has: () => false };
   readonly appointed: string[] = [];
-  /** What each instance answers; those that are left out do not answer. */
+  /** Status that each instance answers; an instance without an entry does not answer. */
   readonly statuses = new Map<string, InstanceStatus>();
-  /** When the standing connection to an instance was opened; long ago for those that are left out. */
+  /** When the persistent connection to an instance was opened; long ago where omitted. */
   readonly openedAt = new Map<string, number>();
-  /** Called when an instance is appointed; it leads the next term then. */
+  /** Called when an instance is appointed, before the call returns. */
   onAppoint: (instance: string) => void = () => undefined;
   private index = 0;
 
@@ -69,14 +69,14 @@
     return whinyoke.CatalogResult.decode(this.catalog.apply(++this.index, bytes));
   }
 
-  /** An instance tells of itself, and the leader notes it. */
+  /** Registers an instance and records its heartbeat. */
   reportInstance(id: string, born: number, sequence: number): void {
     const instance = { id, group: 'g', address: id, state: InstanceState.READY, born, sequence };
     this.monitor.recordHeartbeat({ instance }, this.scheduler.now);
     this.apply({ putInstance: instance });
   }
 
-  /** Begins a change in which p1 confirms what it had acknowledged, if anything, and p2 says nothing. */
+  /** Starts a change in which p1 confirms what it had acknowledged, if anything, and p2 does not confirm. */
   changePrimary(acknowledged?: number): Promise<void> {
     const epoch = this.catalog.group('g')!;
     for (const proxy of PROXIES) this.apply({ putProxy: proxy });
@@ -87,12 +87,12 @@
     return this.createChanger().run();
   }
 
-  /** p2 confirms as well, having acknowledged nothing. */
+  /** Lets p2 confirm as well, having acknowledged nothing. */
   confirmAll(): void {
     this.ledger.confirm(PROXIES[1]!, { group: 'g', epoch: 2 });
   }
 
-  /** Lets virtual time pass, in milliseconds. */
+  /** Advances virtual time, in milliseconds. */
   run(durationMs: number): Promise<void> {
     return this.scheduler.runUntil(this.scheduler.now + durationMs);
   }
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -1,4 +1,4 @@
-/** Decisions around a change of primary: trust, ledger, opinions, choice, catalog, membership. */
+/** Guards the decisions of a change of primary: leases, ledger, health reports, choice of the candidate, catalog, membership. */
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
@@ -49,14 +49,14 @@
   return choice && `${choice.instance} ${choice.evidence}`;
 }
 
-void t.test('a replica is chosen only when it provably holds every acknowledged commit', (t) => {
+void t.test('no replica is chosen that may lack an acknowledged commit', (t) => {
   const onlyA = [{ instance: 'a', status: statusAt(10), isEligible: true }];
   const confirmed = (sequence?: number) => ({
     isComplete: true,
     isConfirmedByAll: true,
     acknowledged: sequence === undefined ? undefined : { term: 3, sequence },
   });
-  t.equal(choiceOf({}), 'b allReplicas', 'all replicas answered: the newest');
+  t.equal(choiceOf({}), 'b allReplicas', 'all replicas answered: the newest one');
   t.equal(choiceOf({ reports: onlyA, missing: 1 }), undefined, 'a silent replica may hold more');
   t.equal(
     choiceOf({ reports: onlyA, missing: 1, oldPrimary: statusAt(10) }),
@@ -75,35 +75,35 @@
   t.equal(
     choiceOf({ ...whole, oldTerm: 4, revocation: confirmed() }),
     undefined,
-    'nothing of the newest term was received',
+    'it has received nothing of the newest term',
   );
   t.equal(
     choiceOf({ reports: onlyA, missing: 1, revocation: confirmed(10) }),
     undefined,
-    'a proxy was lost with what it had acknowledged',
+    'a lost proxy may have acknowledged more',
   );
   t.equal(
     choiceOf({ revocation: confirmed(13) }),
     undefined,
-    'a replica that left alone held an acknowledged commit',
+    'a replica that left may have been the only one with an acknowledged commit',
   );
   const named = { revocation: confirmed(13), isMembershipUnchanged: true };
   t.equal(
     choiceOf(named),
     'b allReplicas',
-    'the answer to a commit told of later ones that no replica had received',
+    'the reported position may lie beyond what any replica received',
   );
+  t.equal(choiceOf({ ...named, oldTerm: 4 }), undefined, 'acknowledged in an older term');
   t.equal(
-    choiceOf({ ...named, oldTerm: 4 }),
+    choiceOf({ ...named, reports: onlyA, missing: 1 }),
     undefined,
-    'acknowledged by a primary of an older term',
+    'one replica did not answer',
   );
-  t.equal(choiceOf({ ...named, reports: onlyA, missing: 1 }), undefined, 'one is silent');
   const leaving = [
     { instance: 'a', status: statusAt(10), isEligible: true },
     { instance: 'b', status: statusAt(12), isEligible: false },
   ];
-  t.equal(choiceOf({ reports: leaving }), undefined, 'the newest leaves');
+  t.equal(choiceOf({ reports: leaving }), undefined, 'the newest replica is leaving');
   t.end();
 });
 
@@ -112,7 +112,7 @@
   { id: 'p2', incarnation: 'y' },
 ];
 
-void t.test('leases end by confirmation of the same run, or by time', (t) => {
+void t.test('a lease ends only by confirmation of the same incarnation or by expiry', (t) => {
   const ledger = new LeaseLedger();
   ledger.beginLeadership(-Infinity, 0);
   for (const proxy of PROXIES) ledger.grant('g', proxy, 3000);
@@ -130,35 +130,35 @@
     acknowledged: { term: 1, sequence: 5 },
   });
   const restarted = [PROXIES[0]!, { id: 'p2', incarnation: 'z' }];
-  t.ok(ledger.revocationState('g', 2, restarted, 1000).isComplete, 'a new run holds no lease');
+  t.ok(ledger.revocationState('g', 2, restarted, 1000).isComplete, 'no lease after a restart');
   ledger.confirm(restarted[1]!, { group: 'g', epoch: 1 });
   t.notOk(ledger.revocationState('g', 2, restarted, 1000).isConfirmedByAll, 'an older epoch');
   ledger.beginLeadership(9000, 5000);
   t.notOk(
     ledger.revocationState('g', 2, restarted, 8999).isComplete,
-    'an earlier leader may have granted',
+    'an earlier leader may have granted a lease',
   );
   t.end();
 });
 
-void t.test('a replica is appointed beside proxies out of reach only when they can tell', (t) => {
+void t.test('no replica is appointed while an unreachable proxy may use the old primary', (t) => {
   const proxies = { knownVersion: 20, trustUntil: 50_000 };
   const objection = (replica: Partial<FencedReplica>, now: number): string | undefined =>
     appointmentObjection({ placedSince: 20, fencedSince: 1000, ...replica }, proxies, now);
   const longEnough = 1000 + REPLICA_LEASE_MS + 200;
   t.equal(objection({}, longEnough), undefined);
-  t.match(objection({}, 1000 + REPLICA_LEASE_MS), /only/, 'a lease that it confirmed may hold');
-  t.match(objection({ fencedSince: undefined }, longEnough), /not held/);
-  t.match(objection({ placedSince: 21 }, longEnough), /not know/, 'nobody would ask it');
-  t.equal(objection({ placedSince: 21 }, 50_001), undefined, 'they have stopped to ask');
+  t.match(objection({}, 1000 + REPLICA_LEASE_MS), /only/, 'a lease it confirmed may be valid');
+  t.match(objection({ fencedSince: undefined }, longEnough), /not fenced/);
+  t.match(objection({ placedSince: 21 }, longEnough), /not know/, 'the proxies would not ask it');
+  t.equal(objection({ placedSince: 21 }, 50_001), undefined, 'they have stopped asking');
   t.end();
 });
 
-void t.test('the ledger tells what proxies know that did not confirm', (t) => {
+void t.test('the ledger reports the oldest catalog version known to unconfirmed proxies', (t) => {
   const ledger = new LeaseLedger();
   ledger.beginLeadership(-Infinity, 100);
   const state = (): RevocationState => ledger.revocationState('g', 2, PROXIES, 3000);
-  t.match(state().unconfirmed, { knownVersion: 0 }, 'nothing is known of them');
+  t.match(state().unconfirmed, { knownVersion: 0 }, 'no contact yet');
   ledger.recordContact(PROXIES[0]!, 7, 1000);
   ledger.recordContact(PROXIES[1]!, 9, 2000);
   t.equal(state().unconfirmed.knownVersion, 7);
@@ -168,26 +168,26 @@
   t.end();
 });
 
-void t.test('replicas confirm a primary as long as none is held or follows another', (t) => {
+void t.test('a fenced replica, a primary or a newer term does not confirm a lease', (t) => {
   const answer = (change: Partial<InstanceStatus>): string | undefined =>
     replicaLeaseObjection(
       { instance: 'a', status: { ...statusAt(5), fencedTerm: 0, ...change } },
       3,
     );
   t.equal(answer({}), undefined);
-  t.equal(answer({ fencedTerm: 3 }), undefined, 'held by an earlier change, which is over');
-  t.match(answer({ fencedTerm: 4 }), /held/);
+  t.equal(answer({ fencedTerm: 3 }), undefined, 'a fence of an earlier change does not count');
+  t.match(answer({ fencedTerm: 4 }), /fenced/);
   t.match(answer({ term: 4 }), /follows/);
   t.match(answer({ role: 'primary' }), /primary/);
   t.match(replicaLeaseObjection({ instance: 'a', problem: 'timeout' }, 3), /timeout/);
   t.end();
 });
 
-void t.test('only the present epoch that had a lease is extended', (t) => {
+void t.test('replicas extend only a lease that control has granted on the current epoch', (t) => {
   const leases = new PrimaryLeases();
   leases.update([groupEntry(1)], 0);
   leases.extend('g', 1, 5000);
-  t.notOk(leases.hasLease(100), 'it never had a lease of control');
+  t.notOk(leases.hasLease(100), 'control has granted no lease');
   t.same(leases.leasedGroups(), []);
   leases.extendAll(1000);
   t.same(leases.leasedGroups(), ['g']);
@@ -198,7 +198,7 @@
   leases.extend('g', 1, 9000);
   t.same(leases.leasedGroups(), []);
   t.notOk(leases.accepts('g', 2, 2001));
-  t.notOk(leases.accepts('g', 1, 5001), 'an answer under way counts as long as it would have');
+  t.notOk(leases.accepts('g', 1, 5001), 'an answer in flight is valid until the former lease ends');
   t.end();
 });
 
@@ -206,21 +206,21 @@
   return { group: 'g', epoch, phase, primary: 'i-1', term: 1 };
 }
 
-void t.test('a proxy trusts a primary only under a lease of the newest epoch', (t) => {
+void t.test('a proxy does not use a primary without a lease on the newest epoch', (t) => {
   const leases = new PrimaryLeases();
   leases.update([groupEntry(1)], 0);
   t.equal(leases.primaryOf('g', 0), undefined, 'no lease yet');
   leases.extendAll(3000);
   t.match(leases.primaryOf('g', 2900), { instance: 'i-1', epoch: 1 });
-  t.equal(leases.primaryOf('g', 2950), undefined, 'an answer would come too late');
+  t.equal(leases.primaryOf('g', 2950), undefined, 'an answer might arrive after the lease');
   t.ok(leases.accepts('g', 1, 2999));
   t.notOk(leases.accepts('g', 1, 3000));
   leases.onCommitStarted('g');
   leases.recordAcknowledged('g', { term: 1, sequence: 4 });
   leases.update([{ ...groupEntry(2, GroupPhase.CHANGING), planned: true }], 1000);
-  t.equal(leases.primaryOf('g', 1000), undefined, 'nothing new is sent');
-  t.ok(leases.accepts('g', 1, 1100), 'an answer under way still counts');
-  t.same(leases.endRevokedEpochs(1100), [], 'the confirmation waits for it');
+  t.equal(leases.primaryOf('g', 1000), undefined, 'no new statement is sent');
+  t.ok(leases.accepts('g', 1, 1100), 'an answer in flight is still valid');
+  t.same(leases.endRevokedEpochs(1100), [], 'the confirmation waits for the commit in flight');
   t.notOk(leases.hasDueRevocation(1100));
   leases.update([groupEntry(1)], 1100);
   leases.extendAll(9000);
@@ -230,16 +230,16 @@
   t.same(leases.endRevokedEpochs(1200), ['g']);
   const confirmation = { group: 'g', epoch: 2, position: { term: 1, sequence: 4 } };
   t.match(leases.confirmations(), [confirmation]);
-  t.notOk(leases.accepts('g', 1, 1200), 'after the confirmation nothing counts');
+  t.notOk(leases.accepts('g', 1, 1200), 'no answer is valid after the confirmation');
   leases.recordConfirmed('g', 2);
   t.same(leases.endRevokedEpochs(1300), []);
-  t.match(leases.confirmations(), [confirmation], 'a new leader has not heard of it');
+  t.match(leases.confirmations(), [confirmation], 'repeated, since a new leader does not know it');
   leases.extendAll(9000);
-  t.equal(leases.primaryOf('g', 1300), undefined, 'there is no lease on a changing epoch');
+  t.equal(leases.primaryOf('g', 1300), undefined, 'a changing epoch gets no lease');
   t.end();
 });
 
-void t.test('a commit that hangs holds up a revocation only for a moment', (t) => {
+void t.test('a hanging commit delays a revocation only for a bounded time', (t) => {
   const revoking = (planned: boolean): PrimaryLeases => {
     const leases = new PrimaryLeases();
     leases.update([groupEntry(1)], 0);
@@ -254,12 +254,12 @@
   t.notOk(planned.accepts('g', 1, 1300));
   const unplanned = revoking(false);
   t.equal(unplanned.endRevokedEpochs(1050).length, 0);
-  t.equal(unplanned.endRevokedEpochs(1100).length, 1, 'a primary in trouble answers hardly any');
+  t.equal(unplanned.endRevokedEpochs(1100).length, 1, 'a failed primary gets less time');
   t.notOk(unplanned.accepts('g', 1, 1100));
   t.end();
 });
 
-void t.test('opinions of proxies on a primary', (t) => {
+void t.test('health reports count by duration, epoch and age', (t) => {
   const reports = new PrimaryHealthReports();
   const report = (proxy: string, health: whinyoke.PrimaryHealth, sinceMs: number): void =>
     reports.record(proxy, [{ group: 'g', epoch: 1, health, sinceMs }], 1000);
@@ -268,12 +268,12 @@
   report('p3', PrimaryHealth.SILENT, 100);
   t.match(reports.summary('g', 1, 1000), { unhealthy: 1, healthy: 1 }, 'silence must last');
   t.match(reports.summary('g', 1, 1500), { unhealthy: 2, healthy: 1 });
-  t.match(reports.summary('g', 2, 1500), { unhealthy: 0, healthy: 0 }, 'opinions are on one epoch');
-  t.match(reports.summary('g', 1, 9000), { unhealthy: 0, healthy: 0 }, 'old opinions do not count');
+  t.match(reports.summary('g', 2, 1500), { unhealthy: 0, healthy: 0 }, 'reports are on one epoch');
+  t.match(reports.summary('g', 1, 9000), { unhealthy: 0, healthy: 0 }, 'old reports do not count');
   t.end();
 });
 
-void t.test('late heartbeats change nothing, a restart counts anew', (t) => {
+void t.test('a late heartbeat is ignored, a restart is not taken for one', (t) => {
   const monitor = new InstanceMonitor();
   const sendHeartbeat = (sequence: number, role: whinyoke.InstanceRole, now: number): void =>
     monitor.recordHeartbeat({ instance: { id: 'i', sequence }, role }, now);
@@ -286,7 +286,7 @@
   t.end();
 });
 
-void t.test('the catalog: highest document, epochs one by one, instances that are gone', (t) => {
+void t.test('the catalog rejects older documents, skipped epochs and late heartbeats', (t) => {
   const catalog = new Catalog();
   let index = 0;
   const apply = (command: whinyoke.ICatalogCommand): whinyoke.CatalogResult => {
@@ -302,17 +302,17 @@
   t.notOk(apply({ putGroup: groupEntry(2) }).changed);
   t.ok(apply({ putGroup: groupEntry(1) }).changed);
   t.ok(apply({ putGroup: groupEntry(2, GroupPhase.CHANGING) }).changed);
-  t.notOk(apply({ putGroup: groupEntry(2) }).changed, 'another leader was faster');
+  t.notOk(apply({ putGroup: groupEntry(2) }).changed, 'another leader was first');
   const steadySince = catalog.group('g')!.steadySince!;
   t.ok(apply({ putProxy: PROXIES[0]! }).changed);
-  t.ok(catalog.proxyLossVersion < steadySince, 'a first run loses nothing');
+  t.ok(catalog.proxyLossVersion < steadySince, 'a first incarnation loses nothing');
   apply({ putProxy: { id: 'p1', incarnation: 'next' } });
-  t.ok(catalog.proxyLossVersion > steadySince, 'a restart may lose what was acknowledged');
+  t.ok(catalog.proxyLossVersion > steadySince, 'a restarted proxy has lost what it acknowledged');
   const instance = { id: 'i', group: 'g', state: InstanceState.READY, sequence: 4 };
   t.ok(apply({ putInstance: instance }).changed);
-  t.notOk(apply({ putInstance: { ...instance, sequence: 3 } }).changed, 'late');
+  t.notOk(apply({ putInstance: { ...instance, sequence: 3 } }).changed, 'an older sequence number');
   t.ok(apply({ putInstance: { ...instance, state: InstanceState.GONE } }).changed);
-  t.notOk(apply({ putInstance: { ...instance, sequence: 9 } }).changed, 'gone for good');
+  t.notOk(apply({ putInstance: { ...instance, sequence: 9 } }).changed, 'already gone');
   t.equal(apply({ takeDuty: { holder: 'c1' } }).token, 1);
   t.equal(apply({ takeDuty: { holder: 'c1' } }).token, 1, 'the same holder keeps its token');
   t.equal(apply({ takeDuty: { holder: 'c2' } }).token, 2);
@@ -323,7 +323,7 @@
   t.end();
 });
 
-void t.test('proxies hear of what changed since the version that they know', (t) => {
+void t.test('proxies receive every change since the version that they know', (t) => {
   const catalog = new Catalog();
   let index = 0;
   const apply = (command: whinyoke.ICatalogCommand): void => {
@@ -342,15 +342,15 @@
   apply(instance('i-2', InstanceState.GONE));
   t.match(catalog.instancesSince(known), [{ id: 'i-2', state: InstanceState.GONE }]);
   t.same(catalog.groupsSince(known), []);
-  t.equal(catalog.instancesSince(0), undefined, 'a proxy that knows nothing gets the whole list');
+  t.equal(catalog.instancesSince(0), undefined, 'a proxy without a version gets the whole list');
   for (let number = 0; number < 600; number++) apply(instance(`x${number}`, InstanceState.GONE));
-  t.equal(catalog.instancesSince(known), undefined, 'the end of i-2 is forgotten by now');
+  t.equal(catalog.instancesSince(known), undefined, 'the removal of i-2 is no longer recorded');
   const copy = new Catalog();
   copy.restore(index, catalog.serialize());
-  t.equal(copy.instancesSince(known), undefined, 'after a snapshot, too');
-  t.ok(copy.hasLostInstanceSince('g', known), 'an instance left since');
+  t.equal(copy.instancesSince(known), undefined, 'the same after a snapshot');
+  t.ok(copy.hasLostInstanceSince('g', known), 'an instance left after that version');
   t.notOk(copy.hasLostInstanceSince('g', index));
-  t.notOk(copy.hasLostInstanceSince('h', index - 1), 'of another group');
+  t.notOk(copy.hasLostInstanceSince('h', index - 1), 'an instance of another group');
   t.end();
 });
 
@@ -373,21 +373,21 @@
   return membership?.members.map((item) => item.id + (item.isLearner ? '?' : '')).join(' ');
 }
 
-void t.test('voters that are lost are replaced by learners that have caught up', (t) => {
+void t.test('a lost voter is replaced only by a learner that has caught up', (t) => {
   t.equal(next([A, B, C, D]), undefined, 'three voters are enough');
-  t.equal(next([A, B, C, D], ['c']), 'a b c d', 'first the successor votes');
-  t.equal(next([A, B, C, D], ['c'], ['d']), undefined, 'not before it has caught up');
-  t.equal(next([A, B, C, { ...D, isLearner: false }], ['c']), 'a b d', 'then the lost one goes');
-  t.equal(next([A, B, C, { ...D, isLearner: false }]), 'a b c d?', 'one too many stands by');
+  t.equal(next([A, B, C, D], ['c']), 'a b c d', 'first the successor becomes a voter');
+  t.equal(next([A, B, C, D], ['c'], ['d']), undefined, 'the successor has not caught up');
+  t.equal(next([A, B, C, { ...D, isLearner: false }], ['c']), 'a b d', 'then the lost voter goes');
+  t.equal(next([A, B, C, { ...D, isLearner: false }]), 'a b c d?', 'a surplus voter is demoted');
   const again = { id: 'c2', address: '3', isLearner: true };
-  t.equal(next([A, B, C, again]), 'a b c c2', 'a lost disk: its new name votes');
-  t.equal(next([A, B, C, { ...again, isLearner: false }]), 'a b c2', 'and the old name goes');
-  t.equal(next([A, B, C, D], ['d']), 'a b c', 'a learner that is gone is forgotten');
-  t.equal(next([A, B, C], ['b', 'c']), undefined, 'nobody to replace them');
+  t.equal(next([A, B, C, again]), 'a b c c2', 'after a lost disk the new id becomes a voter');
+  t.equal(next([A, B, C, { ...again, isLearner: false }]), 'a b c2', 'and the old id is removed');
+  t.equal(next([A, B, C, D], ['d']), 'a b c', 'an unreachable learner is removed');
+  t.equal(next([A, B, C], ['b', 'c']), undefined, 'there is no learner to replace them');
   t.end();
 });
 
-/** A controller on a leader that knows one group, and the commands that it proposes. */
+/** A controller on a leader that knows one group; records the commands that it proposes. */
 function createController(): {
   controller: FailoverController;
   reports: PrimaryHealthReports;
@@ -429,7 +429,7 @@
   return { controller, reports, proposed, context, setNow: (time: number) => (now = time) };
 }
 
-void t.test('a primary that turns silent long after its epoch began is replaced at once', (t) => {
+void t.test('a primary that becomes silent long after its epoch began is replaced at once', (t) => {
   const { controller, reports, proposed, setNow } = createController();
   controller.checkAll();
   setNow(60_000);
@@ -441,31 +441,31 @@
   t.end();
 });
 
-void t.test('a new leader takes the epoch that it finds for an old one', async (t) => {
+void t.test('a new leader applies no settling time to an epoch that it finds', async (t) => {
   const { controller, reports, proposed } = createController();
   const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 600 };
   reports.record('p1', [silent], 0);
   reports.record('p2', [silent], 0);
   controller.checkAll();
-  t.equal(proposed.length, 0, 'its heartbeat may be fresh, so control asks it first');
+  t.equal(proposed.length, 0, 'its heartbeat may be fresh, so control probes it first');
   await nextTurn();
   controller.checkAll();
-  t.equal(proposed.length, 1, 'control has no answer, too');
+  t.equal(proposed.length, 1, 'control got no answer either');
 });
 
-void t.test('a primary that started again is replaced at once', async (t) => {
+void t.test('a restarted primary is replaced at once', async (t) => {
   const { controller, reports, proposed, context } = createController();
   await context.propose({ putInstance: { id: 'i-1', group: 'g', address: 'i-1', born: 1 } });
   reports.record('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
   controller.checkAll();
-  t.equal(proposed.length, 1, 'it begins to tell when it started');
+  t.equal(proposed.length, 1, 'a start time reported for the first time is no restart');
   await context.propose({ putInstance: { id: 'i-1', group: 'g', address: 'i-1', born: 2 } });
   controller.checkAll();
   t.match(proposed.at(-1), { putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: false } });
   t.end();
 });
 
-void t.test('one proxy against another does not replace a primary', (t) => {
+void t.test('a primary is kept when one proxy reports a failure and another uses it', (t) => {
   const { controller, reports, proposed } = createController();
   reports.record('p1', [{ group: 'g', epoch: 1, health: PrimaryHealth.REFUSING, sinceMs: 600 }], 0);
   reports.record('p2', [{ group: 'g', epoch: 1, health: PrimaryHealth.HEALTHY, sinceMs: 1 }], 0);
--- a/test/unit/incarnations_at_proxies.test.ts
+++ b/test/unit/incarnations_at_proxies.test.ts
@@ -1,4 +1,4 @@
-/** Instances that start again, as proxies see it: connections, leases on primaries, relayed statements. */
+/** Guards against proxies that use a restarted, empty instance as if it were its predecessor. */
 import t from 'tap';
 import { encodeRelayCommand } from '../../src/appointed/relay/relay_codec.js';
 import { RelayServer } from '../../src/appointed/relay/relay_server.js';
@@ -27,7 +27,7 @@
 const WAIT_MS = 100;
 const LEASE_MS = 3000;
 
-/** A proxy that holds a lease on instance a of group g, whose replica is b; instances open connections at `position`. */
+/** A proxy with a lease on instance a of group g, whose replica is b; connections report `position`. */
 function createProxy(position: Position) {
   const connections: FakeConnection[] = [];
   const events: string[] = [];
@@ -87,7 +87,7 @@
   };
 }
 
-/** A gate before instances that are warm at once. */
+/** Slow-start gate for instances that are warm at once. */
 function warmGate(clock: Clock): SlowStartGate {
   return new SlowStartGate({
     clock,
@@ -99,27 +99,33 @@
   });
 }
 
-void t.test('connections and load of an incarnation end with it', async (t) => {
-  const { events, instances, leases, updateInstance } = createProxy({ term: 3, sequence: 95 });
-  const former = instances.connectionsTo('b')!;
-  const inUse = await former.acquire(ANY_TENANT_REQUEST, WAIT_MS);
-  former.load.recordFailure(0);
-  updateInstance('b', 1);
-  t.ok(inUse.connection.closed, 'also those in use');
-  const present = instances.connectionsTo('b')!;
-  t.not(present, former);
-  t.notOk(present.load.isEjected(1));
-  await t.rejects(former.acquire(ANY_TENANT_REQUEST, WAIT_MS), 'the former way leads nowhere');
-  t.ok(events.includes('instance_replaced'));
-  t.ok(leases.hasLease(0), 'the primary is another instance');
-  updateInstance('b', 1);
-  t.equal(instances.connectionsTo('b'), present, 'the same incarnation keeps its connections');
-});
+void t.test(
+  'connections and load figures of an incarnation end when its instance restarts',
+  async (t) => {
+    const { events, instances, leases, updateInstance } = createProxy({ term: 3, sequence: 95 });
+    const former = instances.connectionsTo('b')!;
+    const inUse = await former.acquire(ANY_TENANT_REQUEST, WAIT_MS);
+    former.load.recordFailure(0);
+    updateInstance('b', 1);
+    t.ok(inUse.connection.closed, 'connections in use are closed, too');
+    const present = instances.connectionsTo('b')!;
+    t.not(present, former);
+    t.notOk(present.load.isEjected(1));
+    await t.rejects(
+      former.acquire(ANY_TENANT_REQUEST, WAIT_MS),
+      'the pool of the former incarnation opens no connection',
+    );
+    t.ok(events.includes('instance_replaced'));
+    t.ok(leases.hasLease(0), 'the lease on the primary, another instance, continues');
+    updateInstance('b', 1);
+    t.equal(instances.connectionsTo('b'), present, 'the same incarnation keeps its connections');
+  },
+);
 
-void t.test('a primary that started again has no lease in its epoch any more', (t) => {
+void t.test('a restarted primary gets no lease in its epoch', (t) => {
   const { leases, beginEpoch, updateInstance } = createProxy(START);
   updateInstance('a', 1);
-  t.notOk(leases.accepts('g', 1, 0), 'answers do not count');
+  t.notOk(leases.accepts('g', 1, 0), 'its answers are not valid');
   leases.extendAll(LEASE_MS);
   leases.extend('g', 1, LEASE_MS);
   t.notOk(leases.hasLease(0), 'neither control nor replicas extend it');
@@ -128,20 +134,20 @@
   t.end();
 });
 
-void t.test('a primary that opens a connection without its log is not trusted', async (t) => {
+void t.test('a primary that accepts a connection with an empty log loses its lease', async (t) => {
   const { instances, leases, primaryHealth, clock } = createProxy(START);
   await instances.connectionsTo('a')!.acquire(ANY_TENANT_REQUEST, WAIT_MS);
   t.notOk(leases.hasLease(0));
   t.equal(primaryHealth.of('g', 1).healthReport(clock.now())?.health, PrimaryHealth.NOT_PRIMARY);
 });
 
-void t.test('a primary that opens a connection with its log is trusted', async (t) => {
+void t.test('a primary whose applied position is slightly behind keeps its lease', async (t) => {
   const { instances, leases } = createProxy({ term: 3, sequence: 89 });
   await instances.connectionsTo('a')!.acquire(ANY_TENANT_REQUEST, WAIT_MS);
-  t.ok(leases.hasLease(0), 'what it has not applied yet is not missing');
+  t.ok(leases.hasLease(0), 'commits received but not applied yet are not lost');
 });
 
-void t.test('replicas that start again while they are asked confirm no lease', async (t) => {
+void t.test('a replica that restarts while it is asked confirms no lease', async (t) => {
   const { clock, leases, instances, updateInstance, log, connections } = createProxy({
     term: 3,
     sequence: 95,
@@ -168,7 +174,7 @@
   t.ok(leases.accepts('g', 1, LEASE_MS - 1));
 });
 
-void t.test('an owner runs nothing that is meant for another incarnation', async (t) => {
+void t.test('a connection owner refuses commands for another incarnation', async (t) => {
   const { clock, instances, leases, updateInstance, log } = createProxy(START);
   const context = { clock, leases, log } as unknown as ProxyContext;
   const server = new RelayServer(context, (id) => instances.localPool(id), 'run');
@@ -183,7 +189,11 @@
   t.match(await outcomeFor(1), /NOT_RUN_HERE another incarnation/);
   t.match(await outcomeFor(3), /NOT_RUN_HERE another incarnation/);
   t.notMatch(await outcomeFor(2), /another incarnation/);
-  t.notMatch(await outcomeFor(0), /another incarnation/, 'a proxy of an older program names none');
+  t.notMatch(
+    await outcomeFor(0),
+    /another incarnation/,
+    'a proxy of an older version names no incarnation',
+  );
   updateInstance('a', 1);
   const command = encodeRelayCommand({ kind: 'status' });
   const request = { instance: 'a', command, waitMs: WAIT_MS, timeoutMs: WAIT_MS, anyTenant: true };
--- a/test/unit/instance_administrator.test.ts
+++ b/test/unit/instance_administrator.test.ts
@@ -1,4 +1,4 @@
-/** Order of administrative commands of two changes of primary to one instance. */
+/** Guards against a resume command of an earlier change of primary that lifts the fence of a later one. */
 import t from 'tap';
 import { InstanceAdministrator } from '../../src/appointed/failover/instance_administrator.js';
 import type {
@@ -17,7 +17,7 @@
 } as const;
 const ANSWER: InstanceAnswer = { rows: [], signature: '-', state: 'idle', status: STATUS };
 
-/** A replica with a standing connection; `answer` decides what becomes of the first command on it. */
+/** A replica with a persistent connection; `answer` is the answer to the first command on it. */
 function replica(answer: Promise<InstanceAnswer>): {
   sent: string[];
   administrator: InstanceAdministrator;
@@ -39,24 +39,21 @@
   return { sent, administrator: new InstanceAdministrator(connector, persistent) };
 }
 
-void t.test(
-  'a release that had no answer is not sent anew once a later change began',
-  async (t) => {
-    let isStillNeeded = true;
-    let rejectAnswer: (reason: Error) => void = () => undefined;
-    const answer = new Promise<InstanceAnswer>((_resolve, reject) => {
-      rejectAnswer = reject;
-    });
-    const { sent, administrator } = replica(answer);
-    const released = administrator.resume(REPLICA, () => isStillNeeded);
-    isStillNeeded = false;
-    rejectAnswer(new Error('no answer in time'));
-    t.equal(await released, undefined);
-    t.same(sent, ['resume'], 'not on a second connection');
-  },
-);
+void t.test('an unanswered resume is not sent again after a later change has begun', async (t) => {
+  let isStillNeeded = true;
+  let rejectAnswer: (reason: Error) => void = () => undefined;
+  const answer = new Promise<InstanceAnswer>((_resolve, reject) => {
+    rejectAnswer = reject;
+  });
+  const { sent, administrator } = replica(answer);
+  const released = administrator.resume(REPLICA, () => isStillNeeded);
+  isStillNeeded = false;
+  rejectAnswer(new Error('no answer in time'));
+  t.equal(await released, undefined);
+  t.same(sent, ['resume'], 'not sent on a second connection');
+});
 
-void t.test('a replica is held only after a release that is under way has ended', async (t) => {
+void t.test('a replica is paused only after a resume in flight has ended', async (t) => {
   let resolveAnswer: (answer: InstanceAnswer) => void = () => undefined;
   const answer = new Promise<InstanceAnswer>((resolve) => {
     resolveAnswer = resolve;
@@ -65,7 +62,7 @@
   const released = administrator.resume(REPLICA, () => true);
   const paused = administrator.pause(REPLICA, 5);
   await new Promise(setImmediate);
-  t.same(sent, ['resume'], 'a release that arrives later would end the hold');
+  t.same(sent, ['resume'], 'a resume that arrived after the pause would lift the fence');
   resolveAnswer(ANSWER);
   await Promise.all([released, paused]);
   t.same(sent, ['resume', 'pause']);
--- a/test/unit/primary_allowed_regions.test.ts
+++ b/test/unit/primary_allowed_regions.test.ts
@@ -1,4 +1,4 @@
-/** Primaries and the homes of routes: homes choose among what is proven, and move a primary that is well. */
+/** Guards that allowed regions of routes influence the choice of a primary only among instances that lose no commit. */
 import fc from 'fast-check';
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
@@ -19,7 +19,7 @@
 ]);
 const SOUTH = new Set(['south']);
 
-void t.test('bound routes count for instances within their homes', (t) => {
+void t.test('a route counts only for instances within its allowed regions', (t) => {
   const document = { table: tableWithGroup('g', SOUTH, undefined, new Set(['north', 'south'])) };
   const served = (zone: string, group = 'g'): number =>
     countServableRoutes({ id: 'i', group, zone }, { document, regionByZone: REGIONS });
@@ -36,7 +36,7 @@
   routes: fc.integer({ min: 0, max: 2 }),
 });
 
-void t.test('homes never beat a proof, and choose among what is proven', (t) => {
+void t.test('allowed regions never override the proof that no commit is lost', (t) => {
   const status = (sequence: number) =>
     ({
       role: 'replica',
@@ -78,7 +78,7 @@
       };
       const routesOf = (instance: string): number => drawn[Number(instance)]!.routes;
       const choice = chooseCandidate({ ...input, servedRoutes: routesOf });
-      // What would be chosen if only one instance were eligible: its own proof, without any preference.
+      // Instances that would be chosen if they alone were eligible: their own proof, without any preference.
       const proven = reports.filter(({ instance, isEligible }) => {
         const only = reports.map((item) => ({ ...item, isEligible: item.instance === instance }));
         return isEligible && chooseCandidate({ ...input, reports: only }) !== undefined;
@@ -91,18 +91,18 @@
     },
   );
   fc.assert(property, { seed: 36, numRuns: 2000 });
-  t.ok(chosenOfSeveral > 100, `${chosenOfSeveral} times several were proven`);
+  t.ok(chosenOfSeveral > 100, `several instances were proven in ${chosenOfSeveral} runs`);
   t.end();
 });
 
-/** Commands that a leader proposes which knows a primary in the north and a replica in the south. */
+/** A leader that knows a primary in the north and a replica in the south; records the commands that it proposes. */
 function createLeader(table: RouteTable): {
   controller: FailoverController;
   proposed: whinyoke.ICatalogCommand[];
   setNow: (time: number) => void;
   setTable: (next: RouteTable) => void;
   apply: (command: whinyoke.ICatalogCommand) => void;
-  /** A heartbeat of an instance comes. */
+  /** Records a heartbeat of an instance. */
   hear: (id: string) => void;
 } {
   const document = { table };
@@ -123,7 +123,7 @@
     propose: (command: whinyoke.ICatalogCommand) => {
       proposed.push(command);
       apply(command);
-      // The steps of the change are not of interest here.
+      // The steps of the change are not under test.
       return Promise.reject(new Error('ends here'));
     },
     log: () => undefined,
@@ -139,23 +139,28 @@
   return { controller, proposed, setNow: (time) => (now = time), setTable, apply, hear };
 }
 
-void t.test('a primary that is well is moved, as planned, to where more routes may go', (t) => {
-  const bound = createLeader(tableWithGroup('g', SOUTH, undefined));
-  bound.controller.checkAll();
-  t.match(bound.proposed, [{ putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: true } }]);
-  for (const allowedRegions of [undefined, new Set(['north']), new Set(['nowhere'])]) {
-    const other = createLeader(tableWithGroup('g', allowedRegions));
-    other.controller.checkAll();
-    t.equal(
-      other.proposed.length,
-      0,
-      `not for ${allowedRegions ? [...allowedRegions].join() : 'no homes'}`,
-    );
-  }
-  t.end();
-});
+void t.test(
+  'a healthy primary is replaced as planned by an instance that may serve more routes',
+  (t) => {
+    const bound = createLeader(tableWithGroup('g', SOUTH, undefined));
+    bound.controller.checkAll();
+    t.match(bound.proposed, [
+      { putGroup: { epoch: 2, phase: GroupPhase.CHANGING, planned: true } },
+    ]);
+    for (const allowedRegions of [undefined, new Set(['north']), new Set(['nowhere'])]) {
+      const other = createLeader(tableWithGroup('g', allowedRegions));
+      other.controller.checkAll();
+      t.equal(
+        other.proposed.length,
+        0,
+        `no change for ${allowedRegions ? [...allowedRegions].join() : 'no allowed regions'}`,
+      );
+    }
+    t.end();
+  },
+);
 
-void t.test('a move that ended outside the homes again is not tried anew at once', (t) => {
+void t.test('a change that ended outside the allowed regions is not retried at once', (t) => {
   const leader = createLeader(tableWithGroup('g', undefined));
   const { controller, proposed, setNow, setTable, apply, hear } = leader;
   controller.checkAll();
@@ -171,7 +176,7 @@
   setNow(30_100);
   hear('p');
   controller.checkAll();
-  t.equal(proposed.length, 0, 'not to an instance of which nothing was heard for long');
+  t.equal(proposed.length, 0, 'not to an instance without a recent heartbeat');
   hear('r');
   controller.checkAll();
   t.match(proposed, [{ putGroup: { epoch: 4, phase: CHANGING, planned: true } }]);
--- a/test/unit/primary_evacuation.test.ts
+++ b/test/unit/primary_evacuation.test.ts
@@ -1,4 +1,4 @@
-/** How primaries leave evacuated zones: when a change begins, and which instance may lead at its end. */
+/** Guards that primaries leave an evacuated zone at a bounded rate, and without losing an acknowledged commit. */
 import t from 'tap';
 import { tableWithGroups } from '../tools/route_table.js';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
@@ -20,13 +20,13 @@
 
 const { AppointOutcome, GroupPhase, InstanceState } = whinyoke;
 
-/** A leader before instances whose answers a test sets; an appointed instance leads at once, with what it had received. */
+/** A leader with scripted instances; an appointed instance leads at once, with what it had received. */
 class LeaderScenario {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
   readonly healthReports = new PrimaryHealthReports();
   readonly monitor = new InstanceMonitor();
-  /** Number of commits that each instance received; undefined: it does not answer. */
+  /** Number of commits that each instance received; undefined where it does not answer. */
   readonly received = new Map<string, number | undefined>();
   readonly appointed: string[] = [];
   private readonly groups: string[] = [];
@@ -79,7 +79,7 @@
     this.apply({ putEvacuation: { zone, begins } });
   }
 
-  /** A group whose instances stand in these zones; the first one leads. */
+  /** Adds a group with an instance in each of these zones; the first one leads. */
   addGroup(group: string, zones: readonly string[]): void {
     this.groups.push(group);
     for (const [index, zone] of zones.entries()) this.putInstance(group, index, zone);
@@ -128,30 +128,27 @@
   }
 }
 
-void t.test(
-  'primaries leave an evacuated zone side by side, and stay where they are',
-  async (t) => {
-    const leader = new LeaderScenario();
-    for (const group of ['g', 'h', 'k']) leader.addGroup(group, ['z1', 'z2', 'z3']);
-    leader.addGroup('m', ['z2', 'z1', 'z3']);
-    leader.setEvacuated('z1', true);
-    t.same(evacuatedPrimaries(leader.catalog).length, 3);
-    await leader.run(300);
-    t.same(
-      ['g', 'h', 'k', 'm'].map((group) => leader.primaryOf(group)),
-      ['g-1', 'h-1', 'k-1', 'm-0'],
-    );
-    t.same(leader.causes, Array(3).fill('zone z1 is evacuated'));
-    t.same(leader.progress.at(-1), { zone: 'z1', evacuated: true, primaries: 0, stuck: 0 });
-    leader.setEvacuated('z1', false);
-    await leader.run(3000);
-    t.same(leader.primaryOf('g'), 'g-1', 'it does not move back');
-    t.same(leader.progress.at(-1), { zone: 'z1', evacuated: false });
-    t.equal(leader.causes.length, 3);
-  },
-);
+void t.test('all primaries leave an evacuated zone, and do not move back afterwards', async (t) => {
+  const leader = new LeaderScenario();
+  for (const group of ['g', 'h', 'k']) leader.addGroup(group, ['z1', 'z2', 'z3']);
+  leader.addGroup('m', ['z2', 'z1', 'z3']);
+  leader.setEvacuated('z1', true);
+  t.same(evacuatedPrimaries(leader.catalog).length, 3);
+  await leader.run(300);
+  t.same(
+    ['g', 'h', 'k', 'm'].map((group) => leader.primaryOf(group)),
+    ['g-1', 'h-1', 'k-1', 'm-0'],
+  );
+  t.same(leader.causes, Array(3).fill('zone z1 is evacuated'));
+  t.same(leader.progress.at(-1), { zone: 'z1', evacuated: true, primaries: 0, stuck: 0 });
+  leader.setEvacuated('z1', false);
+  await leader.run(3000);
+  t.same(leader.primaryOf('g'), 'g-1', 'it stays after the end of the evacuation');
+  t.same(leader.progress.at(-1), { zone: 'z1', evacuated: false });
+  t.equal(leader.causes.length, 3);
+});
 
-void t.test('no more changes begin in a second than the platform takes', async (t) => {
+void t.test('the number of changes begun in a second is limited', async (t) => {
   const leader = new LeaderScenario();
   const groups = Array.from({ length: 60 }, (_, place) => `g${place}`);
   for (const group of groups) leader.addGroup(group, ['z1', 'z2']);
@@ -163,7 +160,7 @@
 });
 
 void t.test(
-  'a change never ends in an evacuated zone while another instance is proven',
+  'no primary is appointed in an evacuated zone while another instance provably holds everything',
   async (t) => {
     const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2', 'z3']);
@@ -178,73 +175,68 @@
     });
     late.setEvacuated('z2', true);
     await late.run(1000);
-    t.same(late.appointed, ['g-2'], 'an evacuation that begins in a change counts');
+    t.same(late.appointed, ['g-2'], 'an evacuation that begins during a change applies to it');
   },
 );
 
-void t.test(
-  'nothing acknowledged is lost to hurry: who lacks it leads only after it followed',
-  async (t) => {
-    const leader = new LeaderScenario();
-    leader.addGroup('g', ['z1', 'z2', 'z3']);
-    leader.received.set('g-2', 9);
-    leader.received.set('g-0', undefined);
-    leader.apply({ putProxy: { id: 'p', incarnation: 'lost' } });
-    leader.setEvacuated('z1', true);
-    leader.setEvacuated('z2', true);
-    await leader.run(1000);
-    t.equal(leader.primaryOf('g'), 'changing', 'z3 may lack a commit that z2 has');
-    await leader.run(700);
-    t.equal(
-      leader.primaryOf('g'),
-      'g-1',
-      'one in an evacuated zone leads, so that the other can follow',
-    );
-    await leader.run(1500);
-    t.equal(leader.primaryOf('g'), 'g-2', 'and the change is tried again');
-    t.same(leader.appointed, ['g-1', 'g-2']);
-  },
-);
+void t.test('an instance that may lack a commit leads only after it has caught up', async (t) => {
+  const leader = new LeaderScenario();
+  leader.addGroup('g', ['z1', 'z2', 'z3']);
+  leader.received.set('g-2', 9);
+  leader.received.set('g-0', undefined);
+  leader.apply({ putProxy: { id: 'p', incarnation: 'lost' } });
+  leader.setEvacuated('z1', true);
+  leader.setEvacuated('z2', true);
+  await leader.run(1000);
+  t.equal(
+    leader.primaryOf('g'),
+    'changing',
+    'the instance in z3 may lack a commit that the one in z2 has',
+  );
+  await leader.run(700);
+  t.equal(
+    leader.primaryOf('g'),
+    'g-1',
+    'an instance in an evacuated zone leads, so that the other one can catch up',
+  );
+  await leader.run(1500);
+  t.equal(leader.primaryOf('g'), 'g-2', 'then the change is retried');
+  t.same(leader.appointed, ['g-1', 'g-2']);
+});
 
-void t.test(
-  'while all zones are evacuated no change begins for it, until one is free',
-  async (t) => {
-    const leader = new LeaderScenario();
-    leader.addGroup('g', ['z1', 'z2']);
-    leader.setEvacuated('z1', true);
-    leader.setEvacuated('z2', true);
-    await leader.run(1000);
-    t.same(leader.causes, []);
-    t.match(leader.progress, [
-      { zone: 'z1', primaries: 1, stuck: 1 },
-      { zone: 'z2', primaries: 0 },
-    ]);
-    leader.putInstance('g', 2, 'z3');
-    await leader.run(300);
-    t.equal(leader.primaryOf('g'), 'g-2', 'an instance moved in elsewhere');
-  },
-);
+void t.test('no change begins while all zones of a group are evacuated', async (t) => {
+  const leader = new LeaderScenario();
+  leader.addGroup('g', ['z1', 'z2']);
+  leader.setEvacuated('z1', true);
+  leader.setEvacuated('z2', true);
+  await leader.run(1000);
+  t.same(leader.causes, []);
+  t.match(leader.progress, [
+    { zone: 'z1', primaries: 1, stuck: 1 },
+    { zone: 'z2', primaries: 0 },
+  ]);
+  leader.putInstance('g', 2, 'z3');
+  await leader.run(300);
+  t.equal(leader.primaryOf('g'), 'g-2', 'a new instance in another zone takes over');
+});
 
-void t.test(
-  'a primary is not taken from its zone for an instance that nobody hears of',
-  async (t) => {
-    const leader = new LeaderScenario();
-    leader.addGroup('g', ['z1', 'z2']);
-    await leader.run(3500);
-    leader.setEvacuated('z1', true);
-    const sendHeartbeat = (id: string): void =>
-      leader.monitor.recordHeartbeat({ instance: { id, sequence: 1 } }, leader.scheduler.now);
-    sendHeartbeat('g-0');
-    await leader.run(500);
-    t.equal(leader.primaryOf('g'), 'g-0');
-    sendHeartbeat('g-1');
-    await leader.run(500);
-    t.equal(leader.primaryOf('g'), 'g-1');
-  },
-);
+void t.test('a primary is not replaced by an instance without a recent heartbeat', async (t) => {
+  const leader = new LeaderScenario();
+  leader.addGroup('g', ['z1', 'z2']);
+  await leader.run(3500);
+  leader.setEvacuated('z1', true);
+  const sendHeartbeat = (id: string): void =>
+    leader.monitor.recordHeartbeat({ instance: { id, sequence: 1 } }, leader.scheduler.now);
+  sendHeartbeat('g-0');
+  await leader.run(500);
+  t.equal(leader.primaryOf('g'), 'g-0');
+  sendHeartbeat('g-1');
+  await leader.run(500);
+  t.equal(leader.primaryOf('g'), 'g-1');
+});
 
 void t.test(
-  'with draining: only one that stays is ready elsewhere, and one that leaves does so as planned',
+  'a draining instance is no replacement, and a draining primary is replaced as planned',
   async (t) => {
     const leader = new LeaderScenario();
     leader.addGroup('g', ['z1', 'z2', 'z3']);
@@ -260,17 +252,14 @@
   },
 );
 
-void t.test(
-  'a zone that is cut off: its dark primary is replaced elsewhere, with evidence',
-  async (t) => {
-    for (const isCutFirst of [true, false]) {
-      const leader = new LeaderScenario();
-      leader.addGroup('g', ['z1', 'z2', 'z3']);
-      if (isCutFirst) leader.received.set('g-0', undefined);
-      leader.setEvacuated('z1', true);
-      leader.received.set('g-0', undefined);
-      await leader.run(1000);
-      t.equal(leader.primaryOf('g'), 'g-1');
-    }
-  },
-);
+void t.test('an unreachable primary in an evacuated zone is replaced elsewhere', async (t) => {
+  for (const isCutFirst of [true, false]) {
+    const leader = new LeaderScenario();
+    leader.addGroup('g', ['z1', 'z2', 'z3']);
+    if (isCutFirst) leader.received.set('g-0', undefined);
+    leader.setEvacuated('z1', true);
+    leader.received.set('g-0', undefined);
+    await leader.run(1000);
+    t.equal(leader.primaryOf('g'), 'g-1');
+  }
+});
--- a/test/unit/primary_failure.test.ts
+++ b/test/unit/primary_failure.test.ts
@@ -1,4 +1,4 @@
-/** When a primary that some proxies can't use has failed, and what control finds out itself. */
+/** Guards the decision that a primary has failed: not on silence alone, and not when only connection owners are lost. */
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { type ProbeEvidence, PrimaryProber } from '../../src/appointed/failover/primary_prober.js';
@@ -53,7 +53,7 @@
   return primaryFailureReason({ healthSummary: { ...NO_REPORTS, ...summary }, ...input });
 }
 
-void t.test('a primary that answers control is kept, though proxies find it silent', (t) => {
+void t.test('a primary that answers probes is not replaced for silence alone', (t) => {
   const mostlySilent = {
     unhealthy: 6,
     healthy: 1,
@@ -63,27 +63,31 @@
   t.equal(
     failureReason(mostlySilent, PROBE_ANSWERED),
     undefined,
-    'queues full, connections silent after a cut',
+    'full queues or dead connections look the same',
   );
   const pending = { ...PROBE_ANSWERED, firstProbePendingMs: 200, isAnswered: false };
   t.equal(
     failureReason(mostlySilent, pending),
     undefined,
-    'one uses it: control waits for the answer',
+    'a proxy uses it, so control waits for the probe',
   );
   const allSilent = { unhealthy: 6, prevailingFailure: 'silent', longestFailureMs: 450 };
   t.equal(failureReason(allSilent, { ...pending, firstProbePendingMs: 50 }), undefined);
-  t.match(failureReason(allSilent, pending), /6 proxies/, 'nobody uses it: it had its time');
+  t.match(
+    failureReason(allSilent, pending),
+    /6 proxies/,
+    'no proxy uses it and the probe had its time',
+  );
   t.match(
     failureReason(mostlySilent, PROBE_FAILED),
     /^6 proxies find it silent, 1 use it/,
-    'it is lost',
+    'the probes fail, too',
   );
   const late = { heartbeatAgeMs: 2760 };
   t.match(
     failureReason(mostlySilent, PROBE_ANSWERED, late),
     /6 proxies/,
-    'its heartbeats are missing, too',
+    'its heartbeat is late, too',
   );
   const refusing = {
     unhealthy: 2,
@@ -94,18 +98,14 @@
   t.match(
     failureReason(refusing, PROBE_ANSWERED),
     /refusing/,
-    'a refusal is an answer of the primary itself',
+    'a refusal comes from the primary itself',
   );
   const unused = { unhealthy: 6, prevailingFailure: 'silent', longestFailureMs: 1600 };
-  t.match(
-    failureReason(unused, PROBE_ANSWERED),
-    /6 proxies/,
-    'all ways from proxies to it are cut',
-  );
+  t.match(failureReason(unused, PROBE_ANSWERED), /6 proxies/, 'no proxy can reach it');
   t.end();
 });
 
-void t.test('a primary whose commits reach no replica is replaced, though it answers', (t) => {
+void t.test('a primary whose commits reach no replica is replaced although it answers', (t) => {
   const summary = {
     unhealthy: 2,
     commitsOnly: 2,
@@ -118,44 +118,44 @@
   t.end();
 });
 
-void t.test('losing all connection owners is told from losing the primary', (t) => {
+void t.test('lost connection owners are not taken for a lost primary', (t) => {
   t.equal(
     failureReason({ withoutOwner: 40 }, PROBE_ANSWERED),
     undefined,
-    'only the owners are lost',
+    'the primary answers, only the owners are lost',
   );
   t.equal(
     failureReason({ withoutOwner: 40 }, { ...PROBE_FAILED, consecutiveFailures: 1 }),
     undefined,
-    'once is chance',
+    'one failed probe is not enough',
   );
-  t.match(failureReason({ withoutOwner: 2 }, PROBE_FAILED), /^2 proxies reach no owner/);
+  t.match(failureReason({ withoutOwner: 2 }, PROBE_FAILED), /^2 proxies reach no connection owner/);
   t.equal(
     failureReason({ withoutOwner: 1 }, PROBE_FAILED),
     undefined,
-    'the proxy may be cut off itself',
+    'a single proxy may be cut off itself',
   );
   t.equal(
     failureReason({ withoutOwner: 40, healthy: 1 }, PROBE_FAILED),
     undefined,
-    'control is cut off from it',
+    'a proxy uses it, so control is cut off',
   );
   t.end();
 });
 
-void t.test('a proxy reports that no owner answered, until one does', (t) => {
+void t.test('a proxy stops reporting silent owners once one answers', (t) => {
   const tracker = new PrimaryHealthTracker();
   tracker.onOwnersSilent(1000);
   t.match(tracker.healthReport(1100), { health: PrimaryHealth.SILENT, isThroughOwners: true });
   tracker.onOwnerAnswered();
   t.equal(tracker.healthReport(1200), undefined);
   tracker.onOwnersSilent(1300);
-  t.equal(tracker.healthReport(2400), undefined, 'nobody has asked an owner since');
+  t.equal(tracker.healthReport(2400), undefined, 'the report expires without further statements');
   t.end();
 });
 
 void t.test(
-  'reports through owners are counted apart; a proxy that is cut off vouches no longer',
+  'reports through owners are counted separately, and an old healthy report expires',
   (t) => {
     const healthReports = new PrimaryHealthReports();
     const silent = { group: 'g', epoch: 1, health: PrimaryHealth.SILENT, sinceMs: 500 };
@@ -173,7 +173,7 @@
   },
 );
 
-/** A leader's surroundings with group `g`: primary i-1, replicas i-2 and i-3. */
+/** Context of a leader of group `g` with primary i-1 and replicas i-2 and i-3. */
 function createContext(administrator: Partial<PrimaryChangerContext['administrator']>): {
   context: PrimaryChangerContext;
   entry: whinyoke.IGroupEntry;
@@ -218,7 +218,7 @@
 }
 
 void t.test(
-  'questions of control: silence in a row, a full queue, replication that stands still',
+  'probes count failures in a row and detect stalled replication behind a busy primary',
   async (t) => {
     const probeResults = new Map<string, ProbeResult>();
     const administrator = {
@@ -241,17 +241,17 @@
     t.match(
       await probeRound(),
       { consecutiveFailures: 0, isAnswered: true, isReplicationStalled: false },
-      'busy',
+      'a busy primary counts as an answer',
     );
     t.match(
       await probeRound(),
       { isReplicationStalled: true },
-      'replicas received nothing meanwhile',
+      'replicas received nothing between two rounds',
     );
     probeResults.set('i-2', { kind: 'answered', status: statusAt(8) });
-    t.match(await probeRound(), { isReplicationStalled: false }, 'commits go through');
+    t.match(await probeRound(), { isReplicationStalled: false }, 'a replica received a commit');
     probeResults.set('i-1', { kind: 'answered', status: statusAt(8, { role: 'primary' }) });
-    t.match(await probeRound(), { isReplicationStalled: false }, 'nothing to receive');
+    t.match(await probeRound(), { isReplicationStalled: false }, 'replicas are up to date');
     probeResults.set('i-1', { kind: 'answered', status: statusAt(9, { role: 'primary' }) });
     t.match(await probeRound(), { isReplicationStalled: true });
     prober.forget(entry);
@@ -260,7 +260,7 @@
 );
 
 void t.test(
-  'replicas that are busy are held beside the wait for leases, and released again',
+  'busy replicas are fenced before the leases end, and released after the change',
   async (t) => {
     const LEASE_MS = 900;
     const attempts = { pause: 0, resume: 0 };
@@ -274,7 +274,7 @@
       },
       pause: () => {
         attempts.pause++;
-        // The first two are refused: no slot was free.
+        // The first two are refused for want of a connection slot.
         if (attempts.pause <= 2) return Promise.resolve(undefined);
         fencedAt.push(context.clock.now());
         return Promise.resolve(statusAt(5, { fencedTerm: 4 }));
@@ -298,9 +298,9 @@
       return Promise.resolve(whinyoke.AppointOutcome.APPOINTED);
     };
     await new PrimaryChanger(context, entry).run();
-    t.ok(Math.max(...fencedAt) < begunAt + LEASE_MS / 2, 'held well before the leases end');
+    t.ok(Math.max(...fencedAt) < begunAt + LEASE_MS / 2, 'fenced well before the leases end');
     t.match(proposed.at(-1), { putGroup: { epoch: 3, phase: GroupPhase.STEADY, primary: 'i-2' } });
     await delay(context.clock, 800);
-    t.ok(attempts.resume >= 3, 'a replica that refuses to be released is asked again');
+    t.ok(attempts.resume >= 3, 'a release without an answer is retried');
   },
 );
