--- a/test/simulation/appointed.test.ts
+++ b/test/simulation/appointed.test.ts
@@ -1,17 +1,6 @@
 /**
- * Simulated deployments whose primaries are appointed: seeds, single faults, protections taken away.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - mixed faults: any broken promise of the judge, or a group that stays unwritable; needs the generator with all
- *   kinds of faults, callers and all rules of the judge on quetzal and toplina. The seeds draw from the whole list
- *   of kinds, so a kind taken away would redraw them.
- * - seeds that failed once: a named position beyond all replicas, so that nobody is appointed; needs the same
- *   generator, seeds 320, 16 and 20.
- * - each kind of fault alone: the same promises under one kind; needs each kind in its place of the list, which
- *   chooses seed and deployment.
- * - the same seed gives the same history: a run that depends on anything but its seed; needs the generator.
- * - without a protection the checks report it: a judge that cannot fail; needs the switches read-position,
- *   session-values and lease, and the rules stale, pinned, lost and replaced-primary.
+ * Simulated deployments with appointed primaries under faults: any violation found by the judge, a group that stays
+ * unwritable, or a run that depends on more than its seed. Removing or reordering a kind of fault changes what each seed runs.
  */
 import t, { type Test } from 'tap';
 import { APPOINTED_QUETZAL, APPOINTED_TOPLINA } from '../../lab/appointed/appointed_deployment.js';
@@ -30,38 +19,38 @@
 async function expectClean(t: Test, options: AppointedRunOptions): Promise<void> {
   const report = await runAppointed(options);
   t.same(problems(report), [], `seed ${report.seed}: ${report.faults.join('; ')}`);
-  t.ok(report.counts['acknowledged']! > 500, 'callers were served');
+  t.ok(report.counts['acknowledged']! > 500, 'more than 500 requests were acknowledged');
 }
 
-void t.test('mixed faults', async (t) => {
+void t.test('no violation under a mix of faults', async (t) => {
   for (let seed = 1; seed <= 5; seed++) {
     await expectClean(t, { deployment: APPOINTED_QUETZAL, seed });
     await expectClean(t, { deployment: APPOINTED_TOPLINA, seed });
   }
 });
 
-/** Seeds that failed once, and what was wrong then. */
+/** Regression seeds, with the failure that each found. */
 const FORMER_FAILURES = [
-  // The named position lay beyond what any replica had received, so nobody was ever appointed.
+  // The reported position lay beyond what any replica had received, so no primary was ever appointed.
   { deployment: APPOINTED_QUETZAL, seed: 320 },
-  // A fresh read of a primary that had stepped down was judged stale: the emulation forgot what it had applied.
+  // A fresh read from a primary that had stepped down was judged stale: the emulation lost its applied position.
   { deployment: APPOINTED_TOPLINA, seed: 16 },
-  // A control machine whose disk was lost and full could not start, which ended the simulation.
+  // A control machine whose disk was both lost and full could not start, which ended the simulation.
   { deployment: APPOINTED_TOPLINA, seed: 20 },
 ];
 
-void t.test('seeds that failed once', async (t) => {
+void t.test('no violation with seeds that failed before', async (t) => {
   for (const options of FORMER_FAILURES) await expectClean(t, options);
 });
 
-void t.test('each kind of fault alone', async (t) => {
+void t.test('no violation under each kind of fault alone', async (t) => {
   for (const [index, kind] of APPOINTED_FAULTS.entries()) {
     const deployment = index % 2 === 0 ? APPOINTED_QUETZAL : APPOINTED_TOPLINA;
     await expectClean(t, { deployment, seed: 100 + index, faults: [kind], faultCount: 2 });
   }
 });
 
-void t.test('zones are evacuated, alone and while primaries fail', async (t) => {
+void t.test('no violation while zones are evacuated, alone or while primaries fail', async (t) => {
   const acts = ['evacuate-zone', 'evacuate-zone', 'crash-primary', 'leave-primary'] as const;
   for (let seed = 1; seed <= 3; seed++) {
     await expectClean(t, { deployment: APPOINTED_QUETZAL, seed, faults: ['evacuate-zone'] });
@@ -69,14 +58,14 @@
   }
 });
 
-void t.test('the same seed gives the same history', async (t) => {
+void t.test('a run depends on nothing but its seed', async (t) => {
   const options = { deployment: APPOINTED_QUETZAL, seed: 9 };
   const [first, second] = [await runAppointed(options), await runAppointed(options)];
   t.same(first.counts, second.counts);
   t.same(first.faults, second.faults);
 });
 
-void t.test('without a protection the checks report it', async (t) => {
+void t.test('the judge reports a violation when a protection is disabled', async (t) => {
   const find = async (options: Omit<AppointedRunOptions, 'seed'>): Promise<string> => {
     for (let seed = 1; seed <= 50; seed++) {
       const [violation] = (await runAppointed({ ...options, seed })).violations;
--- a/test/simulation/control_silence.test.ts
+++ b/test/simulation/control_silence.test.ts
@@ -1,15 +1,6 @@
 /**
- * Proxies that are cut off from all control machines: what they serve, and how a primary is changed beside them.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - primaries are used on while their replicas confirm them: service that ends with the leases of control; needs
- *   the world, cuts and the judge.
- * - a primary is changed beside a proxy that is out of reach: a change of primary that waits for one proxy; needs
- *   the world the fault cut-proxy-from-control and the judge.
- * - a new leader ends a change that the one before had nearly ended: a change of primary that begins anew with
- *   each leader; needs the world, kills of an instance and of a control machine, and the judge.
- * - a proxy on the wrong side of a cut serves nothing of the old primary: an answer of a replaced primary; needs
- *   the world, cuts and the switch replica-witness, no judge.
+ * Guards service and safety while proxies are cut off from all control machines: reads continue while replicas confirm the
+ * lease, a change of primary completes beside cut-off proxies, and no proxy serves from a replaced primary.
  */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
@@ -19,16 +10,16 @@
 
 const SEEDS = 10;
 const SETTLED_MS = 2000;
-/** Twice the life of a lease of control. */
+/** Twice the duration of a lease of control. */
 const SILENCE_MS = 6000;
 const CHANGE_LIMIT_MS = 4500;
-/** An election and a round of confirmations; far less than the life of a lease (3 s). */
+/** An election and a round of confirmations; far less than a lease (3 s). */
 const NEW_LEADER_LIMIT_MS = 1800;
 const POLL_MS = 10;
-/** Longer than a lease that replicas confirm, at times: primaries that nobody wants are not confirmed. */
+/** Longer than a lease confirmed by replicas, since primaries that no statement needs are not confirmed. */
 const READ_SPACING_MS = 900;
 const CUT_OFF_PROXIES = 4;
-/** Silence of the primary, leases of the proxies that are cut off, appointment; before control forgets those (20 s). */
+/** Silence of the primary, leases of the cut-off proxies and appointment; less than control's memory of those (20 s). */
 const SPLIT_LIMIT_MS = 8000;
 const PROBE_MS = 50;
 
@@ -60,7 +51,7 @@
   });
 }
 
-/** Reads at the primary of each group through each proxy; resolves with the reads that were not served. */
+/** Reads from the primary of each group through each proxy; resolves with the refused reads. */
 async function readEverywhere(world: World): Promise<readonly string[]> {
   const refusals: string[] = [];
   for (const [router, { running }] of world.routers.entries()) {
@@ -83,60 +74,69 @@
   return refusals;
 }
 
-void t.test('primaries are used on while their replicas confirm them', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
-    const world = await settledWorld(seed);
-    const heal = cutOffProxies(world);
-    for (let silence = 0; silence < SILENCE_MS; silence += READ_SPACING_MS) {
-      t.same(await readEverywhere(world), [], `seed ${seed}: all reads after ${silence} ms`);
+void t.test(
+  'reads do not stop when the leases of control end, while replicas confirm the primary',
+  async (t) => {
+    for (let seed = 1; seed <= SEEDS; seed++) {
+      const world = await settledWorld(seed);
+      const heal = cutOffProxies(world);
+      for (let silence = 0; silence < SILENCE_MS; silence += READ_SPACING_MS) {
+        t.same(await readEverywhere(world), [], `seed ${seed}: all reads after ${silence} ms`);
+      }
+      heal();
+      await world.run(1000);
+      t.same(world.judge.violations, []);
     }
-    heal();
-    await world.run(1000);
-    t.same(world.judge.violations, []);
-  }
-});
+  },
+);
 
-void t.test('a primary is changed beside a proxy that is out of reach', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
-    const world = await settledWorld(seed);
-    const heal = startFault('cut-proxy-from-control', world, world.random)!;
-    await world.run(1000);
-    const group = world.groups[0]!;
-    const { leader } = group;
-    const machine = group.machines.find((item) => item.current === leader)!;
-    machine.running!.process.kill();
-    const begunAt = world.scheduler.now;
-    while (group.leader === leader && world.scheduler.now - begunAt < CHANGE_LIMIT_MS) {
-      await world.run(POLL_MS);
+void t.test(
+  'a change of primary does not wait for a proxy that is cut off from control',
+  async (t) => {
+    for (let seed = 1; seed <= SEEDS; seed++) {
+      const world = await settledWorld(seed);
+      const heal = startFault('cut-proxy-from-control', world, world.random)!;
+      await world.run(1000);
+      const group = world.groups[0]!;
+      const { leader } = group;
+      const machine = group.machines.find((item) => item.current === leader)!;
+      machine.running!.process.kill();
+      const begunAt = world.scheduler.now;
+      while (group.leader === leader && world.scheduler.now - begunAt < CHANGE_LIMIT_MS) {
+        await world.run(POLL_MS);
+      }
+      t.not(group.leader, leader, `seed ${seed}: primary changed within ${CHANGE_LIMIT_MS} ms`);
+      heal();
+      await world.run(1000);
+      t.same(world.judge.violations, []);
     }
-    t.not(group.leader, leader, `seed ${seed}: changed within ${CHANGE_LIMIT_MS} ms`);
-    heal();
-    await world.run(1000);
-    t.same(world.judge.violations, []);
-  }
-});
+  },
+);
 
-void t.test('a new leader ends a change that the one before had nearly ended', async (t) => {
-  for (let seed = 1; seed <= SEEDS; seed++) {
-    const world = await settledWorld(seed);
-    const group = world.groups[0]!;
-    const { leader } = group;
-    const machine = group.machines.find((item) => item.current === leader)!;
-    machine.running!.process.kill();
-    const isAppointed = (): boolean => group.leader !== undefined && group.leader !== leader;
-    while (!isAppointed()) await world.run(1);
-    world.coordinators.find((control) => control.running?.node.isReadyLeader)!.kill();
-    const begunAt = world.scheduler.now;
-    while (!hasLeases(world) && world.scheduler.now - begunAt < CHANGE_LIMIT_MS) {
-      await world.run(POLL_MS);
+void t.test(
+  'a new leader finishes a change of its predecessor instead of starting over',
+  async (t) => {
+    for (let seed = 1; seed <= SEEDS; seed++) {
+      const world = await settledWorld(seed);
+      const group = world.groups[0]!;
+      const { leader } = group;
+      const machine = group.machines.find((item) => item.current === leader)!;
+      machine.running!.process.kill();
+      const isAppointed = (): boolean => group.leader !== undefined && group.leader !== leader;
+      while (!isAppointed()) await world.run(1);
+      world.coordinators.find((control) => control.running?.node.isReadyLeader)!.kill();
+      const begunAt = world.scheduler.now;
+      while (!hasLeases(world) && world.scheduler.now - begunAt < CHANGE_LIMIT_MS) {
+        await world.run(POLL_MS);
+      }
+      const elapsed = world.scheduler.now - begunAt;
+      t.ok(elapsed < NEW_LEADER_LIMIT_MS, `seed ${seed}: leases after ${Math.round(elapsed)} ms`);
+      t.same(world.judge.violations, []);
     }
-    const elapsed = world.scheduler.now - begunAt;
-    t.ok(elapsed < NEW_LEADER_LIMIT_MS, `seed ${seed}: leases after ${Math.round(elapsed)} ms`);
-    t.same(world.judge.violations, []);
-  }
-});
+  },
+);
 
-/** Sends a write through a proxy, in a session of its own; resolves with whether it was acknowledged. */
+/** Sends a write through a proxy in its own session; resolves with whether it was acknowledged. */
 async function write(world: World, router: number, group: string): Promise<boolean> {
   const session = world.routers[router]!.running!.core.openSession(
     databaseOf(group, { kind: 'primary' }),
@@ -147,8 +147,8 @@
 }
 
 /**
- * Cuts a primary and most proxies off from everything else until another primary has acknowledged a write there;
- * resolves with whether a proxy on the wrong side then still answers a read of the old primary.
+ * Cuts a primary and most proxies off from everything else until another primary has acknowledged a write there; resolves
+ * with whether a cut-off proxy then still answers a read from the old primary.
  */
 async function servesStaleRead(
   seed: number,
@@ -185,12 +185,12 @@
   return isServed;
 }
 
-void t.test('a proxy on the wrong side of a cut serves nothing of the old primary', async (t) => {
+void t.test('a cut-off proxy does not serve reads from a replaced primary', async (t) => {
   for (let seed = 1; seed <= SEEDS; seed++) {
     t.notOk(await servesStaleRead(seed, []), `seed ${seed}`);
     t.ok(
       await servesStaleRead(seed, ['replica-witness']),
-      `seed ${seed}, without the replicas' answers`,
+      `seed ${seed}: stale read without the check of the replicas`,
     );
   }
 });
--- a/test/simulation/silent_primary.test.ts
+++ b/test/simulation/silent_primary.test.ts
@@ -1,10 +1,4 @@
-/**
- * What callers hear while the primary of their group has lost its power: an answer soon, never silence.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - each of the three: a statement that waits beyond its bound on a primary that answers nothing; needs the world,
- *   sessions and cuts of one host, no callers, no judge.
- */
+/** Guards against callers that wait beyond their bound on a primary whose machine has lost power. */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
 import { AppointedWorld, databaseOf } from '../../lab/appointed/appointed_world.js';
@@ -14,11 +8,11 @@
 const SEEDS = 10;
 const SETTLED_MS = 2000;
 const STEP_MS = 10;
-/** Nothing ran: the caller may begin again; its whole time is 800 ms. */
+/** No statement ran, so the caller may retry within its whole time of 800 ms. */
 const LONGEST_BEGIN_MS = 400;
-/** A read may wait for the only instance for as long as its caller can still come again (0.6 of 800 ms). */
+/** A read may wait for the only instance as long as its caller can still retry (0.6 of 800 ms). */
 const LONGEST_READ_MS = 500;
-/** A write is in doubt as soon as the epoch of the primary has ended. */
+/** The outcome of a write is unknown once the epoch of the primary has ended. */
 const LONGEST_WRITE_MS = 700;
 
 const BEGIN: CallerStatement = { kind: 'begin', readOnly: false };
@@ -54,7 +48,7 @@
 ];
 
 for (const { name, statements, longestMs } of CASES) {
-  void t.test(`a ${name} on a primary without power`, async (t) => {
+  void t.test(`a ${name} on a primary without power ends within its bound`, async (t) => {
     for (let seed = 1; seed <= SEEDS; seed++) {
       const world = new AppointedWorld(APPOINTED_QUETZAL, seed, new Set());
       await world.start();
