--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -68,12 +68,12 @@
     undefined,
     'the old primary holds more',
   );
-  const whole = { reports: onlyA, missing: 1, isProxyHistoryComplete: true };
-  t.equal(choiceOf({ ...whole, revocation: confirmed(10) }), 'a confirmations');
-  t.equal(choiceOf({ ...whole, revocation: confirmed(11) }), undefined);
-  t.equal(choiceOf({ ...whole, revocation: confirmed() }), 'a confirmations', 'same term');
+  const complete = { reports: onlyA, missing: 1, isProxyHistoryComplete: true };
+  t.equal(choiceOf({ ...complete, revocation: confirmed(10) }), 'a confirmations');
+  t.equal(choiceOf({ ...complete, revocation: confirmed(11) }), undefined);
+  t.equal(choiceOf({ ...complete, revocation: confirmed() }), 'a confirmations', 'same term');
   t.equal(
-    choiceOf({ ...whole, oldTerm: 4, revocation: confirmed() }),
+    choiceOf({ ...complete, oldTerm: 4, revocation: confirmed() }),
     undefined,
     'it has received nothing of the newest term',
   );
@@ -87,18 +87,14 @@
     undefined,
     'a replica that left may have been the only one with an acknowledged commit',
   );
-  const named = { revocation: confirmed(13), isMembershipUnchanged: true };
+  const reported = { revocation: confirmed(13), isMembershipUnchanged: true };
   t.equal(
-    choiceOf(named),
+    choiceOf(reported),
     'b allReplicas',
     'the reported position may lie beyond what any replica received',
   );
-  t.equal(choiceOf({ ...named, oldTerm: 4 }), undefined, 'acknowledged in an older term');
-  t.equal(
-    choiceOf({ ...named, reports: onlyA, missing: 1 }),
-    undefined,
-    'one replica did not answer',
-  );
+  t.equal(choiceOf({ ...reported, oldTerm: 4 }), undefined, 'acknowledged in an older term');
+  t.equal(choiceOf({ ...reported, reports: onlyA, missing: 1 }), undefined, 'one did not answer');
   const leaving = [
     { instance: 'a', status: statusAt(10), isEligible: true },
     { instance: 'b', status: statusAt(12), isEligible: false },
@@ -379,9 +375,9 @@
   t.equal(next([A, B, C, D], ['c'], ['d']), undefined, 'the successor has not caught up');
   t.equal(next([A, B, C, { ...D, isLearner: false }], ['c']), 'a b d', 'then the lost voter goes');
   t.equal(next([A, B, C, { ...D, isLearner: false }]), 'a b c d?', 'a surplus voter is demoted');
-  const again = { id: 'c2', address: '3', isLearner: true };
-  t.equal(next([A, B, C, again]), 'a b c c2', 'after a lost disk the new id becomes a voter');
-  t.equal(next([A, B, C, { ...again, isLearner: false }]), 'a b c2', 'and the old id is removed');
+  const newId = { id: 'c2', address: '3', isLearner: true };
+  t.equal(next([A, B, C, newId]), 'a b c c2', 'after a lost disk the new id becomes a voter');
+  t.equal(next([A, B, C, { ...newId, isLearner: false }]), 'a b c2', 'and the old id is removed');
   t.equal(next([A, B, C, D], ['d']), 'a b c', 'an unreachable learner is removed');
   t.equal(next([A, B, C], ['b', 'c']), undefined, 'there is no learner to replace them');
   t.end();
