--- a/src/appointed/failover/primary_changer.ts
+++ b/src/appointed/failover/primary_changer.ts
@@ -225,8 +225,8 @@
     const stepDown =
       oldPrimary && this.context.administrator.stepDown(targetOf(oldPrimary), newTerm);
     const answers = await this.replicaFence.fenceAll(replicas, newTerm);
-    const complete = answers.filter((report) => this.evidence.holdsRecordedPosition(report));
-    const appointed = findAppointed(complete, this.oldTerm);
+    const unrestarted = answers.filter((report) => this.evidence.holdsRecordedPosition(report));
+    const appointed = findAppointed(unrestarted, this.oldTerm);
     if (appointed) return this.appointeeOf(appointed);
     const { reports, missing } = this.evidence.evaluate(replicas, answers);
     // An unresponsive old primary delays the change only when its answer is needed.
@@ -271,9 +271,9 @@
     const candidates = reports.map((report) => this.excludeEvacuated(report));
     const oldCandidate = old && this.excludeEvacuated(old);
     const isPlanned = this.entry.planned ?? false;
-    const eligibleOld =
+    const oldReport =
       oldCandidate && isPlanned ? { ...oldCandidate, isEligible: false } : oldCandidate;
-    const choice = this.choose(candidates, missing, eligibleOld);
+    const choice = this.choose(candidates, missing, oldReport);
     if (choice || this.changeLog.elapsedMs < LAST_RESORT_AFTER_MS) return choice;
     return this.choose(reports, missing, old);
   }
