--- a/src/appointed/routing/evacuated_primary.ts
+++ b/src/appointed/routing/evacuated_primary.ts
@@ -1,8 +1,6 @@
 /**
- * Requests that only a primary in an evacuated zone could run.
- *
- * Owns: when such a request is refused at once instead of waiting for a primary. Relies on the leases and the instances of the
- * proxy, which answer from memory.
+ * Refuses requests at once that only a primary in an evacuated zone could run, instead of letting them wait until they time
+ * out. Uses the leases and instances in the proxy's memory; no I/O.
  */
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import { primaryChangeAgeMs } from './refusal.js';
@@ -10,8 +8,8 @@
 import { EXPECTED_PRIMARY_CHANGE_MS } from './retry_after.js';
 
 /**
- * Whether the primary of a group is in a zone to which nothing is sent, and no change that should end soon is under way: a
- * wait would be in vain.
+ * Whether the primary of a group is in a zone to which nothing is sent, and no change of primary is in progress that is
+ * expected to end soon. A request that waited for the primary would time out.
  */
 export function isPrimaryBlockedByEvacuation(context: ProxyContext, group: string): boolean {
   const primary = context.leases.entryOf(group)?.primary ?? '';
@@ -20,7 +18,10 @@
   return ageMs === undefined || ageMs > EXPECTED_PRIMARY_CHANGE_MS;
 }
 
-/** Cause of a refusal for want of a primary: the evacuation where it is to blame, another one otherwise. */
+/**
+ * Cause of a refusal because no primary was available.
+ * @param fallback - cause when an evacuation is not the reason
+ */
 export function noPrimaryCause(
   context: ProxyContext,
   group: string,
--- a/src/appointed/routing/refusal.ts
+++ b/src/appointed/routing/refusal.ts
@@ -1,9 +1,6 @@
 /**
- * Answers that refuse a request, or tell that its outcome is unknown, and the log lines of refusals and retries.
- *
- * Owns: which event is logged, with which fields. The causes and their texts are in refusal_cause.ts, the time to come
- * back in retry_after.ts.
- * Relies on: the proxy's trust, positions and admission, for the fields of the lines; none of them can fail here.
+ * Builds the replies to requests that are refused or whose outcome is unknown, and logs refusals and retries. The causes and
+ * their texts are in refusal_cause.ts, the retry delay sent to callers in retry_after.ts.
  */
 import { Events } from '../../observability/events.js';
 import {
@@ -27,18 +24,18 @@
   readonly id: string;
   readonly deadline: RequestDeadline;
   readonly state: TransactionState;
-  /** Tenant that asked; left out where the request has none, or its credential is not known. */
+  /** Tenant of the request; omitted if there is none or its credential is unknown. */
   readonly tenant?: string;
 }
 
-/** Age of the document that log lines tell at most, in milliseconds: it may never have been confirmed. */
+/** Upper bound of the logged document age, which is infinite for a document that control has never confirmed. */
 const MAX_LOGGED_AGE_MS = 1_000_000;
 
 function isPrimaryChanging(context: ProxyContext, group: string): boolean {
   return context.leases.entryOf(group)?.phase === whinyoke.GroupPhase.CHANGING;
 }
 
-/** How long a change of the group's primary has been under way, in milliseconds; undefined when there is none. */
+/** How long a change of the group's primary has been in progress; undefined if there is none. */
 export function primaryChangeAgeMs(context: ProxyContext, group: string): number | undefined {
   if (!isPrimaryChanging(context, group)) return undefined;
   return context.leases.phaseAgeMs(group, context.clock.now());
@@ -80,7 +77,7 @@
   });
 }
 
-/** Answer to a request that did not run; tells when to come back. */
+/** Reply to a request that did not run, with the delay after which the caller should retry. */
 export function refuse(
   context: ProxyContext,
   request: RefusedRequest,
@@ -95,7 +92,7 @@
   return errorReply(kind, text, request.state);
 }
 
-/** Answer to a request whose credential does not allow it, or can't be checked now. */
+/** Reply to a request whose credential is unknown, or can't be verified at the moment. */
 export function refuseCredential(
   context: ProxyContext,
   request: RefusedRequest,
@@ -104,13 +101,13 @@
   if (outcome === 'unproven') {
     return refuse(context, request, 'busy', { kind: 'credentialUnproven' });
   }
-  // Coming back with the same credential makes no sense, so no time is told.
+  // Retrying with the same credential can't succeed, so the reply names no retry delay.
   const cause = { kind: 'credentialUnknown' as const };
   logRefusal(context, request, 'unauthenticated', cause);
   return errorReply('unauthenticated', causeText(cause), request.state);
 }
 
-/** Counts and logs an attempt that brought nothing, after which the request may be tried again. */
+/** Counts and logs a failed attempt after which the request may be retried. */
 export function logRetry(
   context: ProxyContext,
   request: Pick<RefusedRequest, 'id' | 'deadline'>,
@@ -132,7 +129,7 @@
   });
 }
 
-/** Answer to a request whose outcome is unknown. */
+/** Reply to a request whose outcome is unknown. */
 export function replyInDoubt(
   context: ProxyContext,
   request: RefusedRequest,
--- a/src/appointed/routing/refusal_cause.ts
+++ b/src/appointed/routing/refusal_cause.ts
@@ -1,32 +1,28 @@
 /**
- * Why a request was refused, or why an attempt at one instance brought nothing.
+ * Causes of refused requests and failed attempts, and their texts. The texts are on the wire, in log lines and in the label
+ * of the retry metric, and operators search for them, so they must not change (docs/operations/errors.md).
  *
- * Owns: all causes of this interface and their texts. The texts are on the wire, in log lines and in the label of the
- * retry metric; operators search for them, so they stay as they are (docs/operations/errors.md).
- * Relies on nothing: pure functions.
- *
- * A new cause is one member of a type and one line in a function, both below, besides the place that raises it. When its
- * caller should come back is decided in retry_after.ts.
+ * To add a cause, add a member to a type and a case to `causeText`. The retry delay for its callers is set in retry_after.ts.
  */
 import type { AcquireFailure } from '../connections/acquire_error.js';
 import type { InstanceErrorKind } from '../instance/instance_connection.js';
 
-/** Why an attempt at one instance brought nothing. */
+/** Why an attempt at one instance failed. */
 export type AttemptFailure =
   /**
-   * No connection could be had in time. Statements outside transactions name the pool's reason, or 'no connection' where
+   * No connection was available in time. Statements outside transactions include the pool's reason, or 'no connection' if
    * the pool failed in another way.
    */
   | { readonly kind: 'noConnection'; readonly failure?: AcquireFailure | 'no connection' }
-  /** The connection ended, or its answer came too late. */
+  /** The connection was lost, or the answer timed out. */
   | { readonly kind: 'connectionLost'; readonly message: string }
-  /** The connection could not be given the session's values and prepared statement. */
+  /** The session's values or prepared statement could not be loaded onto the connection. */
   | { readonly kind: 'sessionNotLoaded' }
-  /** This proxy may no longer trust the answers of the primary. */
+  /** The lease on the primary ended, so its answers are no longer trusted. */
   | { readonly kind: 'leaseEnded' }
-  /** The zone of the instance of a transaction was evacuated. */
+  /** The zone of the transaction's instance was evacuated. */
   | { readonly kind: 'zoneEvacuated' }
-  /** The instance is cold, and no more may be sent to it now. */
+  /** The instance is in slow start, and its request rate is used up. */
   | { readonly kind: 'slowStart' }
   /** The instance answered BEGIN with an error. */
   | { readonly kind: 'beginAnswered'; readonly error: InstanceErrorKind };
@@ -48,32 +44,32 @@
     }
   /** The instance of a transaction answered with an error. */
   | { readonly kind: 'transactionAnswered'; readonly error: InstanceErrorKind | undefined }
-  /** No primary is trusted by this proxy. */
+  /** This proxy holds no lease on a primary. */
   | { readonly kind: 'noTrustedPrimary' }
-  /** No replica is fresh enough, and no primary is trusted. */
+  /** No replica is fresh enough, and there is no trusted primary. */
   | { readonly kind: 'noInstanceForRead' }
-  /** The homes of the request leave no instance that may run it. */
+  /** No instance is in the allowed regions of the request. */
   | { readonly kind: 'outsideHomes' }
-  /** Only the primary could run it, and that is in an evacuated zone. */
+  /** Only the primary could run the request, and it is in an evacuated zone. */
   | { readonly kind: 'primaryEvacuated' }
-  /** The leader has no operation left for the tenant. */
+  /** The tenant has used up its operation limit. */
   | { readonly kind: 'tenantOverLimit'; readonly retryAfterMs: number }
-  /** No control machine answered the request for an operation. */
+  /** No control machine answered the request to grant an operation. */
   | { readonly kind: 'noGrant' }
-  /** No tenant holds the caller's credential. */
+  /** The caller's credential belongs to no tenant. */
   | { readonly kind: 'credentialUnknown' }
-  /** Control has not confirmed the document lately, so the credential may have been taken away. */
+  /** Control has not confirmed the document recently, so the credential may have been revoked. */
   | { readonly kind: 'credentialUnproven' }
-  /** The proxy has started and has no configuration yet. */
+  /** The proxy is starting and has received no configuration yet. */
   | { readonly kind: 'noConfiguration' };
 
-/** Why another attempt follows, as the retry metric and the line of a retry name it. */
+/** Why another attempt follows, as reported by the retry metric and the retry log line. */
 export type RetryCause =
   | RefusalCause
-  /** A read outside a transaction: how its attempt ended, or the error that the instance answered. */
+  /** A read outside a transaction: the outcome of its attempt, or the error that the instance returned. */
   | { readonly kind: 'readAttempt'; readonly ending: 'notRun' | 'lost' | InstanceErrorKind };
 
-/** Whether a cold instance could be sent no more. */
+/** Whether the request was refused because the rate of a cold instance is used up. */
 export function isSlowStartCause(cause: RefusalCause): boolean {
   if (cause.kind === 'attemptFailed') return cause.failure.kind === 'slowStart';
   return cause.kind === 'slowStart';
--- a/src/appointed/routing/replica_selector.ts
+++ b/src/appointed/routing/replica_selector.ts
@@ -1,13 +1,9 @@
 /**
- * Order in which instances are tried for a read.
+ * Orders the instances that may serve a read by estimated cost, cheapest first.
  *
- * Situation: several instances could serve a read; some are slow, failing, far away, or needed for writes.
- * Inputs: for each instance its zone, whether it is the primary, and what this proxy saw of it: smoothed latency in
- * milliseconds, statements under way, fraction of recent answers that failed (0 to 1), whether it is avoided now.
- * Rule: the cheapest first; cost = latency × (statements under way + 1) × the factors below. Replicas that lacked the wanted
- * position a moment ago are left out. The factors have no unit; no ablation of them was played
- * (docs/measurements/pieraksts.md, "Ablation").
- * Relies on nothing: a pure function.
+ * The cost is latency × (outstanding statements + 1) × the dimensionless factors below, which make slow, failing, remote and
+ * cold instances and the primary more expensive. Replicas that recently lacked the required position are left out. Pure: no
+ * I/O, no clock.
  */
 import type { Position } from '../../positions/position.js';
 import type { InstanceLoad } from '../connections/instance_load.js';
@@ -17,36 +13,30 @@
   readonly id: string;
   /** Zone of the instance. */
   readonly zone: string;
-  /** What this proxy saw of the instance. */
+  /** Load and failures of the instance as observed by this proxy. */
   readonly load: InstanceLoad;
-  /** Whether it leads its group. */
+  /** Whether it is the primary of its group. */
   readonly isPrimary: boolean;
-  /** Whether it warms up, so that it may get few requests only. */
+  /** Whether it is in slow start and accepts only a limited rate of requests. */
   readonly isCold?: boolean;
 }
 
-/**
- * Reads on a primary compete with its writes, so a replica of another zone is preferred. Guess, not measured by itself: set
- * in the round "reads stay in their zone more" (docs/measurements/platform.md).
- */
+/** Reads on a primary compete with its writes, so a replica in another zone is preferred. */
 const PRIMARY_COST_FACTOR = 6;
-/** Traffic to another zone costs latency and bytes. Guess, not measured by itself: set in the same round. */
+/** Requests to another zone add latency and cross-zone traffic. */
 const OTHER_ZONE_COST_FACTOR = 4;
-/** A cold instance comes after all warm ones that are not avoided. Guess, not measured. */
+/** Orders a cold instance after all warm ones that are not ejected. */
 const COLD_COST_FACTOR = 500;
-/** An instance that is avoided after a broken connection or a missing answer comes last. Guess, not measured. */
+/** Orders an instance last that is ejected after a lost connection or a timeout. */
 const EJECTED_COST_FACTOR = 1000;
-/**
- * An instance that fails all requests costs 1 + this many times as much; one that fails a fraction of them, that fraction of
- * it. Guess, not measured.
- */
+/** The cost is multiplied by 1 + this factor × the fraction of failed requests. */
 const FAILURE_COST_FACTOR = 30;
 
-/** Circumstances of one read. */
+/** Parameters of one read. */
 export interface ReadContext {
   /** Zone of this proxy. */
   readonly zone: string;
-  /** Time on the clock of this process, in milliseconds. */
+  /** Current time on the clock of this process, in milliseconds. */
   readonly now: number;
   /** Position that a replica must have applied. */
   readonly minimumPosition: Position | undefined;
@@ -63,13 +53,13 @@
   return result;
 }
 
-/** Whether a replica lacked the wanted position a moment ago: asked now it would most likely refuse again. */
+/** Whether a replica recently lacked the required position and would probably refuse the read again. */
 function isKnownBehind(candidate: ReadCandidate, context: ReadContext): boolean {
   if (candidate.isPrimary || !context.minimumPosition) return false;
   return candidate.load.isBehind(context.minimumPosition, context.now);
 }
 
-/** Candidates that may have the wanted position, cheapest first. */
+/** Candidates that may have the required position, cheapest first. */
 export function orderReadCandidates(
   candidates: readonly ReadCandidate[],
   context: ReadContext,
--- a/src/appointed/routing/request_allowed_regions.ts
+++ b/src/appointed/routing/request_allowed_regions.ts
@@ -1,9 +1,9 @@
 /**
- * The homes of a request at its proxy: which regions bind it now, which instances they leave, and why it is refused when they leave
- * none. The rule itself is in placement/data_residency.ts.
+ * Applies the allowed regions of a request's route and tenant at the proxy: which instances may run the request, and whether
+ * it is refused because none may. The rule itself is in placement/data_residency.ts.
  *
- * Owns nothing. Relies on the document in force: a newer one binds open sessions and transactions too. Where it does not have
- * the route or the tenant any more, those with which the request was admitted count.
+ * Uses the newest routing document, so that a changed document also applies to open sessions and transactions. If it no longer
+ * contains the route or the tenant, those under which the request was admitted apply.
  */
 import type { Route } from '../catalog/route_table.js';
 import {
@@ -17,7 +17,7 @@
 import type { RequestDeadline } from './request_deadline.js';
 import type { RetryBackoff } from './retry_backoff.js';
 
-/** Regions to which a request is bound now. */
+/** Regions in which a request may run under the newest document. */
 export function allowedRegionsOf(
   { table }: ProxyContext,
   route: Route,
@@ -28,7 +28,7 @@
   return intersectAllowedRegions(currentRoute.allowedRegions, currentTenant.allowedRegions);
 }
 
-/** Whether an instance may run a request with these homes. */
+/** Whether an instance is in the allowed regions. */
 export function isInstanceAllowed(
   context: ProxyContext,
   regions: AllowedRegions,
@@ -38,14 +38,14 @@
   return isWithinAllowedRegions(regions, context.instances.zoneOf(instance), context.regionByZone);
 }
 
-/** Whether homes keep a request from the primary that is trusted now; false where none is. */
+/** Whether the currently trusted primary is outside the allowed regions; false if there is none. */
 function isPrimaryOutside(context: ProxyContext, group: string, regions: AllowedRegions): boolean {
   if (regions === undefined) return false;
   const primary = context.leases.primaryOf(group, context.clock.now());
   return primary !== undefined && !isInstanceAllowed(context, regions, primary.instance);
 }
 
-/** Whether homes leave any instance of a group that takes new work; a cold one may have room for it in a moment. */
+/** Whether any instance of a group that accepts new work is in the allowed regions, including cold ones. */
 function hasAllowedInstance(
   context: ProxyContext,
   group: string,
@@ -58,8 +58,8 @@
 }
 
 /**
- * Whether it is in vain to wait for a primary: the trusted one is outside the homes, or no instance is within them. While none is
- * trusted, the next one may be within.
+ * Whether waiting for a primary can't help: the trusted one is outside the allowed regions, or no instance is in them. While no
+ * primary is trusted, the next one may be in an allowed region.
  */
 export function isExcludedByAllowedRegions(
   context: ProxyContext,
@@ -70,8 +70,9 @@
 }
 
 /**
- * Waits a moment for a position of a primary outside the homes, without which no replica within them may serve a read. Resolves with
- * whether the read may be planned anew.
+ * Waits one backoff interval for a position of a primary outside the allowed regions. Replicas in these regions can't serve a
+ * read before a minimum position is known.
+ * @returns whether the read should be planned again
  */
 export async function awaitPrimaryPosition(
   context: ProxyContext,
@@ -90,7 +91,10 @@
   return true;
 }
 
-/** Why there was no instance for a request, with another cause where homes did not decide. */
+/**
+ * Cause of a refusal because no instance was available.
+ * @param fallback - cause when the allowed regions are not the reason
+ */
 export function noInstanceCause(
   context: ProxyContext,
   route: Route,
--- a/src/appointed/routing/request_deadline.ts
+++ b/src/appointed/routing/request_deadline.ts
@@ -1,58 +1,45 @@
 /**
- * How long a request waits, for what, and when it is given up.
+ * Time limits of one request: how long it waits for each resource, and when it is refused instead of retried.
  *
- * Situation: an instance, a primary or control may answer late or never, while the caller could be served elsewhere.
- * Inputs: the route's `timeout_ms` (the statement must be over) and `target_latency_ms` (the objective of the operation),
- * the time since the request arrived, and the slow-answer threshold of an instance; all in milliseconds.
- * Rule, in the order in which a read waits; each limit counts from the arrival of the request, unless said:
+ * The limits derive from the route's `timeout_ms` (end of the statement) and `target_latency_ms` (latency objective of the
+ * operation), so that a request that one instance can't serve in time is sent to another instance, or refused early enough for
+ * the caller to retry elsewhere. They count from the arrival of the request unless stated otherwise. A read waits, in this order:
  *
- * 1. for an operation within the tenant's limit: `offerRemaining`;
- * 2. for the first positions after a start: see `awaitFloor` of the proxy (50 ms after the start of the process);
- * 3. for a trusted primary, where no replica may serve it: `primaryWait`;
- * 4. for a connection: `connectionWait`, a part of `offerRemaining` for each instance that is left;
- * 5. for an answer: `readAnswerTimeout`, from the moment the statement is sent;
- * 6. between two rounds over the instances: retry_pause.ts;
- * 7. it is refused once `allowsRetry` is false, or when less than MINIMUM_ATTEMPT_MS is left of the time-out.
+ * 1. for an operation of the tenant's limit: `firstAttemptRemainingMs`;
+ * 2. for the first positions after the start of the process: `awaitMinimumPosition` of the proxy;
+ * 3. for a trusted primary, if no replica may serve the read: `primaryWaitMs`;
+ * 4. for a connection: `connectionWaitMs`, divided among the remaining instances;
+ * 5. for an answer: `readAnswerTimeoutMs`, counted from when the statement is sent;
+ * 6. between two rounds over all instances: retry_backoff.ts.
  *
- * Writes wait in the same way, but for an answer until the time-out. Statements of a transaction have `statementTimeout`.
- * Relies on the clock of this process only.
+ * It is refused once `allowsRetry` or `allowsAttempt` is false. Writes wait in the same order, but for an answer until the
+ * timeout. Statements of a transaction wait for `statementTimeoutMs`.
  */
 import type { Clock } from '../../runtime/runtime.js';
 import type { Route } from '../catalog/route_table.js';
 import { EXPECTED_PRIMARY_CHANGE_MS } from './retry_after.js';
 
-/**
- * Fraction of the target latency that a request waits without being offered to an instance. 0.7 was tried: 0.720 → 0.714
- * over four days (docs/measurements/pieraksts.md).
- */
+/** Fraction of the target latency that a request may wait before it is first sent to an instance. */
 const FIRST_ATTEMPT_WAIT_FRACTION = 0.4;
 /**
- * Fraction of the target latency that a request waits for a lease: a proxy without one has been cut off from control for
- * seconds, and hardly regains it just then; refused early, the caller can try elsewhere. Set together with two other
- * changes: score of a day with faults 0.618 → 0.632 (docs/measurements/pieraksts.md).
+ * Fraction of the target latency that a request may wait for a lease on the primary. It is short because a proxy without a
+ * lease has been partitioned from control for seconds; after an early refusal the caller can use another proxy.
  */
 const LEASE_WAIT_FRACTION = 0.2;
-/** Both waits above last so long at least, in milliseconds. Guess, not measured. */
+/** Lower bound of both waits above. */
 const MIN_FIRST_ATTEMPT_WAIT_MS = 20;
-/**
- * Fraction of the time-out after which a request that could come back later is refused. Guess, not measured by itself; as
- * the limit of the wait at connection owners it was played against OFFER_FRACTION at different load
- * (docs/design/shifted-work.md).
- */
+/** Fraction of the timeout after which a request is refused instead of retried. */
 const RETRY_TIMEOUT_FRACTION = 0.6;
-/** An attempt for which less time is left is not begun, in milliseconds. Guess, not measured. */
+/** An attempt is not started with less time than this until the timeout. */
 const MIN_ATTEMPT_MS = 5;
-/** Fraction of the target latency that each attempt of a read gets at least. Guess, not measured. */
+/** Lower bound of the answer timeout of a read, as a fraction of the target latency. */
 const MIN_READ_TIMEOUT_FRACTION = 0.4;
-/** Fraction of the target latency that each statement of a transaction gets at least. Guess, not measured. */
+/** Lower bound of the answer timeout of a statement in a transaction, as a fraction of the target latency. */
 const MIN_STATEMENT_TIMEOUT_FRACTION = 0.6;
-/**
- * Time for the answer to a ROLLBACK, in milliseconds; its caller does not wait for it. After it the connection is closed.
- * Guess, not measured.
- */
+/** Timeout of a ROLLBACK, which runs in the background; afterwards the connection is closed. */
 export const ROLLBACK_TIMEOUT_MS = 1000;
 
-/** Limits of one request, on the clock of this process. */
+/** Time limits of one request on the clock of this process. */
 export class RequestDeadline {
   /** When the request arrived. */
   readonly arrivedAt: number;
@@ -69,38 +56,39 @@
     return this.clock.now() - this.arrivedAt;
   }
 
-  /** Milliseconds until the statement must be over. */
+  /** Milliseconds until the timeout of the statement. */
   get remainingMs(): number {
     return this.route.timeoutMs - this.elapsedMs;
   }
 
-  /** Milliseconds within which an answer meets the objective; negative when it is missed. */
+  /** Milliseconds until the latency objective is missed; negative afterwards. */
   get objectiveRemainingMs(): number {
     return this.route.targetLatencyMs - this.elapsedMs;
   }
 
-  /** Milliseconds that the request may still wait for a grant or for a first instance. */
+  /** Milliseconds that the request may still wait before it is first sent to an instance. */
   get firstAttemptRemainingMs(): number {
     return this.remainingOfTargetMs(FIRST_ATTEMPT_WAIT_FRACTION);
   }
 
-  /** Whether enough time is left to begin an attempt. */
+  /** Whether enough time is left to start an attempt. */
   get allowsAttempt(): boolean {
     return this.remainingMs > MIN_ATTEMPT_MS;
   }
 
   /**
-   * Whether another attempt is worth while. A request that no instance was offered is refused early, so that
-   * its caller can go elsewhere.
+   * Whether the request should be retried rather than refused.
+   * @param wasSent - whether an instance has received it; otherwise it is refused early, so that its caller can use another
+   *   proxy
    */
   allowsRetry(wasSent: boolean): boolean {
     return wasSent ? this.retryRemainingMs > 0 : this.firstAttemptRemainingMs > 0;
   }
 
   /**
-   * Milliseconds that the request may wait for a trusted primary from now on. A change that should end before the request
-   * is given up is waited for.
-   * @param changeAgeMs - how long a change of primary has been under way; undefined when there is none
+   * Milliseconds that the request may wait for a trusted primary from now on. It waits for a change of primary that is
+   * expected to end before the retry limit.
+   * @param changeAgeMs - how long a change of primary has been in progress; undefined if there is none
    */
   primaryWaitMs(changeAgeMs: number | undefined): number {
     if (changeAgeMs === undefined) return this.remainingOfTargetMs(LEASE_WAIT_FRACTION);
@@ -109,19 +97,20 @@
   }
 
   /**
-   * Milliseconds that a statement may wait for a connection to one instance. A connection owner knows its queue and refuses
-   * at once a statement that it would serve too late, so at the only instance that is left the wait there may be long.
-   * @param queuesAtOwner - whether statements of all proxies queue at few connection owners
-   * @param targetsLeft - instances that are left to try, this one included
+   * Milliseconds that a statement may wait for a connection to one instance. If it queues at a connection owner, the wait for
+   * the last remaining instance may be long: the owner knows its queue and immediately refuses what it would serve too late.
+   * @param queuesAtOwner - whether statements of all proxies queue at a few connection owners
+   * @param remainingTargets - instances left to try, including this one
    */
   connectionWaitMs(queuesAtOwner: boolean, remainingTargets = 1): number {
     return Math.max(MIN_ATTEMPT_MS, this.connectionWaitLimitMs(queuesAtOwner, remainingTargets));
   }
 
   /**
-   * Milliseconds for an instance's answer to a read. A later answer is most likely lost, so another instance is tried.
-   * Where there is none, it is waited for until the request is given up.
+   * Milliseconds to wait for the answer to a read before another instance is tried. The last instance gets until the retry
+   * limit.
    * @param slowAnswerMs - slow-answer threshold of the instance
+   * @param isLastTarget - whether no other instance is left to try
    */
   readAnswerTimeoutMs(slowAnswerMs: number, isLastTarget: boolean): number {
     const usualMs = Math.max(slowAnswerMs, this.route.targetLatencyMs * MIN_READ_TIMEOUT_FRACTION);
@@ -130,8 +119,8 @@
   }
 
   /**
-   * Milliseconds for an instance's answer to a statement of a transaction, if that much is left. A later answer is most
-   * likely lost; nothing is kept then, so the caller may begin again at once.
+   * Milliseconds to wait for the answer to a statement of a transaction. After a timeout the transaction is rolled back, so
+   * the caller can start it again immediately.
    * @param slowAnswerMs - slow-answer threshold of the instance
    */
   statementTimeoutMs(slowAnswerMs: number): number {
@@ -143,7 +132,7 @@
     return queuesAtOwner ? this.retryRemainingMs : this.firstAttemptRemainingMs;
   }
 
-  /** Milliseconds in which another attempt is worth while. */
+  /** Milliseconds until the request is refused instead of retried. */
   private get retryRemainingMs(): number {
     return this.route.timeoutMs * RETRY_TIMEOUT_FRACTION - this.elapsedMs;
   }
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -1,16 +1,10 @@
 /**
- * Which instances may run a statement, and in which order they are tried.
+ * Plans which instances may run a statement, and in which order they are tried.
  *
- * Situation: a write may run on the trusted primary only; a read on every instance that its route's policy finds fresh
- * enough.
- * Inputs: the route's policy with its staleness bound in milliseconds, the time when the read or its transaction began, the
- * newest commit of the session, the instances that were tried already.
- * Homes of the request (request_homes.ts) bind both: an instance outside them is never a target.
- * Rule: a read gets a position floor (position_floor.ts); replicas come in the order of replica_selector.ts, the trusted
- * primary at its place among them, or last. Without a floor only the primary may serve the read. An instance in an evacuated
- * zone is no target; a primary there is one until the zone is closed, for a read only where nothing else is left.
- * Relies on: the lease on the primary (it may have ended: then the primary is no target), positions of the primary (they
- * may be missing or too old: then there is no floor), and the pools (an instance without one is left out).
+ * A write runs on the trusted primary only. A read runs on any replica that has applied its minimum position
+ * (minimum_position.ts), ordered by replica_selector.ts together with the trusted primary; without a minimum position only the
+ * primary may serve it. Instances outside the request's allowed regions (request_allowed_regions.ts) and in evacuated zones are
+ * left out. A primary in an evacuated zone is used until the zone is closed, for a read only if nothing else is left.
  */
 import { type Position, latest } from '../../positions/position.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
@@ -21,10 +15,7 @@
 import type { ProxyContext } from '../proxy/proxy_context.js';
 import type { Tenant } from '../tenancy/tenant.js';
 
-/**
- * Position floors are taken this much younger than the staleness bound, in milliseconds: for clocks that run at different
- * speeds, and for answers that were read late. Guess, not measured.
- */
+/** Subtracted from the staleness bound to allow for clock drift and for answers that were read late. */
 const STALENESS_MARGIN_MS = 100;
 
 /** An instance that may run a statement. */
@@ -39,23 +30,23 @@
   readonly primaryEpoch?: number;
   /** Position that a replica must have applied. */
   readonly minimumPosition?: Position;
-  /** Regions to which the statement is bound; they bind its way to the instance too. */
+  /** Regions that the statement may reach, which includes the connection owner that relays it. */
   readonly homes?: AllowedRegions;
 }
 
-/** A read to be planned. */
+/** Parameters of a read plan. */
 export interface ReadPlanRequest {
-  /** Route whose policy tells how fresh an instance must be. */
+  /** Route whose policy sets the required freshness. */
   readonly route: Route;
-  /** Tenant of the caller, whose homes bind it too. */
+  /** Tenant of the caller, which may restrict the allowed regions further. */
   readonly tenant: Tenant;
-  /** When the first byte of the read, or of its transaction, arrived. */
+  /** When the first byte of the read, or of its transaction, was received. */
   readonly firstByteAt: number;
-  /** Newest commit of the same session. */
+  /** Position of the newest commit of the same session. */
   readonly ownPosition: Position | undefined;
 }
 
-/** The trusted primary of a group. */
+/** The trusted primary of a group, unless its zone is closed by an evacuation. */
 function primaryTarget(context: ProxyContext, group: string): Target | undefined {
   const primary = context.leases.primaryOf(group, context.clock.now());
   const pool = primary && context.instances.connectionsTo(primary.instance);
@@ -64,7 +55,7 @@
   return { instance: primary.instance, pool, group, primaryEpoch: primary.epoch };
 }
 
-/** The trusted primary, if a statement with these homes may go there. */
+/** The trusted primary, if it is in the allowed regions. */
 export function primaryWithinRegions(
   context: ProxyContext,
   group: string,
@@ -75,14 +66,14 @@
   return isInstanceAllowed(context, homes, primary.instance) ? { ...primary, homes } : undefined;
 }
 
-/** Whether answers of a target count now: those of replicas always, those of a primary under its lease. */
+/** Whether answers of a target may be used: always for a replica, only under the lease for a primary. */
 export function isTargetTrusted(context: ProxyContext, target: Target): boolean {
   const { primaryEpoch, group } = target;
   if (primaryEpoch === undefined) return true;
   return context.leases.accepts(group, primaryEpoch, context.clock.now());
 }
 
-/** Position that a replica must have applied for a read; undefined when only the primary may serve it. */
+/** Position that a replica must have applied for a read; undefined if only the primary may serve it. */
 function minimumReadPosition(
   context: ProxyContext,
   request: ReadPlanRequest,
@@ -96,7 +87,7 @@
   return latest(minimum, request.ownPosition);
 }
 
-/** Targets of a read, best first. */
+/** Targets of a read that were not tried yet, in the order in which they should be tried. */
 export function planRead(
   context: ProxyContext,
   request: ReadPlanRequest,
