--- a/src/appointed/placement/data_residency.ts
+++ b/src/appointed/placement/data_residency.ts
@@ -1,18 +1,15 @@
 /**
- * DECISION: where a request that is bound to regions may go.
+ * Data residency: routes and tenants can restrict their requests to regions that the data must not leave.
  *
- * Answers: routes and tenants name regions that data must not leave.
- * Inputs: regions of the route and of the tenant, the zone of an instance or of another proxy, the region of each zone as the
- *   settings tell it.
- * Rule: where both are bound, only regions of both count, which may be none. An instance may run the request, and a proxy other
- *   than the one to which the caller connected may get its body, only in such a region. A zone whose region is not known is in none.
- * Constants: none. See docs/design/data-residency.md. Tests: test/unit/data_residency.test.ts. Pure.
+ * If both the route and the tenant of a request are restricted, only regions allowed by both remain, possibly none. A request
+ * may run only on instances in an allowed region, and its body may be passed only to proxies in one. A zone without a
+ * configured region is in no region. Pure: no I/O, no clock.
  */
 
-/** Regions to which something is bound; undefined where it is bound to none. */
+/** Regions in which a request may run; undefined if it is not restricted. */
 export type AllowedRegions = ReadonlySet<string> | undefined;
 
-/** Homes of a request on a route, of a tenant: both bind. */
+/** Regions allowed by both the route and the tenant of a request. */
 export function intersectAllowedRegions(
   routeRegions: AllowedRegions,
   tenantRegions: AllowedRegions,
@@ -23,8 +20,8 @@
 }
 
 /**
- * Whether an instance in a zone may run a request with these homes, and another proxy in it may get its body.
- * @param zone - undefined where it is not known
+ * Whether the region of a zone is allowed, so that its instances may run the request and its proxies may receive the body.
+ * @param zone - undefined if unknown
  */
 export function isWithinAllowedRegions(
   allowedRegions: AllowedRegions,
--- a/src/appointed/placement/evacuated_zones.ts
+++ b/src/appointed/placement/evacuated_zones.ts
@@ -1,47 +1,43 @@
 /**
- * DECISION: what one proxy may still send to the instances of an evacuated zone. Owns the zones and since when they count as
- * evacuated; relies on control, which tells of orders: a proxy that hears nothing goes on as its leases allow.
+ * Tracks the evacuated zones at one proxy and decides what it may still send to their instances.
  *
- * Answers: the operator ordered that nothing more is sent to a zone. What is open there should end well, yet nothing may reach
- *   the zone later than a bound after the acknowledgement, which this proxy has not seen.
- * Inputs: orders in the updates of the catalog; when the newest request was sent whose reply did not tell of an order, and the
- *   present time (milliseconds on this process's clock); the bound of the settings.
- * Rule: the acknowledgement came later than that request, so parts of the bound are counted from there. At once nothing new
- *   goes to a zone but what only a primary there can run; from half of the bound on, or {@link CLOSED_MARGIN_MS} before its end,
- *   nothing is sent, and from half of that time on transactions that rest are ended. A zone that was evacuated before this
- *   process heard of control is closed.
+ * After the operator has ordered an evacuation, no request may reach the zone later than `evacuationMs` after the order was
+ * acknowledged. The proxy doesn't know when that was, but it was later than its newest request whose reply did not contain the
+ * order, so it counts from there. New requests stop immediately, except those that only a primary in the zone can run; idle
+ * transactions are ended next; finally the zone is closed and nothing is sent. A zone that was evacuated before this process
+ * first reached control is closed at once. A proxy that is partitioned from control is bounded by its leases instead.
  */
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
 /**
- * How far an evacuation has come, as this proxy may act on it.
- * - `begun`: what is open may go on, and a primary may be used;
- * - `rested`: transactions that have rested are ended;
- * - `closed`: nothing is sent.
+ * Stage of an evacuation at this proxy.
+ * - `begun`: open transactions may continue, and a primary in the zone may be used;
+ * - `rested`: idle transactions are ended;
+ * - `closed`: nothing is sent to the zone.
  */
 export type EvacuationStage = 'begun' | 'rested' | 'closed';
 
-/** Part of the bound (a ratio) after which nothing is sent. Guess, not measured. */
+/** Fraction of `evacuationMs` after which the zone is closed. */
 const CLOSED_FRACTION = 0.5;
 /**
- * Time before the end of the bound, in milliseconds, in which nothing may be sent in any case: a leader may answer for 500
- * though another one leads already, and a statement may wait for 1,500 at a connection owner that has not heard of the order.
+ * The zone is closed at least this long before `evacuationMs` ends: a deposed leader may still answer for 500 ms, and a
+ * statement may wait 1,500 ms at a connection owner that has not received the order.
  */
 const CLOSED_MARGIN_MS = 2000;
-/** Part of the time until then (a ratio) after which transactions that rest are ended. Guess, not measured. */
+/** Fraction of the time until the zone is closed after which idle transactions are ended. */
 const IDLE_TRANSACTION_FRACTION = 0.5;
 
 /** Evacuated zones of one proxy. */
 export class EvacuatedZones {
-  /** Time by which no order on the zone was acknowledged yet. */
+  /** Lower bound of the time at which the order for a zone was acknowledged, on the clock of this process. */
   private readonly orderNotBeforeByZone = new Map<string, number>();
-  /** Age of an order from which on nothing is sent, in milliseconds. */
+  /** Age of an order at which the zone is closed. */
   private readonly closedAfterMs: number;
 
   /**
-   * @param evacuationMs - from the acknowledgement until nothing may reach the zone, in milliseconds
+   * @param evacuationMs - time after the acknowledgement at which no request may reach the zone any more
    */
   constructor(
     evacuationMs: number,
@@ -62,8 +58,8 @@
   }
 
   /**
-   * Takes over orders of an update.
-   * @param provenAt - when the newest request was sent whose reply did not tell of these orders; -Infinity without one
+   * Applies the evacuation orders of a catalog update.
+   * @param notBefore - when the newest request was sent whose reply did not contain these orders; -Infinity if there is none
    */
   applyUpdate(update: whinyoke.ICatalogUpdate, notBefore: number): void {
     const evacuated = new Set<string>();
@@ -77,7 +73,7 @@
     for (const zone of evacuated) this.evacuate(zone, notBefore);
   }
 
-  /** Stage of a zone; undefined when it is not evacuated. */
+  /** Stage of a zone; undefined if it is not evacuated. */
   stageOf(zone: string, now: number): EvacuationStage | undefined {
     const notBefore = this.orderNotBeforeByZone.get(zone);
     if (notBefore === undefined) return undefined;
@@ -86,7 +82,7 @@
     return ageMs >= this.closedAfterMs * IDLE_TRANSACTION_FRACTION ? 'rested' : 'begun';
   }
 
-  /** A zone that is evacuated already stays in its stage. */
+  /** Starts an evacuation; one that has already started keeps its time. */
   private evacuate(zone: string, notBefore: number): void {
     if (this.orderNotBeforeByZone.has(zone)) return;
     this.orderNotBeforeByZone.set(zone, notBefore);
--- a/src/appointed/placement/placement_rules.ts
+++ b/src/appointed/placement/placement_rules.ts
@@ -1,25 +1,22 @@
-/**
- * Where requests may go, as the operator's settings bound it: regions of zones, evacuated zones, cold instances.
- * Immutable values; owns nothing, relies on nothing.
- */
+/** Limits from the operator's settings on where requests may be sent: regions of zones, evacuations, slow start. */
 
-/** Rules of one process on where requests go. */
+/** Placement rules of one process. */
 export interface PlacementRules {
   /** Region of each zone. */
   readonly regionByZone: ReadonlyMap<string, string>;
-  /** A machine that had contact with control for this long is bound by the times below, in milliseconds. */
+  /** A machine in contact with control for this long must meet the time limits below. */
   readonly contactTimeoutMs: number;
-  /** By how much the times below stretch at most while control is unstable, in milliseconds. */
+  /** Maximum extension of the time limits below while control is unstable. */
   readonly maxStretchMs: number;
-  /** From the acknowledgement of an evacuation until no request may reach the zone, in milliseconds. */
+  /** Time after the acknowledgement of an evacuation at which no request may reach the zone any more. */
   readonly evacuationMs: number;
-  /** The rate of a cold instance may be exceeded by this factor. */
+  /** Factor by which the request rate of a cold instance may be exceeded. */
   readonly slowStartOverage: number;
-  /** Requests in one second by which it may be exceeded besides. */
+  /** Additional requests per second by which it may be exceeded. */
   readonly slowStartTolerance: number;
 }
 
-/** Rules of a process whose settings name no zones and no bounds; the bounds are those of the platform, in milliseconds. */
+/** Rules for settings that name no zones and no limits; these are the limits of the platform. */
 export const DEFAULT_PLACEMENT_RULES: PlacementRules = {
   regionByZone: new Map(),
   contactTimeoutMs: 5000,
--- a/src/appointed/placement/request_window.ts
+++ b/src/appointed/placement/request_window.ts
@@ -1,24 +1,20 @@
-/**
- * Counts requests in a sliding window of time. Owns the times of those in the window, at most as many as were ever allowed in
- * one; relies on a clock that never goes back.
- */
+/** Counts requests to one instance in a sliding time window. The clock must be monotonic. */
 
-/** Window of one instance. */
 export class RequestWindow {
-  /** When each request of the window was sent, oldest first. */
+  /** When each request in the window was sent, oldest first. */
   private readonly sentAt: number[] = [];
-  /** Requests that wait for a connection, so that no more are let in than can be sent. */
+  /** Requests that are waiting for a connection; they count as sent when another request asks to wait. */
   reservedCount = 0;
 
   constructor(private readonly lengthMs: number) {}
 
-  /** Whether one more keeps the window within `most`, when all that wait have been sent. */
+  /** Whether one more request keeps the window within `maxRequests` once all reserved ones have been sent. */
   hasRoom(maxRequests: number, now: number): boolean {
     this.removeExpired(now);
     return this.sentAt.length + this.reservedCount < maxRequests;
   }
 
-  /** Counts a request that is sent now, if it keeps the window within `most`; returns whether it does. */
+  /** Counts a request sent now if it keeps the window within `maxRequests`; returns whether it may be sent. */
   tryAcquire(maxRequests: number, now: number): boolean {
     this.removeExpired(now);
     const mayBeSent = this.sentAt.length < maxRequests;
--- a/src/appointed/placement/servable_routes.ts
+++ b/src/appointed/placement/servable_routes.ts
@@ -1,25 +1,23 @@
 /**
- * DECISION: how many bound routes of a group a primary in a zone may serve, by which primaries are placed.
+ * Counts the region-restricted routes of a group that a primary in a given zone could serve. Control uses the count to choose
+ * among instances that hold every acknowledged commit, so that a primary is not placed where its routes can't use it; it never
+ * overrides that condition.
  *
- * Answers: homes of routes, which a primary elsewhere can't serve.
- * Inputs: routes of the newest document, region of each zone.
- * Rule: a route counts when it is bound to the region of the zone; one that is bound to none may be served by all alike. Homes of tenants
- *   bind single requests and don't count. The number decides among instances that provably hold every acknowledged commit, never about the proof (`failover/candidate.ts`).
- * Constants: none. See docs/design/data-residency.md. Tests: test/unit/primary_homes.test.ts. Pure.
+ * Only routes are counted: unrestricted ones can be served from any zone, and restrictions of tenants apply to single requests.
  */
 import type { InstanceEntry } from '../catalog/instance_table.js';
 import type { RouteTable } from '../catalog/route_table.js';
 import { type AllowedRegions, isWithinAllowedRegions } from './data_residency.js';
 
-/** What places primaries. */
+/** Inputs for the placement of primaries. */
 export interface PrimaryPlacement {
-  /** Newest document; its table is undefined before the first. */
+  /** Newest document; its table is undefined before the first one is received. */
   readonly document: { readonly table: RouteTable | undefined };
-  /** Region of each zone that the settings name. */
+  /** Region of each zone named in the settings. */
   readonly regionByZone: ReadonlyMap<string, string>;
 }
 
-/** Homes of the bound routes of each group, by document: control looks at all groups many times a second. */
+/** Restricted routes of each group, cached per document since control checks all groups many times a second. */
 const restrictedRoutesByTable = new WeakMap<
   RouteTable,
   ReadonlyMap<string, readonly AllowedRegions[]>
@@ -37,7 +35,7 @@
   return restrictedRoutes;
 }
 
-/** Number of bound routes of its group that an instance may serve as the primary. */
+/** Number of restricted routes of its group that an instance could serve as the primary. */
 export function countServableRoutes(
   instance: InstanceEntry | undefined,
   { document: { table }, regionByZone }: PrimaryPlacement,
--- a/src/appointed/placement/slow_start_budget.ts
+++ b/src/appointed/placement/slow_start_budget.ts
@@ -1,36 +1,29 @@
 /**
- * DECISION: how many requests may be sent to a cold instance, and when another proxy may send them. Pure: owns nothing, relies
- * on nothing that may fail.
+ * Bounds the request rate of a cold instance, that is, one that is new or returns from an evacuation.
  *
- * Answers: an instance that is new, or came back from an evacuation, before many proxies, some of which control can't reach.
- * Inputs: requests a second of the group's slow start, overage (factor) and tolerance (requests) of the settings; when control
- *   heard from the proxy that holds the instance (milliseconds on the leader's clock).
- * Rule: one proxy, the holder, sends all requests, rate x overage + tolerance in any {@link WINDOW_MS}; a part of them only to
- *   urgent ones. Another one may follow when the holder's lease has ended and a whole window has passed: then the windows of
- *   the two don't overlap, and no second holds requests of both.
- * Shown by: docs/design/slow-start.md (proof), test/unit/slow_start.test.ts (drawn schedules).
+ * One proxy, the slow-start lease holder, sends all requests to the instance: at most rate × overage + tolerance in any
+ * {@link SLOW_START_WINDOW_MS}, a part of them reserved for urgent requests. Another proxy may take over once the holder's lease
+ * has expired and a whole window has passed, so that the windows of the two never overlap and no second contains requests of
+ * both. The proof is in docs/design/slow-start.md. Pure: no I/O, no clock.
  */
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import type { SlowStart } from '../catalog/route_table.js';
 import { LEASE_MS } from '../leases/lease_times.js';
 import type { PlacementRules } from './placement_rules.js';
 
-/**
- * Requests may arrive closer together than they were sent, by the difference of their trips, in milliseconds. One that travels
- * longer was sent before the second in which it arrives. Guess, not measured.
- */
+/** Maximum difference of network delays, by which requests may arrive closer together than they were sent. */
 const MAX_ARRIVAL_JITTER_MS = 100;
-/** Length of the sliding window in which a holder counts, in milliseconds: the second of the bound, and the spread. */
+/** Sliding window in which the holder counts requests: the one second of the rate limit plus the arrival jitter. */
 export const SLOW_START_WINDOW_MS = MILLISECONDS_PER_SECOND + MAX_ARRIVAL_JITTER_MS;
-/** Difference of clocks that run at different speeds while a lease lasts, in milliseconds. Guess, not measured. */
+/** Allowance for clock drift between control and the holder during a lease. */
 const CLOCK_MARGIN_MS = 100;
-/** Fraction of the requests that is left to urgent ones. Guess, not measured. */
+/** Fraction of the requests that is reserved for urgent ones. */
 const URGENT_RESERVE_FRACTION = 0.25;
 
-/** Bounds of the settings on cold instances. */
+/** Settings that bound the request rate of cold instances. */
 export type SlowStartRules = Pick<PlacementRules, 'slowStartOverage' | 'slowStartTolerance'>;
 
-/** Requests that a cold instance may get in any second. */
+/** Maximum number of requests that a cold instance may receive in any second. */
 export function maxColdInstanceRequests(
   { requestsPerSecond }: SlowStart,
   rules: SlowStartRules,
@@ -38,27 +31,27 @@
   return Math.floor(requestsPerSecond * rules.slowStartOverage + rules.slowStartTolerance);
 }
 
-/** Requests in a window up to which one more may be sent; urgent ones may use all. */
+/** Part of `maxRequests` that a request may use; only urgent requests may use the reserve. */
 export function usableColdInstanceRequests(maxRequests: number, mayUseReserve: boolean): number {
   return mayUseReserve
     ? maxRequests
     : maxRequests - Math.ceil(maxRequests * URGENT_RESERVE_FRACTION);
 }
 
-/** Whether requests of a priority may use what is left to urgent ones; 0 is the most urgent. */
+/** Whether requests of a priority may use the reserve for urgent ones; 0 is the most urgent priority. */
 export function isUrgentPriority(priority: number): boolean {
   return priority === 0;
 }
 
-/** What control knows of a run of a proxy. */
+/** Last contact of control with one incarnation of a proxy. */
 export interface IncarnationContact {
-  /** When its newest request came, or the latest moment when one may have come to a former leader. */
+  /** When its newest request arrived, or the latest time at which one may have reached a former leader. */
   readonly lastRequestAt: number;
-  /** Whether it said with that request that it leaves: it has sent nothing to cold instances since. */
+  /** Whether that request announced a shutdown, after which the proxy sends nothing to cold instances. */
   readonly hasLeft: boolean;
 }
 
-/** When another run may send in place of this one. */
+/** Earliest time at which another incarnation may become the lease holder. */
 export function earliestSuccessorAt({ lastRequestAt, hasLeft }: IncarnationContact): number {
   return lastRequestAt + (hasLeft ? 0 : LEASE_MS) + CLOCK_MARGIN_MS + SLOW_START_WINDOW_MS;
 }
--- a/src/appointed/placement/slow_start_gate.ts
+++ b/src/appointed/placement/slow_start_gate.ts
@@ -1,9 +1,9 @@
 /**
- * A proxy's check before it sends a request to a cold instance. Only the holder that the catalog names sends, under a lease of
- * control, what its window has room for (slow_start_budget.ts); all other proxies relay to it.
+ * A proxy's admission check for requests to a cold instance. Only the holder named by the catalog sends such requests, under a
+ * lease from control and within its sliding window (slow_start_budget.ts); all other proxies relay to the holder.
  *
- * Owns the lease and the windows of one run; they are never cleared, so that an instance that turns cold again goes on with its
- * window. Relies on control for the lease: unheard, it ends, and nothing is sent.
+ * The lease expires when control is unreachable, after which nothing is sent. Windows are never cleared, so that an instance
+ * that becomes cold again continues with its old window.
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { SlowStart } from '../catalog/route_table.js';
@@ -18,38 +18,37 @@
   usableColdInstanceRequests,
 } from './slow_start_budget.js';
 
-/** Refusals at one instance are reported once in this time, in milliseconds: one line a second can be read. */
+/** Minimum interval between log lines about refusals for the same instance. */
 const REFUSAL_LOG_INTERVAL_MS = 1000;
 
-/** What the gate needs of its proxy. */
+/** What the gate needs from its proxy. */
 export interface SlowStartGateDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** Identifier of this run among the runs of all proxies. */
+  /** Identifier of this incarnation among those of all proxies. */
   readonly incarnation: string;
   readonly rules: SlowStartRules;
-  /** Slow start of a group; undefined where its instances may be fully used from their start. */
+  /** Slow start settings of a group; undefined if its instances may be fully used from their start. */
   slowStartOf(group: string): SlowStart | undefined;
-  /** Whether this proxy said to control that it leaves: from then on it sends nothing. */
+  /** Whether this proxy has announced its shutdown to control and therefore sends nothing to cold instances. */
   isLeaving(): boolean;
 }
 
-/** Way of the requests for a cold instance. */
+/** How requests reach a cold instance. */
 export interface ColdInstanceRoute {
-  /** Address of the proxy that sends them; empty when none is known. */
+  /** Address of the lease holder; empty if none is known. */
   readonly holderAddress: string;
-  /** Whether they may go that way now, as far as this proxy knows. */
+  /** Whether requests can be sent now, as far as this proxy knows. */
   readonly canSend: boolean;
 }
 
-/** Ends the wait of a request for a connection. */
+/** Releases the reservation of a request that waited for a connection. */
 export type CancelReservation = () => void;
 
 const NO_RESERVATION: CancelReservation = () => undefined;
 
-/** Gate of one proxy. */
 export class SlowStartGate {
-  /** Requests to cold instances since the start: sent by this proxy, and refused. */
+  /** Requests to cold instances since the start of the process. */
   readonly counts = { sent: 0, refused: 0 };
   private leaseUntil = -Infinity;
   private readonly windows = new Map<string, RequestWindow>();
@@ -57,7 +56,7 @@
 
   constructor(private readonly dependencies: SlowStartGateDependencies) {}
 
-  /** Control granted the lease until then. */
+  /** Extends the lease granted by control; an earlier expiry than the current one has no effect. */
   extendLease(expiresAt: number): void {
     this.leaseUntil = Math.max(this.leaseUntil, expiresAt);
   }
@@ -66,7 +65,7 @@
     return this.slowStartOf(instance) !== undefined;
   }
 
-  /** Way of a request for an instance; undefined for a warm one. */
+  /** Route of a request to an instance; undefined for a warm one. */
   routeTo(instance: InstanceEntry, isUrgent: boolean): ColdInstanceRoute | undefined {
     const slowStart = this.slowStartOf(instance);
     if (!slowStart) return undefined;
@@ -81,8 +80,8 @@
   }
 
   /**
-   * Begins the wait of a request for a connection to an instance; undefined when the holder could not send it by then. Requests
-   * that others have to send, or that a warm instance gets, wait here for nothing.
+   * Reserves capacity for a request while it waits for a connection to an instance; undefined if the holder has none left.
+   * Requests to warm instances and requests that another proxy sends need no reservation.
    */
   reserve(instance: InstanceEntry, isUrgent: boolean): CancelReservation | undefined {
     const isSentFromHere = this.isCold(instance) && this.isHolder(instance);
@@ -96,7 +95,7 @@
     return () => window.reservedCount--;
   }
 
-  /** Counts a request that is sent to an instance now; false when it must not be sent. */
+  /** Counts a request that is sent to an instance now; returns false if it must not be sent. */
   admit(instance: InstanceEntry, isUrgent: boolean): boolean {
     const slowStart = this.slowStartOf(instance);
     if (!slowStart) return true;
@@ -111,7 +110,7 @@
     return false;
   }
 
-  /** Counts a request that was refused, and reports it now and then. */
+  /** Counts a refused request and logs it at most once per interval. */
   recordRefusal(instance: InstanceEntry): void {
     const { clock, log } = this.dependencies;
     const now = clock.now();
