--- a/src/appointed/sessions/caller_reply.ts
+++ b/src/appointed/sessions/caller_reply.ts
@@ -1,14 +1,11 @@
-/**
- * Answers to callers, independent of the protocol that carries them, and the verdict of each kind of error.
- * Relies on nothing.
- */
+/** Replies to callers, independent of their protocol, and the verdict of each kind of error. */
 import type { Verdict } from '../../errors/errors.js';
 import type { Position } from '../../positions/position.js';
 import type { TransactionState } from '../instance/instance_connection.js';
 
 /**
- * Kinds of errors told to callers, and what each tells of the caller's operation. `not_run` is a promise that nothing of
- * it is kept. See docs/operations/errors.md.
+ * Verdict of each kind of error on the caller's operation. `not_run` guarantees that none of its effects are kept. See
+ * docs/operations/errors.md.
  */
 const VERDICT_OF_KIND = {
   busy: 'not_run',
@@ -18,41 +15,40 @@
   unauthenticated: 'not_run',
   noDatabase: 'not_run',
   unknownName: 'not_run',
-  // Instances promise nothing with this answer, and it is passed on.
+  // Passed on from the instance, which doesn't guarantee that the statement did not run.
   malformed: 'may_have_run',
   inDoubt: 'may_have_run',
   timeout: 'may_have_run',
   failed: 'may_have_run',
 } as const satisfies Record<string, Verdict>;
 
-/** Kind of an error told to a caller. */
+/** Kind of an error that is returned to a caller. */
 export type CallerErrorKind = keyof typeof VERDICT_OF_KIND;
 
-/** Kinds that promise that nothing of the caller's operation is kept. */
+/** Kinds that guarantee that none of the operation's effects are kept. */
 export type NotRunErrorKind = {
   [Kind in CallerErrorKind]: (typeof VERDICT_OF_KIND)[Kind] extends 'not_run' ? Kind : never;
 }[CallerErrorKind];
 
-/** What a kind of error tells of the caller's operation. */
+/** Whether an operation with this kind of error may have run. */
 export function verdictOf(kind: CallerErrorKind): Verdict {
   return VERDICT_OF_KIND[kind];
 }
 
-/** An error told to a caller. */
+/** An error returned to a caller. */
 interface CallerError {
-  /** Kind, which has a verdict. */
   readonly kind: CallerErrorKind;
-  /** Text for people; that of a refusal ends in the time to come back. */
+  /** Human-readable text; that of a refusal ends with the retry delay. */
   readonly text: string;
 }
 
-/** A whole answer to a caller. */
+/** A complete reply to a caller. */
 export interface CallerReply {
-  /** Rows of the result, as the instance answered them. */
+  /** Result rows as returned by the instance. */
   readonly rows: readonly string[];
-  /** Signature of the instance, or `-` for what the proxy answers by itself. */
+  /** Signature of the instance, or `-` for a reply of the proxy itself. */
   readonly signature: string;
-  /** The error; undefined when the statement succeeded. */
+  /** Undefined if the statement succeeded. */
   readonly error?: CallerError;
   /** State of the caller's transaction after the statement. */
   readonly state: TransactionState;
@@ -60,23 +56,22 @@
   readonly position?: Position;
 }
 
-/** Answer to the caller of a write or commit. */
+/** Reply to a write or commit. */
 export interface WriteReply {
-  /** The answer itself. */
   readonly reply: CallerReply;
-  /** Position of the commit, when there was one. */
+  /** Position of the commit, if data was committed. */
   readonly commitPosition?: Position;
 }
 
-/** Signature of answers that no instance gave. */
+/** Signature of replies that no instance produced. */
 const PROXY_SIGNATURE = '-';
 
-/** A success that the proxy answers by itself. */
+/** Success reply of the proxy itself. */
 export function successReply(state: TransactionState): CallerReply {
   return { rows: [], signature: PROXY_SIGNATURE, state };
 }
 
-/** An answer of the proxy that tells an error. */
+/** Error reply of the proxy. */
 export function errorReply(
   kind: CallerErrorKind,
   text: string,
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -1,11 +1,9 @@
 /**
- * A caller's transaction.
+ * A caller's transaction. It pins one instance connection from its first statement (or an early BEGIN) to its end.
  *
- * Owns: one instance connection, from its first statement to its end; before that it holds nothing. Whether it wrote, and so
- * what the end of its connection means for the caller: certainly rolled back, or in doubt.
- * Relies on: target_planner.ts and the trusted primary for an instance (there may be none in time), the runner of statements
- * (the instance may refuse, fail, or not answer: nothing is kept before COMMIT is sent), and the lease on the primary (it may
- * end: an answer then counts no more).
+ * Nothing is kept before COMMIT is sent, so until then a failure means that the transaction was rolled back. A COMMIT without
+ * a trusted answer leaves a transaction that wrote in doubt: the connection was lost, the answer timed out, or the lease on
+ * the primary ended meanwhile.
  */
 import type { Position } from '../../positions/position.js';
 import { type CallerReply, type WriteReply, errorReply } from './caller_reply.js';
@@ -41,7 +39,7 @@
 import { type Target, isTargetTrusted, planRead } from '../routing/target_planner.js';
 import { awaitPrimary } from '../trust/primary_waiter.js';
 
-/** Identifier of the system's own statements. */
+/** Identifier of statements that the proxy sends on its own. */
 const INTERNAL_REQUEST_ID = '-';
 
 /** One transaction, from BEGIN to COMMIT, ROLLBACK or its failure. */
@@ -49,23 +47,23 @@
   private pinned: PinnedConnection | undefined;
   private hasWritten = false;
   private isRolledBack = false;
-  /** The BEGIN that is under way; resolves with the cause when it failed. */
+  /** The BEGIN in progress; resolves with the cause if it failed. */
   private pendingBegin: Promise<RefusalCause | undefined> | undefined;
 
   constructor(
     private readonly context: ProxyContext,
     private readonly runner: StatementRunner,
-    /** Route as of BEGIN. */
+    /** Route at the time of BEGIN. */
     readonly route: Route,
-    /** The operation that the tenant was allowed. */
+    /** Operation that was charged to the tenant. */
     readonly operation: AdmittedOperation,
-    /** Whether the caller began it for reads only. */
+    /** Whether the caller began it as read-only. */
     readonly readOnly: boolean,
     private readonly beganAt: number,
     private readonly ownPosition: Position | undefined,
   ) {}
 
-  /** Begins at an instance ahead of the first statement, which tries again when this fails. */
+  /** Begins at an instance ahead of the first statement, which retries if this fails. */
   beginEarly(content: SessionContent): void {
     void this.ensureBegun(
       INTERNAL_REQUEST_ID,
@@ -74,7 +72,7 @@
     );
   }
 
-  /** Runs a statement; after an error the transaction has failed and holds nothing any more. */
+  /** Runs a statement; after an error the transaction has failed and its connection is released. */
   async run(id: string, statement: DataStatement, content: SessionContent): Promise<CallerReply> {
     const deadline = new RequestDeadline(this.context.clock, this.route);
     const refusal = { id, deadline, state: 'failed' as const };
@@ -112,7 +110,6 @@
     };
   }
 
-  /** Commits. */
   async commit(id: string, content: SessionContent): Promise<WriteReply> {
     const deadline = new RequestDeadline(this.context.clock, this.route);
     const refusal = { id, deadline, state: 'idle' as const };
@@ -135,29 +132,29 @@
     }
   }
 
-  /** Rolls back; the connection is cleaned up in the background. */
+  /** Rolls back in the background. */
   rollback(id: string): void {
     this.isRolledBack = true;
-    // Not even ROLLBACK goes to a closed zone, or to an instance that a newer document puts out of reach; closing rolls back too.
+    // No ROLLBACK is sent to a closed zone or outside the allowed regions; closing the connection rolls back as well.
     if (this.isZoneClosed || !this.isWithinAllowedRegions()) this.discard();
     const { pinned } = this;
     this.pinned = undefined;
     if (!pinned) return;
     this.runner.exchange(pinned, { kind: 'rollback', id }, ROLLBACK_TIMEOUT_MS).then(
       (answer) => this.runner.release(pinned, answer),
-      // Nothing is lost: the instance rolls back when the connection closes.
+      // The instance rolls back when the connection closes.
       () => this.runner.discard(pinned),
     );
   }
 
-  /** Ends the transaction by closing its connection, which rolls back. */
+  /** Closes the connection, which rolls the transaction back. */
   discard(): void {
     const { pinned } = this;
     this.pinned = undefined;
     if (pinned) this.runner.discard(pinned);
   }
 
-  /** Decides whether a commit is kept, certainly not kept, or in doubt. */
+  /** Decides whether a commit succeeded, certainly failed, or is in doubt. */
   private evaluateCommit(attempt: Attempt, refusal: RefusedRequest): WriteReply {
     const pinned = this.pinned!;
     const cause = this.failureCause(attempt);
@@ -178,13 +175,13 @@
     return { reply, commitPosition: position };
   }
 
-  /** A commit without a trusted answer is in doubt, unless there was nothing to commit. */
+  /** A commit without a trusted answer is in doubt, unless the transaction wrote nothing. */
   private commitFailed(refusal: RefusedRequest, cause: RefusalCause): CallerReply {
     if (this.hasWritten) return replyInDoubt(this.context, refusal, cause);
     return refuse(this.context, refusal, 'aborted', cause);
   }
 
-  /** Runs a command on the held connection, and again while the instance answers that it is busy. */
+  /** Runs a command on the pinned connection; retries while the instance answers that it is busy. */
   private async attempt(
     command: InstanceCommand,
     content: SessionContent,
@@ -205,7 +202,7 @@
     }
   }
 
-  /** Ends the transaction after an error of the instance. */
+  /** Ends the transaction after the instance returned an error. */
   private failStatement(error: InstanceError, refusal: RefusedRequest): CallerReply {
     this.discard();
     if (error.kind === 'malformed' || error.kind === 'unknownName') {
@@ -214,7 +211,7 @@
     return refuse(this.context, refusal, 'aborted', transactionAnswered(error.kind));
   }
 
-  /** Begins at an instance, unless done already; returns the cause when none could begin. Nothing ran then. */
+  /** Begins at an instance unless this has been done; returns the cause if it failed, in which case nothing ran. */
   private async ensureBegun(
     id: string,
     deadline: RequestDeadline,
@@ -228,7 +225,7 @@
     return beginFailure;
   }
 
-  /** Begins at one instance after another, until one has begun or the time is up. */
+  /** Tries one instance after another until BEGIN succeeds or the deadline has passed. */
   private async tryTargets(
     id: string,
     deadline: RequestDeadline,
@@ -246,7 +243,7 @@
       if (failure === undefined) return undefined;
       cause = { kind: 'attemptFailed', instance: target.instance, failure };
       logRetry(this.context, { id, deadline }, target, failure);
-      // The primary is the last choice, so nothing else is left that could take it sooner.
+      // The primary is the last target, so no other instance could run it sooner.
       if (failure.kind === 'slowStart' && target.primaryEpoch !== undefined) break;
     }
     const { route, operation } = this;
@@ -254,7 +251,7 @@
     return cause ?? noInstanceCause(this.context, route, operation.tenant, fallback);
   }
 
-  /** The instance to try next; after a round over all of them, pauses and waits for the primary. */
+  /** The next target; after a round over all instances, backs off and waits for the primary. */
   private async nextTarget(
     deadline: RequestDeadline,
     triedInstances: Set<string>,
@@ -279,7 +276,7 @@
     return awaitPrimary(this.context, deadline, tenant);
   }
 
-  /** Begins at one instance; returns why it could not. */
+  /** Begins at one instance; returns the cause if it failed. */
   private async beginAt(
     target: Target,
     deadline: RequestDeadline,
@@ -300,7 +297,7 @@
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart')
         return { kind: 'slowStart' };
-      // Nothing ran. The pool counts its refusals by reason; the text of this cause names none.
+      // Nothing ran. The pool counts its refusals by reason, so this cause needs none.
       return { kind: 'noConnection' };
     }
     const command = {
@@ -327,7 +324,7 @@
     return error === 'slowStart' ? { kind: 'slowStart' } : { kind: 'beginAnswered', error };
   }
 
-  /** Whether nothing may be sent to the instance any more, since its zone is evacuated. */
+  /** Whether the zone of the instance is closed by an evacuation, so that nothing may be sent to it. */
   private get isZoneClosed(): boolean {
     return this.evacuationStage === 'closed';
   }
@@ -337,13 +334,13 @@
     return instance === undefined ? undefined : this.context.instances.evacuationStageOf(instance);
   }
 
-  /** Ends the transaction before its next statement is sent: nothing of it is kept. */
+  /** Ends the transaction before its next statement is sent, so that none of it is kept. */
   private abortEvacuated(refusal: RefusedRequest): CallerReply {
     this.discard();
     return refuse(this.context, refusal, 'aborted', { kind: 'zoneEvacuated' });
   }
 
-  /** Cause of an attempt that was not answered, or was answered with an error. Pools of evacuated zones end what rests. */
+  /** Cause of a failed attempt. Pools in evacuated zones close the connections of idle transactions. */
   private failureCause(attempt: Attempt): RefusalCause {
     if (attempt.outcome === 'answered') {
       return transactionAnswered(attempt.answer.error?.kind);
@@ -356,7 +353,7 @@
     return this.pinned !== undefined && isTargetTrusted(this.context, this.pinned.target);
   }
 
-  /** Whether the homes of now leave the instance, and the way to it, to the transaction. */
+  /** Whether the instance, and the proxy that relays to it, are in the regions allowed by the newest document. */
   private isWithinAllowedRegions(): boolean {
     const { context, pinned, route, operation } = this;
     if (!pinned) return true;
@@ -367,7 +364,7 @@
     );
   }
 
-  /** Why COMMIT may not be sent; undefined when it may. */
+  /** Why COMMIT must not be sent; undefined if it may be. */
   private commitRefusalCause(): RefusalCause | undefined {
     if (!this.isWithinAllowedRegions()) return { kind: 'outsideHomes' };
     return this.isPinnedTargetTrusted() ? undefined : { kind: 'leaseEnded' };
@@ -385,10 +382,10 @@
   }
 }
 
-/** Stands for an answer after which a connection can't be used again. */
+/** Passed to `release` in place of an answer so that the connection is closed. */
 const UNKNOWN_ANSWER: InstanceAnswer = { rows: [], signature: '', state: 'failed' };
 
-/** Cause of an error in a transaction, of its instance or of the holder of a cold one. */
+/** Cause of an error returned by the transaction's instance, or by the lease holder of a cold one. */
 function transactionAnswered(error: InstanceErrorKind | undefined): RefusalCause {
   return error === 'slowStart' ? { kind: 'slowStart' } : { kind: 'transactionAnswered', error };
 }
--- a/src/appointed/sessions/routed_session.ts
+++ b/src/appointed/sessions/routed_session.ts
@@ -1,10 +1,9 @@
 /**
- * One caller's session.
+ * Session of one caller: its values, prepared statements, open transaction, and the position of its newest commit, which later
+ * reads of the session must see if the route requires it.
  *
- * Owns: the session's values, prepared names, open transaction, and the position of its newest commit, which later reads of
- * the session must see where the route asks for that.
- * Relies on: the configuration in force (it may lack the database: NODATABASE), admission (the credential may be unknown
- * or unproven), allowances (the tenant may be over its limit), and the runners of statements, which answer in any case.
+ * Each operation is admitted first: the database must have a route, the credential must be valid, and the tenant must be within
+ * its operation limit. Otherwise it is refused without reaching an instance.
  */
 import type { Timer } from '../../runtime/runtime.js';
 import type { Position } from '../../positions/position.js';
@@ -26,26 +25,25 @@
 import { StatementRunner } from './statement_runner.js';
 import { CallerTransaction } from './caller_transaction.js';
 
-/** Text for a statement in a transaction that has failed. */
 const FAILED_TRANSACTION_TEXT = 'the transaction has failed; roll back';
 
-/** An operation that may begin. */
+/** An admitted operation. */
 interface AdmittedRequest {
   readonly route: Route;
   readonly deadline: RequestDeadline;
   readonly operation: AdmittedOperation;
 }
 
-/** An operation that may begin, or the answer to its caller. */
+/** An admitted operation, or the reply that refuses it. */
 type AdmissionResult = AdmittedRequest | { readonly refusal: CallerReply };
 
-/** Newest commit of a session and the group whose log it is in. */
+/** Position of a session's newest commit, and the group whose log contains it. */
 interface SessionCommit {
   readonly group: string;
   readonly position: Position;
 }
 
-/** Session of one caller connection. Statements are run one at a time. */
+/** Session of one caller connection. Callers must run one statement at a time. */
 export class RoutedSession {
   private readonly values = new Map<string, string>();
   private readonly preparedByName = new Map<string, PreparedShape>();
@@ -67,7 +65,7 @@
     this.singleStatements = new SingleStatementRunner(context, this.runner);
   }
 
-  /** State of the transaction as the caller sees it. */
+  /** Transaction state as seen by the caller. */
   get state(): TransactionState {
     return this.transactionState;
   }
@@ -92,7 +90,7 @@
     return reply;
   }
 
-  /** Ends the session since its caller is gone; an open transaction is rolled back. */
+  /** Ends the session after its caller has disconnected; an open transaction is rolled back. */
   close(): void {
     this.isClosed = true;
     this.idleTimer?.cancel();
@@ -221,7 +219,7 @@
     return reply;
   }
 
-  /** Lets an operation begin: the credential allows it, and the tenant is within its limit. */
+  /** Admits an operation if the credential is valid and the tenant is within its limit. */
   private async admit(id: string): Promise<AdmissionResult> {
     const { context, route, credential } = this;
     if (!route) return { refusal: errorReply('noDatabase', this.database, 'idle') };
@@ -244,13 +242,13 @@
     return { refusal: refuse(context, tenantRequest, 'busy', allowance.cause) };
   }
 
-  /** Whether the open transaction may go on: its tenant still holds the caller's credential. */
+  /** Whether the caller's credential still belongs to the tenant of the open transaction. */
   private isStillAuthorized({ route, operation }: CallerTransaction): boolean {
     const check = this.context.admission.check(this.credential, route);
     return check.outcome === 'admitted' && check.tenant.name === operation.tenant.name;
   }
 
-  /** Rolls the transaction back, since the credential does not allow it any more or can't be checked. */
+  /** Rolls the transaction back because the credential is no longer valid or can't be verified. */
   private abortUnauthorized(id: string, state: TransactionState): CallerReply {
     const { route } = this.transaction!;
     this.endTransaction('-');
@@ -272,7 +270,7 @@
     return reply;
   }
 
-  /** Answers an error of the proxy's own; an open transaction fails with it. */
+  /** Replies with an error of the proxy itself; an open transaction fails. */
   private failStatement(kind: 'unknownName' | 'readOnly', text: string): CallerReply {
     const isInTransaction = this.transaction !== undefined;
     this.endTransaction('-');
@@ -294,12 +292,11 @@
     return this.lastCommit?.group === group ? this.lastCommit.position : undefined;
   }
 
-  /** Keeps the position of the session's newest commit. */
   private recordCommit(group: string, position: Position | undefined): void {
     if (position) this.lastCommit = { group, position };
   }
 
-  /** Ends the transaction when its caller sends nothing for too long; the caller's next statement gets the error. */
+  /** Rolls the transaction back if its caller is idle for too long; the caller's next statement returns the error. */
   private startIdleTimer(): void {
     const limitMs = this.context.table?.transactionIdleMs ?? 0;
     if (!this.transaction || limitMs === 0) return;
--- a/src/appointed/sessions/session_listener.ts
+++ b/src/appointed/sessions/session_listener.ts
@@ -1,9 +1,9 @@
 /**
- * Accepts callers of a text protocol and runs their statements one after the other.
+ * Accepts callers of a text protocol and runs the statements of each connection one after another. The codec handles the
+ * protocol, the session decides what to run.
  *
- * Owns: the callers' connections and the order of their statements; the codec knows the protocol, the session what to run.
- * Relies on: the acceptor, the proxy (which may have no configuration yet: callers then wait, and are refused) and the
- * callers (who may send anything, or leave at any time: their session is closed).
+ * While the proxy has no configuration yet, callers wait and are eventually refused. A malformed message or a lost connection
+ * closes the session.
  */
 import type { Socket } from 'node:net';
 import type { SocketAcceptor } from '../../runtime/socket_acceptor.js';
@@ -14,7 +14,7 @@
 import { retryAfterMs } from '../routing/retry_after.js';
 import type { CallerStatement } from '../instance/statement.js';
 
-/** A message of a caller. */
+/** A message from a caller. */
 export type CallerMessage =
   | { readonly kind: 'start'; readonly database: string; readonly credential: string }
   | { readonly kind: 'query'; readonly id: string; readonly statement: CallerStatement }
@@ -23,37 +23,37 @@
 
 /** Decoder of one caller's bytes. */
 export interface CallerMessageReader {
-  /** Messages that are now complete. Input that can't be read ends with one `broken` message. */
+  /** Returns the messages that are now complete. Input that can't be decoded ends with one `broken` message. */
   push(chunk: Buffer): CallerMessage[];
 }
 
-/** The protocol towards callers, without I/O. */
+/** Encoder and decoder of the protocol for callers, without I/O. */
 export interface CallerCodec {
   /** Decoder for a new connection. */
   newReader(): CallerMessageReader;
-  /** Answer that a session has started. */
+  /** Message that a session has started. */
   encodeReady(state: TransactionState): string;
-  /** Error after which the connection is closed. */
+  /** Error message after which the connection is closed. */
   encodeError(kind: CallerErrorKind, text: string): string;
-  /** Whole answer to a statement. */
+  /** Complete reply to a statement. */
   encodeReply(reply: CallerReply): string;
 }
 
-/** What the listener needs of the proxy. */
+/** What the listener needs from the proxy. */
 export interface SessionSource {
-  /** Resolves with whether a configuration is in force, after `timeoutMs` at the latest. */
+  /** Waits for a configuration; resolves with false after `timeoutMs`. */
   awaitTable(timeoutMs: number): Promise<boolean>;
-  /** Whether some tenant holds the credential, where the database's route wants one. */
+  /** Whether the credential belongs to a tenant, or the database's route requires none. */
   isCredentialKnown(database: string, credential: string): Promise<boolean>;
-  /** Session of a caller; undefined when no route has that database. */
+  /** Opens a session; undefined if the database has no route. */
   openSession(database: string, credential: string): RoutedSession | undefined;
 }
 
-/** Silence of a caller's connection before the first TCP keep-alive probe, in milliseconds. Guess, not measured. */
+/** Idle time of a caller's connection before the first TCP keep-alive probe. */
 const KEEP_ALIVE_MS = 2000;
 /**
- * Longest time that a caller waits for the first configuration of a process that starts, in milliseconds. Together with the
- * time before callers are read (600 ms, proxy_daemon.ts) less than the 2 s after which callers close their session.
+ * How long a caller waits for the first configuration of a starting process. Together with the 600 ms before callers are read
+ * (proxy_daemon.ts) it must be less than the 2 s after which callers close their session.
  */
 const CONFIGURATION_WAIT_MS = 1200;
 
@@ -80,18 +80,18 @@
     socket.on('close', () => this.end());
   }
 
-  /** Whether a statement or a transaction is under way. */
+  /** Whether a statement is in flight or a transaction is open. */
   get isBusy(): boolean {
     return this.isRunning || this.queue.length > 0 || (this.session?.state ?? 'idle') !== 'idle';
   }
 
-  /** Closes the connection as soon as nothing is under way. */
+  /** Closes the connection as soon as it is not busy. */
   drain(): void {
     this.isDraining = true;
     this.closeIfDrained();
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately. */
   end(): void {
     if (this.isEnded) return;
     this.isEnded = true;
@@ -170,7 +170,7 @@
     if (!this.isEnded) this.socket.write(text, 'latin1');
   }
 
-  /** Sends a last text and closes. */
+  /** Sends a last message and closes the connection. */
   private endWith(text: string): void {
     if (this.isEnded) return;
     this.socket.end(text, 'latin1');
@@ -190,32 +190,30 @@
     private readonly acceptor: SocketAcceptor,
   ) {}
 
-  /** Starts to serve callers. */
   start(): void {
     this.acceptor.serve((socket) => this.accept(socket));
   }
 
-  /** Open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
-  /** Connections with a statement or transaction under way. */
+  /** Number of connections with a statement in flight or an open transaction. */
   get busyCount(): number {
     return [...this.connections].filter((connection) => connection.isBusy).length;
   }
 
-  /** Closes each connection as soon as nothing is under way on it. */
+  /** Closes each connection as soon as it is not busy. */
   drain(): void {
     for (const connection of this.connections) connection.drain();
   }
 
-  /** Closes the connections on which nothing is under way. */
+  /** Closes the connections that are not busy. */
   closeIdle(): void {
     for (const connection of this.connections) if (!connection.isBusy) connection.end();
   }
 
-  /** Stops to listen and closes everything. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.acceptor.close();
     for (const connection of this.connections) connection.end();
--- a/src/appointed/sessions/session_loader.ts
+++ b/src/appointed/sessions/session_loader.ts
@@ -1,9 +1,4 @@
-/**
- * Which commands bring a session's values and prepared statement onto an instance connection.
- *
- * Owns nothing: what a connection has loaded is kept by the connection (`PooledConnection`).
- * Relies on nothing: pure, but for `recordLoaded`, which changes that record.
- */
+/** Computes the commands that load a session's values and prepared statement onto an instance connection. */
 import type { PooledConnection } from '../connections/pooled_connection.js';
 import {
   type InstanceCommand,
@@ -11,20 +6,20 @@
   sharedPreparedName,
 } from '../instance/statement.js';
 
-/** What a connection must hold before a statement. */
+/** Session state that a connection needs before it runs a statement. */
 export interface SessionContent {
   /** The session's values by name. */
   readonly values: ReadonlyMap<string, string>;
-  /** The prepared statement that is to run; undefined for any other statement. */
+  /** The prepared statement to run; undefined for any other statement. */
   readonly prepared?: PreparedShape;
 }
 
-/** Whether the connection holds a value that the session does not have; only a reset drops it. */
+/** Whether the connection has a value that the session does not have; only a reset removes it. */
 function needsReset(pooled: PooledConnection, values: ReadonlyMap<string, string>): boolean {
   return [...pooled.values.keys()].some((name) => !values.has(name));
 }
 
-/** Commands that bring the content onto the connection, in their order. */
+/** Commands that load the content onto the connection, in the order in which they must run. */
 export function loadingCommands(
   pooled: PooledConnection,
   content: SessionContent,
@@ -42,7 +37,7 @@
   return commands;
 }
 
-/** Records on the connection that its instance has run a step. */
+/** Records on the connection that a loading command has succeeded. */
 export function recordLoaded(pooled: PooledConnection, command: InstanceCommand): void {
   if (command.kind === 'reset') {
     pooled.values.clear();
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -1,10 +1,8 @@
 /**
  * Runs one statement outside a transaction: a read on any instance that is fresh enough, a write on the trusted primary.
  *
- * Owns: the loop of attempts, and what each outcome means for the caller. A write that may have run is never sent twice.
- * Relies on: target_planner.ts for the instances (there may be none), request_deadline.ts for all waits, the runner of
- * statements for each attempt (the instance may refuse, fail, or not answer), and allowances (another attempt of a read that
- * may have run counts as an operation, which may be refused).
+ * A failed read is retried on other instances; if it may have run, each retry is charged to the tenant as another operation. A
+ * write that may have run is never sent again, and is in doubt without a trusted answer.
  */
 import { type Position } from '../../positions/position.js';
 import { type CallerReply, type WriteReply, errorReply } from './caller_reply.js';
@@ -38,26 +36,25 @@
 import { awaitPrimary } from '../trust/primary_waiter.js';
 import type { AdmittedOperation } from '../tenancy/admitted_operation.js';
 
-/** A statement to run. */
+/** A statement and the session it belongs to. */
 export interface SingleStatementRequest {
   /** The caller's identifier of the request. */
   readonly id: string;
-  /** The statement itself. */
   readonly statement: DataStatement;
-  /** What the connection must have loaded. */
+  /** Session state to load onto the connection. */
   readonly content: SessionContent;
-  /** Time limits, and the route. */
+  /** Time limits and route. */
   readonly deadline: RequestDeadline;
-  /** The operation that the tenant was allowed. */
+  /** Operation that was charged to the tenant. */
   readonly operation: AdmittedOperation;
-  /** Newest commit of the same session. */
+  /** Position of the newest commit of the same session. */
   readonly ownPosition: Position | undefined;
 }
 
 /** A write that certainly did not run. */
 interface NotRunWrite {
   readonly cause: RefusalCause;
-  /** Whether an instance was asked at all. */
+  /** Whether an instance has received it. */
   readonly wasSent: boolean;
 }
 
@@ -68,7 +65,7 @@
     private readonly runner: StatementRunner,
   ) {}
 
-  /** Runs a read on any instance that is fresh enough; tries others when one fails. */
+  /** Runs a read on any instance that is fresh enough, and retries on others if it fails. */
   async read(request: SingleStatementRequest): Promise<CallerReply> {
     const { deadline } = request;
     const { route } = deadline;
@@ -103,7 +100,7 @@
     return refuse(this.context, refusal, 'busy', cause);
   }
 
-  /** Runs a write on the trusted primary; never a second time when it may have run. */
+  /** Runs a write on the trusted primary; retries only if it certainly did not run. */
   async write(request: SingleStatementRequest): Promise<WriteReply> {
     const { deadline } = request;
     const { tenant } = request.operation;
@@ -133,9 +130,9 @@
   }
 
   /**
-   * Called when no instance is left to try. Before the first attempt it waits for a primary; after it, it pauses and has all
-   * instances tried again. Returns whether another attempt is worth while; replicas may serve it too by then, if a position
-   * floor has become known.
+   * Called when no instance is left to try. Before the first attempt it waits for a primary, or for a minimum position with
+   * which replicas may serve the read. Afterwards it backs off and lets all instances be tried again.
+   * @returns whether the read should be planned again
    */
   private async shouldRetry(
     { deadline, operation: { tenant } }: SingleStatementRequest,
@@ -153,7 +150,7 @@
     return true;
   }
 
-  /** Answer to the caller, or the cause why another instance should be tried. */
+  /** Reply to the caller, or the cause if another instance should be tried. */
   private evaluateRead(
     request: SingleStatementRequest,
     target: Target,
@@ -171,7 +168,7 @@
     return { cause: instanceAnsweredCause(target, error) };
   }
 
-  /** Tries a read at one instance, and judges whether its answer counts. */
+  /** Attempts a read on one instance; an answer without a valid lease on the primary counts as lost. */
   private async attemptRead(
     request: SingleStatementRequest,
     target: Target,
@@ -196,7 +193,7 @@
     return attempt;
   }
 
-  /** Answer to the caller, or the cause why the statement certainly did not run. */
+  /** Reply to the caller, or the cause if the statement certainly did not run. */
   private async attemptWrite(
     request: SingleStatementRequest,
     target: Target,
@@ -221,7 +218,7 @@
     return this.evaluateWrite(request, target, attempt);
   }
 
-  /** Decides whether a write ran, certainly did not, or is in doubt. */
+  /** Decides whether a write succeeded, certainly did not run, or is in doubt. */
   private evaluateWrite(
     request: SingleStatementRequest,
     target: Target,
@@ -246,14 +243,14 @@
     return { reply: this.succeed(request, target, answer), commitPosition: answer.position };
   }
 
-  /** Takes another operation of the tenant: an instance may have run the statement, and another one is to run it. */
+  /** Charges another operation to the tenant, since an instance may have run the statement already. */
   private async canRetry({ operation, deadline }: SingleStatementRequest): Promise<boolean> {
     const { allowances } = this.context;
     const allowance = await allowances.acquire(operation.tenant, deadline.firstAttemptRemainingMs);
     return allowance.isGranted;
   }
 
-  /** Takes a connection, waiting for it for `waitMs` at most. */
+  /** Acquires a connection, waiting at most `waitMs`. */
   private async acquire(
     request: SingleStatementRequest,
     target: Target,
@@ -268,14 +265,13 @@
       const connectionRequest = { tenant, values, priority, objectiveMs, homes };
       return await this.runner.acquire(target, connectionRequest, waitMs);
     } catch (error) {
-      // The cause of the attempt carries the reason; the pool counts its refusals.
       const failure = error instanceof AcquireError ? error.failure : 'no connection';
       if (failure === 'slowStart') return { outcome: 'notRun', cause: { kind: 'slowStart' } };
       return { outcome: 'notRun', cause: { kind: 'noConnection', failure } };
     }
   }
 
-  /** Counts a served statement and makes its answer. */
+  /** Counts a served statement and builds its reply. */
   private succeed(
     request: SingleStatementRequest,
     target: Target,
@@ -301,7 +297,7 @@
   if (!isHarmless) operation.markMayHaveRun();
 }
 
-/** Cause of an error that an instance answered, or the holder of a cold one in its place. */
+/** Cause of an error returned by an instance, or by the lease holder of a cold one. */
 function instanceAnsweredCause({ instance }: Target, error: InstanceErrorKind): RefusalCause {
   if (error === 'slowStart') return { kind: 'slowStart' };
   return { kind: 'instanceAnswered', instance, error };
@@ -311,7 +307,7 @@
   return { kind: 'attemptFailed', instance, failure };
 }
 
-/** Passes an instance's error on to the caller; it promises nothing about what ran. */
+/** Passes an instance's error on to the caller, without a guarantee that the statement did not run. */
 function forwardError(error: InstanceError): CallerReply {
   const kind = error.kind === 'malformed' || error.kind === 'timeout' ? error.kind : 'failed';
   return errorReply(kind, error.text, 'idle');
--- a/src/appointed/sessions/statement_runner.ts
+++ b/src/appointed/sessions/statement_runner.ts
@@ -1,10 +1,9 @@
 /**
- * Runs statements on instances: takes a connection, loads the session onto it, runs the statement, and reports to the
- * proxy what the answer tells of the instance.
+ * Runs statements on instances: acquires a connection, loads the session onto it, runs the statement, and updates the load of
+ * the instance, and the health and position of a primary, from its answer.
  *
- * Owns: which errors promise that a statement did not run.
- * Relies on: the target's pool (it may have no connection: AcquireError) and the connection (it may break, or its answer
- * may come too late: the attempt is then `lost`, or `notRun` if nothing had been sent).
+ * It also determines which failures guarantee that a statement did not run. An attempt whose connection is lost or times out is
+ * `notRun` if nothing had been sent, and `lost` otherwise.
  */
 import { BackendConnectionLostError, OwnerUnreachableError } from '../../errors/errors.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -23,7 +22,7 @@
 
 const { PrimaryHealth } = whinyoke;
 
-/** Errors that promise that the statement did not run at the instance. */
+/** Errors with which an instance guarantees that the statement did not run. */
 const NOT_RUN_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
   'busy',
   'unknownName',
@@ -34,7 +33,7 @@
   'slowStart',
 ]);
 
-/** Errors that count as failures of the instance; others are due to the request or to a replica's lag. */
+/** Errors that count as failures of the instance; others are caused by the request or by replication lag. */
 const INSTANCE_FAILURE_KINDS: ReadonlySet<InstanceErrorKind> = new Set<InstanceErrorKind>([
   'busy',
   'failed',
@@ -42,7 +41,7 @@
   'other',
 ]);
 
-/** Failures to get a connection that are due to load or to an operator; the instance is not avoided for them. */
+/** Failures to acquire a connection that are caused by load or by an operator and don't count as failures of the instance. */
 const LOAD_FAILURES: ReadonlySet<AcquireFailure> = new Set<AcquireFailure>([
   'timeout',
   'full',
@@ -51,27 +50,25 @@
   'slowStart',
 ]);
 
-/** Whether an error promises that the statement did not run. */
+/** Whether an error guarantees that the statement did not run. */
 export function isNotRun(kind: InstanceErrorKind): boolean {
   return NOT_RUN_KINDS.has(kind);
 }
 
-/** A connection that is held for a session. */
+/** A connection in exclusive use for one statement or transaction. */
 export interface PinnedConnection {
-  /** Instance that it leads to. */
   readonly target: Target;
-  /** The connection. */
   readonly pooled: PooledConnection;
-  /** Whether its requests may use what the rate of a cold instance leaves to urgent ones. */
+  /** Whether its requests may use the reserve for urgent requests of a cold instance. */
   readonly isUrgent: boolean;
-  /** Whether a transaction has begun on it. */
+  /** Whether a transaction is open on it. */
   inTransaction: boolean;
 }
 
-/** When an instance was asked, and what was known of it then. */
+/** When a command was sent, and what was known about the instance at that time. */
 interface RequestSnapshot {
   readonly at: number;
-  /** Newest position that it had told as the primary of its epoch. */
+  /** Highest position received from it as the primary of its epoch. */
   readonly knownPosition: Position | undefined;
 }
 
@@ -85,14 +82,13 @@
 export type Attempt =
   | { readonly outcome: 'answered'; readonly answer: InstanceAnswer }
   | NotRunAttempt
-  /** The statement may have run. */
+  /** The statement may have run, but there is no usable answer. */
   | { readonly outcome: 'lost'; readonly cause: AttemptFailure };
 
-/** Runner of one process. */
 export class StatementRunner {
   constructor(private readonly context: ProxyContext) {}
 
-  /** Takes a connection to a target. @throws AcquireError when none could be had in time */
+  /** Acquires a connection to a target. @throws AcquireError if none was available in time */
   async acquire(
     target: Target,
     request: ConnectionRequest,
@@ -115,7 +111,7 @@
     }
   }
 
-  /** Refuses a request at once that a cold instance could not be sent; the system's own go there as to any. */
+  /** Reserves slow-start capacity, or refuses the request if a cold instance has none. Internal requests need none. */
   private reserveSlowStart(
     { instance }: Target,
     { tenant, priority }: ConnectionRequest,
@@ -126,7 +122,7 @@
     return cancelReservation;
   }
 
-  /** Gives a connection back after an answer that left it idle; closes it otherwise. */
+  /** Returns a connection to the pool if the answer left it idle; closes it otherwise. */
   release(pinned: PinnedConnection, answer?: InstanceAnswer): void {
     const { pool } = pinned.target;
     const isClean = answer === undefined || answer.state === 'idle';
@@ -140,8 +136,8 @@
   }
 
   /**
-   * Loads the session and runs a command, all sent at once. The connection stays held; a lost one is closed
-   * already.
+   * Loads the session and runs a command, pipelined on the same connection. The caller must release or discard the connection
+   * afterwards.
    */
   async attempt(
     pinned: PinnedConnection,
@@ -160,7 +156,7 @@
     if (result.status === 'rejected') return failedAttempt(result.reason);
     const { value: answer } = result;
     if (loaded.every((isLoaded) => isLoaded)) return { outcome: 'answered', answer };
-    // The statement met a session other than the caller's.
+    // Loading failed, so the statement ran without the caller's session state.
     pinned.pooled.connection.close();
     const cause = { kind: 'sessionNotLoaded' as const };
     const isHarmless = answer.error !== undefined && isNotRun(answer.error.kind);
@@ -178,12 +174,12 @@
       recordLoaded(pinned.pooled, loadingCommand);
       return true;
     } catch {
-      // Nothing is lost: the statement was sent on the same connection and fails with the same reason, which is reported.
+      // The statement was sent on the same connection and fails with the same error, which is reported there.
       return false;
     }
   }
 
-  /** Runs one command on a held connection and reports what its answer tells of the instance. */
+  /** Runs one command on a connection and updates the load, health and position of the instance from its answer. */
   async exchange(
     pinned: PinnedConnection,
     command: InstanceCommand,
@@ -193,7 +189,7 @@
     const { target, pooled } = pinned;
     const { load } = target.pool;
     const { group, primaryEpoch: epoch } = target;
-    // Nothing may be awaited between this check and the sending: the request is counted in the window of this very moment.
+    // There must be no await between this check and sending: the request is counted in the sliding window of the current time.
     if (!this.canSend(pinned, command)) return slowStartAnswer(pinned.target, pinned.inTransaction);
     const sentAt = clock.now();
     const knownPosition = this.context.positions.minimumPositionOf(group).highestInEpoch(epoch);
@@ -220,16 +216,16 @@
     }
   }
 
-  /** Whether a command may be sent here and now; its relay asks where it does not leave this process's own connections. */
+  /** Whether slow start allows a command to be sent now. For a relayed connection, the connection owner checks this. */
   private canSend(pinned: PinnedConnection, { kind }: InstanceCommand): boolean {
     const isCounted = kind === 'data' || kind === 'commit';
     if (pinned.pooled.isRelayed || !isCounted) return true;
-    // A transaction that has begun should end: it goes before requests that begin.
+    // Open transactions take precedence over new requests, so that they can end.
     const hasPrecedence = pinned.isUrgent || pinned.inTransaction;
     return this.context.instances.admit(pinned.target.instance, hasPrecedence);
   }
 
-  /** Reports an answer to the load of the instance, and, from a primary, to trust and positions. */
+  /** Updates the load of the instance from an answer, and health and position of a primary. */
   private reportAnswer(
     pinned: PinnedConnection,
     answer: InstanceAnswer,
@@ -249,7 +245,7 @@
     if (epoch !== undefined) this.reportPrimaryAnswer(pinned, epoch, answer, snapshot);
   }
 
-  /** Reports what an answer of the primary of an epoch tells of it. */
+  /** Updates health and position of the primary of an epoch from its answer. */
   private reportPrimaryAnswer(
     { target: { group }, pooled }: PinnedConnection,
     epoch: number,
@@ -269,8 +265,8 @@
 }
 
 /**
- * Whether a failure is the instance's. On a relayed connection, a failure of the connection owner is not, nor is one before
- * the statement was sent.
+ * Whether a failure counts against the instance. On a relayed connection, failures of the connection owner and failures before
+ * the statement was sent do not.
  */
 function isInstanceFault({ pooled }: PinnedConnection, error: unknown): boolean {
   if (!pooled.isRelayed) return true;
@@ -278,13 +274,13 @@
   return !isOwnerFailure && error instanceof BackendConnectionLostError && error.sent;
 }
 
-/** Answer in place of a cold instance's: nothing was sent. A transaction can't go on then. */
+/** Answer on behalf of a cold instance to which nothing was sent; an open transaction fails. */
 export function slowStartAnswer({ instance }: Target, inTransaction: boolean): InstanceAnswer {
   const error = { kind: 'slowStart' as const, text: instance };
   return { rows: [], signature: '', error, state: inTransaction ? 'failed' : 'idle' };
 }
 
-/** How an attempt ended whose connection failed. */
+/** Outcome of an attempt whose connection failed. */
 function failedAttempt(reason: unknown): Attempt {
   const message = reason instanceof Error ? reason.message : 'connection lost';
   const wasSent = !(reason instanceof BackendConnectionLostError) || reason.sent;
