--- a/test/unit/refusals.test.ts
+++ b/test/unit/refusals.test.ts
@@ -1,10 +1,10 @@
-/** Refusals of the appointed interface: texts, verdicts and times to come back, which callers and operators rely on. */
+/** Texts, verdicts and retry delays of refusals, which callers and operators rely on. */
 import t from 'tap';
 import { type RetryCause, causeText } from '../../src/appointed/routing/refusal_cause.js';
 import { overLimitRetryMs, retryAfterMs } from '../../src/appointed/routing/retry_after.js';
 import { type CallerErrorKind, verdictOf } from '../../src/appointed/sessions/caller_reply.js';
 
-void t.test('each cause has the text that operators search for', (t) => {
+void t.test('the text of a refusal cause does not change', (t) => {
   const expected: readonly (readonly [RetryCause, string])[] = [
     [{ kind: 'noConnection' }, 'no connection'],
     [{ kind: 'noConnection', failure: 'displaced' }, 'no connection: displaced'],
@@ -49,29 +49,49 @@
   t.end();
 });
 
-void t.test('callers are told to come back when they may be served', (t) => {
+void t.test('callers are not told to retry before they may be served', (t) => {
   const cause = { kind: 'noTrustedPrimary' as const };
   const steady = { changeAgeMs: undefined, hasTrustedPrimary: true };
   t.equal(retryAfterMs(cause, steady), 50, 'a primary is trusted');
-  t.equal(retryAfterMs(cause, { ...steady, hasTrustedPrimary: false }), 300, 'no lease');
-  t.equal(retryAfterMs(cause, { ...steady, changeAgeMs: 300 }), 500, 'the rest of a change');
-  t.equal(retryAfterMs(cause, { ...steady, changeAgeMs: 5000 }), 50, 'a change that lasts');
+  t.equal(
+    retryAfterMs(cause, { ...steady, hasTrustedPrimary: false }),
+    300,
+    'no lease on a primary',
+  );
+  t.equal(
+    retryAfterMs(cause, { ...steady, changeAgeMs: 300 }),
+    500,
+    'the remaining time of a change of primary',
+  );
+  t.equal(
+    retryAfterMs(cause, { ...steady, changeAgeMs: 5000 }),
+    50,
+    'a change that takes longer than expected',
+  );
   for (const kind of ['noGrant', 'credentialUnproven', 'noConfiguration'] as const) {
     t.equal(retryAfterMs({ kind }, steady), 300, kind);
   }
-  t.equal(retryAfterMs({ kind: 'primaryEvacuated' }, steady), 1000, 'control tries again');
+  t.equal(
+    retryAfterMs({ kind: 'primaryEvacuated' }, steady),
+    1000,
+    'control retries the evacuation',
+  );
   t.equal(retryAfterMs({ kind: 'noConfiguration' }), 300, 'no group is known');
-  t.equal(retryAfterMs({ kind: 'outsideHomes' }, steady), 1000, 'a trusted primary does not help');
+  t.equal(
+    retryAfterMs({ kind: 'outsideHomes' }, steady),
+    1000,
+    'a trusted primary outside the allowed regions does not help',
+  );
   t.equal(retryAfterMs({ kind: 'tenantOverLimit', retryAfterMs: 71 }, steady), 71);
   const failure = { kind: 'slowStart' as const };
-  t.equal(retryAfterMs(failure, steady), 400, 'a cold instance has room again');
+  t.equal(retryAfterMs(failure, steady), 400, 'a cold instance has capacity again');
   t.equal(retryAfterMs({ kind: 'attemptFailed', instance: 'a-1', failure }, steady), 400);
   t.equal(overLimitRetryMs(100, 0), 100);
-  t.equal(overLimitRetryMs(100, 0.5), 175, 'spread over one and a half times the wait');
+  t.equal(overLimitRetryMs(100, 0.5), 175, 'retries are spread over 1.5 times the wait');
   t.end();
 });
 
-void t.test('each kind of error has a verdict', (t) => {
+void t.test('an error never claims that an operation did not run if it may have', (t) => {
   const promises: CallerErrorKind[] = ['busy', 'aborted', 'lagging', 'readOnly', 'unauthenticated'];
   for (const kind of promises) t.equal(verdictOf(kind), 'not_run', kind);
   for (const kind of ['inDoubt', 'timeout', 'failed', 'malformed'] as const) {
