--- a/test/simulation/overload.test.ts
+++ b/test/simulation/overload.test.ts
@@ -1,9 +1,6 @@
 /**
- * Reads that only the primary may serve, more of them than it can: the replicas are seconds behind.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - a full primary is not asked again and again: requests that ask a full instance over and over; needs the world,
- *   sessions and slots and queue of the emulated instances, no faults, no judge.
+ * Overload of a primary that serves all reads because its replicas lag by seconds. Guards against proxies that send requests
+ * to a full instance over and over.
  */
 import t from 'tap';
 import {
@@ -19,10 +16,10 @@
 const WARM_UP_MS = 1000;
 const MEASURED_MS = 4000;
 const LAG_MS = 10_000;
-/** A write now and then, so that the replicas do lack something. */
+/** Occasional writes, so that the replicas lag behind. */
 const WRITE_FRACTION = 0.1;
 const MANY_PROXIES = 40;
-/** Answers of instances that turn a statement away, for each one that is served. */
+/** Statements rejected by instances for each one that ran. */
 const MAX_REJECTED_PER_SERVED = 1;
 const MIN_USED_CAPACITY = 0.8;
 
@@ -34,7 +31,7 @@
   slowestMs: number;
 }
 
-/** Sends statements at fixed intervals, each in a session of its own, to all proxies in turn. */
+/** Sends statements at fixed intervals to all proxies in turn, each in its own session. */
 async function offerLoad(world: AppointedWorld, durationMs: number): Promise<LoadResult> {
   const { slots, workMs } = world.deployment;
   const spacingMs = workMs / slots / OVERLOAD_FACTOR;
@@ -71,28 +68,31 @@
 ];
 
 for (const deployment of DEPLOYMENTS) {
-  void t.test(`${deployment.name}: a full primary is not asked again and again`, async (t) => {
-    const world = new AppointedWorld(deployment, SEED);
-    await world.start();
-    const instances = world.groups[0]!.machines.map((machine) => machine.running!);
-    for (const instance of instances) instance.lagMs = LAG_MS;
-    await offerLoad(world, WARM_UP_MS);
-    const before = {
-      ok: answersOf(instances, 'ok'),
-      rejected: answersOf(instances, 'busy') + answersOf(instances, 'lagging'),
-    };
-    const outcome = await offerLoad(world, MEASURED_MS);
-    const ok = answersOf(instances, 'ok') - before.ok;
-    const rejected =
-      answersOf(instances, 'busy') + answersOf(instances, 'lagging') - before.rejected;
-    const { slots, workMs } = deployment;
-    const used = (outcome.served * workMs) / slots / MEASURED_MS;
-    t.ok(
-      rejected / ok <= MAX_REJECTED_PER_SERVED,
-      `${rejected} statements were turned away by instances, ${ok} ran`,
-    );
-    t.ok(used >= MIN_USED_CAPACITY, `${used} of the capacity served callers`);
-    t.ok(outcome.refused > 0, `${outcome.refused} requests were refused`);
-    t.comment(`slowest answer after ${outcome.slowestMs} ms`);
-  });
+  void t.test(
+    `${deployment.name}: proxies do not send requests to a full primary over and over`,
+    async (t) => {
+      const world = new AppointedWorld(deployment, SEED);
+      await world.start();
+      const instances = world.groups[0]!.machines.map((machine) => machine.running!);
+      for (const instance of instances) instance.lagMs = LAG_MS;
+      await offerLoad(world, WARM_UP_MS);
+      const before = {
+        ok: answersOf(instances, 'ok'),
+        rejected: answersOf(instances, 'busy') + answersOf(instances, 'lagging'),
+      };
+      const outcome = await offerLoad(world, MEASURED_MS);
+      const ok = answersOf(instances, 'ok') - before.ok;
+      const rejected =
+        answersOf(instances, 'busy') + answersOf(instances, 'lagging') - before.rejected;
+      const { slots, workMs } = deployment;
+      const used = (outcome.served * workMs) / slots / MEASURED_MS;
+      t.ok(
+        rejected / ok <= MAX_REJECTED_PER_SERVED,
+        `${rejected} statements were rejected by instances, ${ok} ran`,
+      );
+      t.ok(used >= MIN_USED_CAPACITY, `fraction of the capacity that served callers: ${used}`);
+      t.ok(outcome.refused > 0, `${outcome.refused} requests were refused`);
+      t.comment(`slowest answer after ${outcome.slowestMs} ms`);
+    },
+  );
 }
--- a/test/simulation/slow_start.test.ts
+++ b/test/simulation/slow_start.test.ts
@@ -1,12 +1,6 @@
 /**
- * Slow start over a simulated fleet whose instances are all cold at the begin.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - mixed faults: a cold instance that gets more than its rate in a second; needs the generator with all kinds of faults, the
- *   rule slow-start, and its switch, which shows that the rule can fail.
- * - a cold primary: writes that wait for a rate that is used up, or are refused without a cause of their own; needs the world
- *   alone.
- * - a document that takes the rate away, or brings one: proxies that go on as before; needs the world alone.
+ * Slow start over a simulated fleet whose instances are all cold at the start: guards against instances that receive more than
+ * their rate, requests that wait for a rate that is used up, and proxies that ignore a changed rate.
  */
 import t from 'tap';
 import { APPOINTED_SLOW_START } from '../../lab/appointed/appointed_deployment.js';
@@ -17,22 +11,23 @@
 const SEEDS = 4;
 const SEEDS_WITHOUT_SAFEGUARD = 2;
 const SETTLED_MS = 2000;
-/** More than an instance may get in a second: 20 x 1.5 + 5. */
+/** More requests than an instance may receive in a second. */
 const BURST = 60;
+/** Rate × overage + tolerance of the deployment: 20 × 1.5 + 5. */
 const MAX_REQUESTS_PER_SECOND = 35;
-/** Far less than what a write may wait for a connection, more than some trips. */
+/** Much shorter than a write may wait for a connection, but longer than several network delays. */
 const REFUSAL_TIME_MS = 100;
 
-void t.test('mixed faults while all instances are cold', async (t) => {
+void t.test('a cold instance never receives more than its rate under mixed faults', async (t) => {
   for (let seed = 1; seed <= SEEDS; seed++) {
     const report = await runAppointed({ deployment: APPOINTED_SLOW_START, seed });
     t.same(report.violations, [], `seed ${seed}: ${report.faults.join('; ')}`);
     t.same(report.unwritable, [], `seed ${seed}: ${report.faults.join('; ')}`);
-    t.ok(report.counts['acknowledged']! > 500, 'callers were served');
+    t.ok(report.counts['acknowledged']! > 500, 'callers are still served');
   }
 });
 
-void t.test('without slow-start the checks report it', async (t) => {
+void t.test('the checks detect that slow start is disabled', async (t) => {
   for (let seed = 1; seed <= SEEDS_WITHOUT_SAFEGUARD; seed++) {
     const disabled = ['slow-start'] as const;
     const report = await runAppointed({ deployment: APPOINTED_SLOW_START, seed, disabled });
@@ -43,7 +38,7 @@
   }
 });
 
-/** Writes through all proxies at the same moment; resolves with what came back within a short time. */
+/** Sends writes through all proxies at the same time; resolves with the replies received within a short time. */
 async function burst(world: AppointedWorld, name: string): Promise<readonly CallerReply[]> {
   const { name: group } = world.groups[0]!;
   const replies: CallerReply[] = [];
@@ -67,20 +62,23 @@
   return replies.filter(({ error }) => error?.text.includes('warming up; retry after 400 ms'));
 }
 
-void t.test('a cold primary gets its rate, and the rest is refused at once', async (t) => {
-  const world = new AppointedWorld(APPOINTED_SLOW_START, 1);
-  await world.start();
-  await world.run(SETTLED_MS);
-  const refused = slowStartRefusals(await burst(world, 'first'));
-  t.equal(refused.length, BURST - MAX_REQUESTS_PER_SECOND);
-  t.ok(
-    refused.every(({ error }) => error?.kind === 'busy'),
-    'which promises that they did not run',
-  );
-  t.same(world.judge.violations, []);
-});
+void t.test(
+  'writes beyond the rate of a cold primary do not wait but are refused immediately',
+  async (t) => {
+    const world = new AppointedWorld(APPOINTED_SLOW_START, 1);
+    await world.start();
+    await world.run(SETTLED_MS);
+    const refused = slowStartRefusals(await burst(world, 'first'));
+    t.equal(refused.length, BURST - MAX_REQUESTS_PER_SECOND);
+    t.ok(
+      refused.every(({ error }) => error?.kind === 'busy'),
+      'refused as busy, which guarantees that they did not run',
+    );
+    t.same(world.judge.violations, []);
+  },
+);
 
-void t.test('a document takes the rate away, and brings it back', async (t) => {
+void t.test('proxies do not keep a slow-start rate that the document has changed', async (t) => {
   const world = new AppointedWorld(APPOINTED_SLOW_START, 2);
   await world.start();
   const { slowStart } = world;
--- a/test/tools/placed_proxy.ts
+++ b/test/tools/placed_proxy.ts
@@ -1,4 +1,4 @@
-/** One proxy before one group, with faked control, instances and other proxies; notes where statements go. */
+/** One proxy for one group, with fake control, instances and other proxies; records where commands are sent. */
 import { documentOf } from '../../src/appointed/catalog/document_source.js';
 import { DEFAULT_PLACEMENT_RULES } from '../../src/appointed/placement/placement_rules.js';
 import { AppointedProxy } from '../../src/appointed/proxy/appointed_proxy.js';
@@ -11,39 +11,39 @@
 import { FakeConnection } from './fake_connection.js';
 
 const { RelayOutcome } = whinyoke;
-/** How long faked control holds a request, in milliseconds. */
+/** How long fake control delays a reply. */
 const LONG_POLL_MS = 10;
 const OWN_ADDRESS = 'own:1';
 const POSITION = { term: 1, sequence: 7 };
 
-/** An instance, or a proxy, in a zone. */
+/** An instance or proxy in a zone. */
 interface ZoneMember {
   readonly id: string;
   readonly zone: string;
 }
 
-/** What surrounds the proxy. */
+/** Zones of the proxy under test and of the instances and proxies around it. */
 export interface Placement {
   readonly zone: string;
-  /** Fields of entries that are left out are those of an instance that may be used. */
+  /** Omitted fields default to those of a usable instance. */
   readonly instances: readonly (ZoneMember & whinyoke.IInstanceEntry)[];
   /** Identifier of the primary. */
   readonly primary: string;
   /** Other proxies; their identifiers are their addresses. */
   readonly proxies?: readonly ZoneMember[];
   readonly connectionLimit?: number;
-  /** Requests a second that a cold instance may get; no bound when left out. */
+  /** Requests per second that a cold instance may receive; unlimited if omitted. */
   readonly coldRequestsPerSecond?: number;
   readonly regionByZone: Readonly<Record<string, string>>;
 }
 
-/** Where a statement went: to an instance, by another proxy where one is named. */
+/** Destination of a command: an instance, and the proxy that relayed it, if any. */
 export interface SentCommand {
   readonly instance: string;
   readonly via?: string;
 }
 
-/** Homes of a document. */
+/** Allowed regions of the route and the tenant in a document. */
 export interface DocumentRegions {
   readonly route?: readonly string[] | null;
   readonly tenant?: readonly string[];
@@ -73,16 +73,15 @@
   return JSON.stringify({ version, routes: [route], services, tenants: [tenant] });
 }
 
-/** The proxy. */
 export class PlacedProxy {
   readonly core: AppointedProxy;
   readonly sentCommands: SentCommand[] = [];
   readonly clock = new RealClock();
-  /** Whether control tells positions of the primary. */
+  /** Whether control reports positions of the primary. */
   reportsPositions = true;
-  /** Evacuated zones; nothing may be sent there from the moment when the proxy hears of it. */
+  /** Evacuated zones; they are closed as soon as the proxy receives the order. */
   evacuatedZones: readonly string[] = [];
-  /** Address of the proxy that sends to cold instances; empty while none is named. */
+  /** Address of the slow-start lease holder; empty while none is named. */
   holderAddress = '';
   private version = 1;
   private handler: RequestHandler | undefined;
@@ -122,7 +121,7 @@
     });
   }
 
-  /** Starts, and resolves with a session once the first document is in force. */
+  /** Starts the proxy and opens a session once the first document has been applied. */
   async start(): Promise<RoutedSession> {
     this.core.start();
     await this.core.awaitTable(1000);
@@ -130,20 +129,20 @@
     return this.core.openSession('db', 'key')!;
   }
 
-  /** Puts a document with other homes in force. */
+  /** Applies a document with other allowed regions. */
   async putDocument(regions: DocumentRegions): Promise<void> {
     this.version++;
     this.document = documentWith(this.version, regions, this.placement);
     while (this.core.table?.version !== this.version) await this.settle();
   }
 
-  /** Sends a statement of another proxy. */
+  /** Relays a statement from another proxy to this one. */
   async receiveRelayed(relayRequest: whinyoke.IRelayRequest): Promise<whinyoke.IRelayReply> {
     const { relayReply } = await this.handler!({ relayRequest }, 'other:1');
     return relayReply ?? {};
   }
 
-  /** Takes the notes so far. */
+  /** Returns and clears the recorded commands. */
   takeSentCommands(): readonly SentCommand[] {
     return this.sentCommands.splice(0);
   }
@@ -160,7 +159,7 @@
 
   private synchronise(): whinyoke.ISyncReply {
     const { instances, primary, proxies = [], zone } = this.placement;
-    // Age 0 stands for a position that is not known.
+    // Age 0 means that the position is unknown.
     const age = this.reportsPositions ? 1 : 0;
     const group = { group: 'g', epoch: 1, primary, term: 1, version: 1 };
     const entries = instances.map((item) => ({
--- a/test/tools/route_table.ts
+++ b/test/tools/route_table.ts
@@ -2,7 +2,7 @@
 import type { Route, RouteTable } from '../../src/appointed/catalog/route_table.js';
 import { TenantDirectory } from '../../src/appointed/tenancy/tenant.js';
 
-/** A document that names a group, with routes to it that have these homes. */
+/** A table with one group, and one route to it for each of the given lists of allowed regions. */
 export function tableWithGroup(
   group: string,
   ...allowedRegionsByRoute: readonly Route['allowedRegions'][]
@@ -30,7 +30,7 @@
   };
 }
 
-/** A document that names these groups, without routes. */
+/** A table with several groups and no routes. */
 export function tableWithGroups(groups: readonly string[]): RouteTable {
   const limits = groups.map((group) => [group, { group, connectionLimit: 30 }] as const);
   return { ...tableWithGroup(''), limitsByGroup: new Map(limits) };
--- a/test/tools/slow_start_scenario.ts
+++ b/test/tools/slow_start_scenario.ts
@@ -1,6 +1,6 @@
 /**
- * Plays the slow start of one instance in drawn schedules: leaders that change, proxies that are cut off, frozen, restarted or
- * leave, entries that are not certain to be committed. Every proxy sends all that its gate lets through, whenever its turn comes.
+ * Simulates the slow start of one instance in random schedules: leaders change, proxies are partitioned, suspended, restarted or
+ * shut down, and log entries may be committed late. Proxies send all requests that their gate admits, in bursts.
  */
 import { Catalog, type ProxyEntry } from '../../src/appointed/catalog/catalog.js';
 import { SlowStartHolders } from '../../src/appointed/control/slow_start_holders.js';
@@ -10,7 +10,7 @@
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 import type { Clock } from '../../src/runtime/runtime.js';
 
-/** What a play can do without, to show that the bound then breaks. */
+/** Safeguards that a scenario can disable, to show that the rate limit is exceeded without them. */
 export type Safeguard =
   | 'lease-from-sending'
   | 'window-between-holders'
@@ -32,7 +32,7 @@
     | 'cool'
     | 'uncertain'
     | 'certain';
-  /** Proxy that it concerns, and a number from 0 to 1 for its delays. */
+  /** Affected proxy, and a random number from 0 to 1 for its delays. */
   readonly proxy: number;
   readonly drawn: number;
   readonly durationMs: number;
@@ -41,12 +41,12 @@
 const TICK_MS = 25;
 const PROXY_COUNT = 3;
 const MAX_NETWORK_DELAY_MS = 300;
-/** Trips to the instance are shorter than this. */
+/** Upper bound of the network delay to the instance. */
 const MAX_INSTANCE_DELAY_MS = 100;
 const MAX_LONG_POLL_MS = 2000;
 const SLOW_START = { warmupMs: 10_000, requestsPerSecond: 6 };
 const RULES = { slowStartOverage: 1.5, slowStartTolerance: 2 };
-/** Requests that the instance may get in any second: 6 x 1.5 + 2. */
+/** Requests that the instance may receive in any second: 6 × 1.5 + 2. */
 export const MAX_REQUESTS_PER_SECOND = 11;
 const INSTANCE = 'i';
 
@@ -99,7 +99,6 @@
   }
 }
 
-/** One play. */
 export class SlowStartScenario {
   /** When each request reached the instance. */
   private readonly arrivals: number[] = [];
@@ -111,7 +110,7 @@
   private readonly proxies: SimulatedProxy[];
   private incarnationCount = 0;
   private commitsAtOnce = true;
-  /** Entries of the present leader that were told to have failed and may be committed yet, in their order. */
+  /** Entries whose proposals were rejected by the current leader but may still be committed, in log order. */
   private readonly uncertainEntries: whinyoke.ICatalogCommand[] = [];
 
   constructor(private readonly disabledSafeguard?: Safeguard) {
@@ -134,7 +133,7 @@
     return this.disabledSafeguard === safeguard;
   }
 
-  /** Plays a schedule. */
+  /** Runs a schedule. */
   async run(steps: readonly Step[]): Promise<void> {
     for (const step of steps) {
       this.act(step);
@@ -143,7 +142,7 @@
     }
   }
 
-  /** Most requests that reached the instance in any one second. */
+  /** Maximum number of requests that reached the instance in any second. */
   get maxRequestsInASecond(): number {
     let maxCount = 0;
     let first = 0;
@@ -155,7 +154,7 @@
     return maxCount;
   }
 
-  /** A leader proposes an entry: it is committed now, or later, when the leader was told that it failed. */
+  /** Commits an entry of a leader now, or rejects the proposal and commits the entry later. */
   propose(
     leader: SimulatedLeader,
     command: whinyoke.ICatalogCommand,
@@ -173,7 +172,7 @@
     return Promise.reject(new Error('uncertain'));
   }
 
-  /** Commits such entries, up to `last`: a log keeps the order in which its leader proposed them. */
+  /** Commits uncertain entries up to `last` in the order in which they were proposed. */
   private commitUncertain(last?: whinyoke.ICatalogCommand): void {
     const count = last ? this.uncertainEntries.indexOf(last) + 1 : this.uncertainEntries.length;
     for (const command of this.uncertainEntries.splice(0, count)) this.append(command);
@@ -236,20 +235,20 @@
     }
   }
 
-  /** Sends all that the gate lets through, in the second half of a step only, so that it comes together. */
+  /** Sends all requests that the gate admits, in alternating intervals only, so that they form bursts. */
   private send(proxy: SimulatedProxy, { drawn }: Step): void {
     const isBurst = Math.floor(this.now / (TICK_MS + drawn * MAX_LONG_POLL_MS)) % 2 === 0;
     if (!isBurst || !proxy.instance.isCold) return;
     while (proxy.gate.admit(proxy.instance, true)) this.recordArrival();
   }
 
-  /** Trips differ, so that requests may come closer together than they were sent. */
+  /** Network delays differ, so that requests may arrive closer together than they were sent. */
   private recordArrival(): void {
     const delayMs = (this.arrivals.length * 61) % MAX_INSTANCE_DELAY_MS;
     this.arrivals.push(this.now + delayMs);
   }
 
-  /** A request to a leader, which may be a former one that does not know it yet. */
+  /** Sends a request to the leader, or to a former one that does not know that it was deposed. */
   private synchronise(proxy: SimulatedProxy, { drawn }: Step): void {
     const sentAt = this.now;
     const delayMs = drawn * MAX_NETWORK_DELAY_MS;
@@ -331,7 +330,7 @@
     const hasColdnessChanged = (instance.coldSince ?? 0) !== (proxy.instance.coldSince ?? 0);
     proxy.version = version;
     proxy.instance = instance;
-    // What a gate that forgets its window of a former coldness does.
+    // Simulates a gate that drops its window when the instance becomes cold again.
     if (hasColdnessChanged && this.isDisabled('window-kept'))
       Reflect.set(proxy.gate, 'windows', new Map());
   }
--- a/test/unit/scheduling.test.ts
+++ b/test/unit/scheduling.test.ts
@@ -1,4 +1,4 @@
-/** Order in which requests are served at a full instance: replays of load, without a network, against the order by priority and arrival. */
+/** Simulates the queue of a full instance and compares the service order with an order by priority and arrival. */
 import t from 'tap';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
@@ -6,14 +6,13 @@
 import { CountingConnector, createTestPool } from '../tools/instance_pool.js';
 import { type QueuedRequest, ServiceOrder } from '../../src/appointed/scheduling/service_order.js';
 
-/** One kind of request: how often it comes, how long it takes, by when it is useful. */
+/** One kind of request: its rate, duration, latency objective and timeout. */
 interface RequestKind {
   readonly name: string;
   readonly priority: number;
   readonly perSecond: (second: number) => number;
   readonly workMs: number;
   readonly objectiveMs: number;
-  /** Waiting beyond this is in vain. */
   readonly maxWaitMs: number;
   readonly tenant: (drawn: number) => string;
 }
@@ -24,7 +23,7 @@
   answeredAt?: number;
 }
 
-/** How a queue decides; the former order is the one to compare with. */
+/** Order of a queue; `PRIORITY_ORDER` is the baseline of the comparisons. */
 interface Policy {
   rank(jobs: readonly Job[], now: number): Job[];
   recordStart(job: Job, expectedMs: number, now: number): void;
@@ -55,7 +54,7 @@
   };
 }
 
-/** Plays the queue of one connection owner, which sends five statements at a time; returns all requests. */
+/** Simulates the queue of one connection owner that sends five statements at a time; returns all requests. */
 function simulateQueue(policy: Policy, kinds: readonly RequestKind[], seconds: number): Job[] {
   const random = new SeededRandom(5);
   const all: Job[] = [];
@@ -71,7 +70,7 @@
       const job = jobOf(kind, now, random);
       all.push(job);
       const position = policy.rank([...waiting, job], now).indexOf(job);
-      // As it always was: who would wait for too long is refused on arrival.
+      // Both orders refuse a request on arrival if it would time out in the queue.
       if ((position / CONCURRENCY) * meanWorkMs > kind.maxWaitMs) job.refusedAt = now;
       else waiting.push(job);
     }
@@ -100,7 +99,7 @@
   return served.length / matching.length;
 }
 
-/** Mean time until those were refused that were not served, in milliseconds. */
+/** Mean time until a request was refused, over all refused requests, in milliseconds. */
 function meanUntilRefused(jobs: readonly Job[]): number {
   const refused = jobs.filter(({ refusedAt }) => refusedAt !== undefined);
   const total = refused.reduce((sum, { refusedAt, arrivedAt }) => sum + refusedAt! - arrivedAt, 0);
@@ -113,7 +112,7 @@
   (job: Job): boolean =>
     job.kind.name === name;
 
-/** A group whose replicas can't be used: its primary serves all; statements a second of one of six groups. */
+/** Load of one of six groups whose replicas are unavailable, so that the primary serves all requests. */
 const KINDS: readonly RequestKind[] = [
   {
     name: 'urgent',
@@ -136,7 +135,7 @@
   {
     name: 'patient',
     priority: 2,
-    // A burst of 2.2 times the usual from the second to the sixth second.
+    // A burst of 2.2 times the usual rate from the 2nd to the 6th second.
     perSecond: (second) => (second > 2 && second < 6 ? 132 : 60),
     workMs: 22,
     objectiveMs: 800,
@@ -145,38 +144,48 @@
   },
 ];
 
-void t.test('a burst at a full instance: more are answered in time, the urgent all', (t) => {
-  const before = simulateQueue(PRIORITY_ORDER, KINDS, 8);
-  const now = simulateQueue(new ServiceOrder(), KINDS, 8);
-  const text = (jobs: readonly Job[]): string =>
-    KINDS.map(({ name }) => `${name} ${fractionInTime(jobs, hasKind(name)).toFixed(3)}`).join(', ');
-  t.comment(`before: ${text(before)}; refused after ${meanUntilRefused(before).toFixed(0)} ms`);
-  t.comment(`now: ${text(now)}; refused after ${meanUntilRefused(now).toFixed(0)} ms`);
-  t.ok(fractionInTime(now) >= fractionInTime(before));
-  t.ok(fractionInTime(now, hasKind('urgent')) >= 0.98);
-  t.ok(meanUntilRefused(now) < meanUntilRefused(before), 'callers hear sooner');
-  t.end();
-});
+void t.test(
+  'a burst of requests with low priority does not delay urgent requests at a full instance',
+  (t) => {
+    const before = simulateQueue(PRIORITY_ORDER, KINDS, 8);
+    const now = simulateQueue(new ServiceOrder(), KINDS, 8);
+    const text = (jobs: readonly Job[]): string =>
+      KINDS.map(({ name }) => `${name} ${fractionInTime(jobs, hasKind(name)).toFixed(3)}`).join(
+        ', ',
+      );
+    t.comment(`baseline: ${text(before)}; refused after ${meanUntilRefused(before).toFixed(0)} ms`);
+    t.comment(`service order: ${text(now)}; refused after ${meanUntilRefused(now).toFixed(0)} ms`);
+    t.ok(fractionInTime(now) >= fractionInTime(before));
+    t.ok(fractionInTime(now, hasKind('urgent')) >= 0.98);
+    t.ok(meanUntilRefused(now) < meanUntilRefused(before), 'requests are refused sooner');
+    t.end();
+  },
+);
 
-void t.test('a tenant at seven times its usual costs the others no more than a tenth', (t) => {
-  const drawRushTenant = (drawn: number): string =>
-    drawn < 0.6 ? 'rush' : drawTenant((drawn - 0.6) / 0.4);
-  const kinds = KINDS.map((kind) => ({
-    ...kind,
-    perSecond: (second: number) =>
-      kind.name === 'usual' ? (second > 1 && second < 6 ? 520 : 180) : 20,
-    tenant: kind.name === 'usual' ? drawRushTenant : kind.tenant,
-  }));
-  const isOther = ({ tenant }: Job): boolean => tenant !== 'rush';
-  const before = fractionInTime(simulateQueue(PRIORITY_ORDER, kinds, 7), isOther);
-  const now = fractionInTime(simulateQueue(new ServiceOrder(), kinds, 7), isOther);
-  t.comment(`others in time: before ${before.toFixed(3)}, now ${now.toFixed(3)}`);
-  t.ok(before < 0.9, 'by priority and arrival the others lose more than a tenth');
-  t.ok(now >= 0.9);
-  t.end();
-});
+void t.test(
+  'a tenant at seven times its usual rate does not make others miss more than a tenth of their objectives',
+  (t) => {
+    const drawRushTenant = (drawn: number): string =>
+      drawn < 0.6 ? 'rush' : drawTenant((drawn - 0.6) / 0.4);
+    const kinds = KINDS.map((kind) => ({
+      ...kind,
+      perSecond: (second: number) =>
+        kind.name === 'usual' ? (second > 1 && second < 6 ? 520 : 180) : 20,
+      tenant: kind.name === 'usual' ? drawRushTenant : kind.tenant,
+    }));
+    const isOther = ({ tenant }: Job): boolean => tenant !== 'rush';
+    const before = fractionInTime(simulateQueue(PRIORITY_ORDER, kinds, 7), isOther);
+    const now = fractionInTime(simulateQueue(new ServiceOrder(), kinds, 7), isOther);
+    t.comment(
+      `other tenants in time: baseline ${before.toFixed(3)}, service order ${now.toFixed(3)}`,
+    );
+    t.ok(before < 0.9, 'in the baseline order other tenants miss more than a tenth');
+    t.ok(now >= 0.9);
+    t.end();
+  },
+);
 
-void t.test('an urgent kind that fills the instance leaves the others an eighth', (t) => {
+void t.test('urgent requests that fill the instance do not starve other requests', (t) => {
   const kinds = KINDS.map((kind) => ({
     ...kind,
     perSecond: () => (kind.name === 'urgent' ? 900 : 15),
@@ -191,19 +200,26 @@
   t.end();
 });
 
-void t.test('requests that can still be answered in time come before those that can not', (t) => {
-  const order = new ServiceOrder();
-  const waiting = (priority: number, latestStartAt: number): QueuedRequest => {
-    return { priority, tenant: 'ana', arrivedAt: 0, latestStartAt, expiresAt: 1000 };
-  };
-  const [late, later, soon] = [waiting(0, 90), waiting(1, 400), waiting(1, 200)];
-  t.same(order.rank([late, later, soon], 100), [soon, later, late]);
-  t.same(order.displaced([soon, later, late], 800, 300), [later, late], 'and they are refused');
-  t.end();
-});
+void t.test(
+  'requests that are already late do not delay requests that can still meet their objective',
+  (t) => {
+    const order = new ServiceOrder();
+    const waiting = (priority: number, latestStartAt: number): QueuedRequest => {
+      return { priority, tenant: 'ana', arrivedAt: 0, latestStartAt, expiresAt: 1000 };
+    };
+    const [late, later, soon] = [waiting(0, 90), waiting(1, 400), waiting(1, 200)];
+    t.same(order.rank([late, later, soon], 100), [soon, later, late]);
+    t.same(
+      order.displaced([soon, later, late], 800, 300),
+      [later, late],
+      'requests that would time out in the queue are refused',
+    );
+    t.end();
+  },
+);
 
 void t.test(
-  'a short statement keeps its place where others take longer than its objective',
+  'a short urgent statement is not treated as late when other statements exceed its objective',
   async (t) => {
     const load = new InstanceLoad();
     for (let answer = 0; answer < 50; answer++) load.recordAnswer(300, 0);
--- a/test/unit/slow_start.test.ts
+++ b/test/unit/slow_start.test.ts
@@ -1,4 +1,4 @@
-/** Slow start: the bound on what a cold instance gets, which instances are cold, who may send to them, and who is refused. */
+/** Slow start: the request rate of cold instances, which instances are cold, and which proxy may send to them. */
 import fc from 'fast-check';
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
@@ -38,16 +38,19 @@
   });
 }
 
-void t.test('no schedule gives a cold instance more than its rate in any second', async (t) => {
-  const scenario = new SlowStartScenario();
-  const wait = { action: 'wait', proxy: 0, drawn: 0, durationMs: 1000 } as const;
-  await scenario.run(Array.from({ length: 10 }, () => wait));
-  t.equal(scenario.maxRequestsInASecond, MAX_REQUESTS_PER_SECOND, 'which is used');
-  await fc.assert(rateBoundHolds(), { numRuns: 300 });
-});
+void t.test(
+  'a cold instance never receives more than its rate in any second, in random schedules',
+  async (t) => {
+    const scenario = new SlowStartScenario();
+    const wait = { action: 'wait', proxy: 0, drawn: 0, durationMs: 1000 } as const;
+    await scenario.run(Array.from({ length: 10 }, () => wait));
+    t.equal(scenario.maxRequestsInASecond, MAX_REQUESTS_PER_SECOND, 'the full rate is used');
+    await fc.assert(rateBoundHolds(), { numRuns: 300 });
+  },
+);
 
 void t.test(
-  'a proxy that this leader heard may have a later lease of a former leader',
+  'a new leader does not overlook a later lease granted by a former leader',
   async (t) => {
     const scenario = new SlowStartScenario();
     const step = (action: Step['action'], durationMs: number, proxy = 0): Step => ({
@@ -57,11 +60,11 @@
       durationMs,
     });
     await scenario.run([step('wait', 2200), step('newLeader', 975), step('newLeader', 600)]);
-    // It asks the leader once, then the former one, until it is cut off.
+    // The proxy contacts the leader once, then the former leader, until it is partitioned.
     await scenario.run([step('cut', 1225, 1), step('wait', 1500), step('wait', 1000)]);
     t.ok(
       scenario.maxRequestsInASecond <= MAX_REQUESTS_PER_SECOND,
-      `${scenario.maxRequestsInASecond} requests in a second`,
+      `${scenario.maxRequestsInASecond} requests in one second`,
     );
   },
 );
@@ -76,13 +79,13 @@
 ];
 
 for (const safeguard of SAFEGUARDS) {
-  void t.test(`without ${safeguard} some schedule breaks the bound`, async (t) => {
+  void t.test(`the scenario detects a missing safeguard: ${safeguard}`, async (t) => {
     const result = await fc.check(rateBoundHolds(safeguard), {
       numRuns: 2000,
       seed: 7,
       endOnFailure: true,
     });
-    t.ok(result.failed, `${result.numRuns} schedules`);
+    t.ok(result.failed, `no violation in ${result.numRuns} schedules`);
   });
 }
 
@@ -90,7 +93,7 @@
 const RULES = { slowStartOverage: 1.5, slowStartTolerance: 2 };
 const COLD = { id: 'i', group: 'g', isCold: true, holderIncarnation: 'run', holderAddress: 'p:1' };
 
-/** The gate of one run, on a clock that the test moves. */
+/** A gate of one proxy incarnation with a manual clock. */
 function newGate(incarnation: string): {
   readonly gate: SlowStartGate;
   readonly state: { now: number; slowStart: SlowStart | undefined };
@@ -113,7 +116,7 @@
   return { gate, state, sendAll };
 }
 
-void t.test('the holder sends the rate, and leaves a quarter of it to urgent requests', (t) => {
+void t.test('non-urgent requests do not use up the rate of a cold instance', (t) => {
   const { gate, state, sendAll } = newGate('run');
   t.equal(sendAll(true), 0, 'no lease');
   gate.extendLease(3000);
@@ -128,25 +131,32 @@
   t.match(gate.counts, { sent: 22 });
   state.now = 2200;
   const waits = Array.from({ length: 12 }, () => gate.reserve(COLD, true));
-  t.equal(waits.filter(Boolean).length, 11, 'no more wait for a connection than can be sent');
+  t.equal(
+    waits.filter(Boolean).length,
+    11,
+    'no more requests wait for a connection than may be sent',
+  );
   waits[0]!();
-  t.ok(gate.reserve(COLD, true), 'one of them was given up');
+  t.ok(gate.reserve(COLD, true), 'a cancelled reservation is available again');
   t.end();
 });
 
-void t.test('a holder that is cut off from control sends nothing once its lease has ended', (t) => {
-  const { gate, state, sendAll } = newGate('run');
-  gate.extendLease(3000);
-  state.now = 2999;
-  t.equal(sendAll(true), 11);
-  state.now = 5000;
-  t.equal(sendAll(true), 0);
-  gate.extendLease(2000);
-  t.equal(sendAll(true), 0, 'an answer that comes late brings none');
-  t.end();
-});
+void t.test(
+  'a holder that is partitioned from control sends nothing after its lease has expired',
+  (t) => {
+    const { gate, state, sendAll } = newGate('run');
+    gate.extendLease(3000);
+    state.now = 2999;
+    t.equal(sendAll(true), 11);
+    state.now = 5000;
+    t.equal(sendAll(true), 0);
+    gate.extendLease(2000);
+    t.equal(sendAll(true), 0, 'a late reply does not extend the lease');
+    t.end();
+  },
+);
 
-void t.test('a proxy that does not hold the instance sends it nothing, and knows who does', (t) => {
+void t.test('a proxy that is not the holder sends nothing to a cold instance', (t) => {
   const { gate, sendAll } = newGate('other');
   gate.extendLease(3000);
   t.equal(sendAll(true), 0);
@@ -155,18 +165,18 @@
   t.end();
 });
 
-void t.test('an instance that turns warm, or whose group has no rate, gets all', (t) => {
+void t.test('requests to a warm instance, or to a group without a rate, are not limited', (t) => {
   const { gate, state, sendAll } = newGate('other');
   t.equal(gate.routeTo({ ...COLD, isCold: false }, false), undefined);
   t.ok(gate.admit({ ...COLD, isCold: false }, false));
   state.slowStart = undefined;
-  t.equal(sendAll(false), 100, 'the document takes the rate away');
+  t.equal(sendAll(false), 100, 'the document no longer sets a rate');
   state.slowStart = SLOW_START;
-  t.equal(sendAll(false), 0, 'and brings it back');
+  t.equal(sendAll(false), 0, 'the document sets a rate again');
   t.end();
 });
 
-/** A leader with a catalog of two proxies and a cold instance, whose proposals are committed at once. */
+/** A leader with a catalog; its proposals are committed immediately, or fail on demand. */
 function newLeader(): {
   readonly catalog: Catalog;
   readonly state: { now: number };
@@ -220,7 +230,7 @@
 const NEW_INSTANCE = { id: 'i', group: 'g', zone: 'z', sequence: 1, born: 500 };
 const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
 
-/** A leader, for long enough that no former one grants leases, that has named the holder of a cold instance. */
+/** An established leader that has named the holder of a cold instance; no former leader grants leases any more. */
 async function instanceWithHolder() {
   const leader = newLeader();
   leader.apply({ putProxies: { proxies: PROXIES } });
@@ -236,26 +246,33 @@
   return { ...leader, holders, first: first!, second: second! };
 }
 
-void t.test('a holder that died is followed once its lease and its window are over', async (t) => {
-  const { catalog, state, holders, first, second } = await instanceWithHolder();
-  t.equal(catalog.instance('i')?.holderIncarnation, first.incarnation);
-  t.equal(holders.leaseFor(first), 3000);
-  t.equal(holders.leaseFor(second), 0);
-  for (const at of [1500, 3000, 4199]) {
-    state.now = at;
-    holders.recordContact(second, false);
+void t.test(
+  'a failed holder is not replaced before its lease and its window have ended',
+  async (t) => {
+    const { catalog, state, holders, first, second } = await instanceWithHolder();
+    t.equal(catalog.instance('i')?.holderIncarnation, first.incarnation);
+    t.equal(holders.leaseFor(first), 3000);
+    t.equal(holders.leaseFor(second), 0);
+    for (const at of [1500, 3000, 4199]) {
+      state.now = at;
+      holders.recordContact(second, false);
+      holders.assignMissingHolders();
+      t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
+    }
+    state.now = 4200;
     holders.assignMissingHolders();
-    t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
-  }
-  state.now = 4200;
-  holders.assignMissingHolders();
-  t.equal(holders.leaseFor(first), 0, 'the former gets no lease while the next is being named');
-  await settle();
-  t.equal(catalog.instance('i')?.holder, second.id);
-  t.equal(holders.leaseFor(second), 3000);
-});
+    t.equal(
+      holders.leaseFor(first),
+      0,
+      'the former holder gets no lease while its successor is being named',
+    );
+    await settle();
+    t.equal(catalog.instance('i')?.holder, second.id);
+    t.equal(holders.leaseFor(second), 3000);
+  },
+);
 
-void t.test('an instance has a holder of its own region, or none', async (t) => {
+void t.test('a proxy in another region does not become the holder of an instance', async (t) => {
   const leader = newLeader();
   const far = { id: 'far', incarnation: 'far1', address: 'far:1', zone: 'x' };
   const near = { id: 'near', incarnation: 'near1', address: 'near:1', zone: 'y' };
@@ -273,7 +290,7 @@
 });
 
 void t.test(
-  'a new holder that may or may not be committed costs the former its lease until it is',
+  'the former holder gets no lease while the entry of its successor may still be committed',
   async (t) => {
     const { catalog, state, holders, first, second, proposals, apply } = await instanceWithHolder();
     state.now = 4200;
@@ -282,7 +299,7 @@
     holders.assignMissingHolders();
     await settle();
     holders.recordContact(first, false);
-    t.equal(holders.leaseFor(first), 0, 'although it is back');
+    t.equal(holders.leaseFor(first), 0, 'the former holder is in contact again');
     proposals.fail = false;
     holders.assignMissingHolders();
     await settle();
@@ -299,12 +316,12 @@
     t.equal(
       holders.leaseFor(second),
       3000,
-      'the instance is gone: nothing is left to be taken over',
+      'the instance is gone, so the pending change no longer matters',
     );
   },
 );
 
-void t.test('a holder that leaves is followed after a window', async (t) => {
+void t.test('a holder that shuts down is not replaced before its window has ended', async (t) => {
   const { catalog, state, holders, first, second } = await instanceWithHolder();
   holders.recordContact(first, true);
   state.now = 1200;
@@ -314,24 +331,27 @@
   t.equal(catalog.instance('i')?.holder, second.id);
 });
 
-void t.test('a new leader renews at once, and counts on leases of its predecessor', async (t) => {
-  const { catalog, state, newHolders, first, second } = await instanceWithHolder();
-  state.now = 100;
-  const successor = newHolders();
-  t.equal(successor.leaseFor(first), 3000);
-  for (const at of [4300, 5299]) {
-    state.now = at;
-    successor.recordContact(second, false);
+void t.test(
+  'a new leader renews leases immediately, and does not ignore those of its predecessor',
+  async (t) => {
+    const { catalog, state, newHolders, first, second } = await instanceWithHolder();
+    state.now = 100;
+    const successor = newHolders();
+    t.equal(successor.leaseFor(first), 3000);
+    for (const at of [4300, 5299]) {
+      state.now = at;
+      successor.recordContact(second, false);
+      successor.assignMissingHolders();
+      t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
+    }
+    state.now = 5300;
     successor.assignMissingHolders();
-    t.equal(catalog.instance('i')?.holder, first.id, `not after ${at} ms`);
-  }
-  state.now = 5300;
-  successor.assignMissingHolders();
-  await settle();
-  t.equal(catalog.instance('i')?.holder, second.id);
-});
+    await settle();
+    t.equal(catalog.instance('i')?.holder, second.id);
+  },
+);
 
-void t.test('an instance is cold from its first heartbeat until one that tells the end', (t) => {
+void t.test('an instance stays cold until a heartbeat reports the end of its warm-up', (t) => {
   const { catalog, heartbeat } = newLeader();
   heartbeat(NEW_INSTANCE, 9000);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 1 });
@@ -339,34 +359,38 @@
   t.match(catalog.instance('i'), { isCold: true, coldSince: 1 });
   const restored = new Catalog();
   restored.restore(1, catalog.serialize());
-  t.match(restored.instance('i'), { isCold: true, coldSince: 1 }, 'snapshots hold it');
+  t.match(restored.instance('i'), { isCold: true, coldSince: 1 }, 'snapshots contain it');
   heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0);
   t.match(catalog.instance('i'), { isCold: false, coldSince: 0 });
   heartbeat({ ...NEW_INSTANCE, sequence: 4, born: 900 }, 9000);
-  t.match(catalog.instance('i'), { isCold: true, coldSince: 4 }, 'born again');
+  t.match(
+    catalog.instance('i'),
+    { isCold: true, coldSince: 4 },
+    'a restarted instance is cold again',
+  );
   heartbeat({ id: 'j', group: 'g', zone: 'z', sequence: 1 }, 0);
-  t.match(catalog.instance('j'), { isCold: false }, 'it tells no warm-up');
+  t.match(catalog.instance('j'), { isCold: false }, 'the heartbeat reports no warm-up');
   t.end();
 });
 
-void t.test('a heartbeat from before an evacuation ended does not end the coldness', (t) => {
+void t.test('a heartbeat sent before the end of an evacuation does not end slow start', (t) => {
   const { catalog, state, heartbeat } = newLeader();
   heartbeat(NEW_INSTANCE, 0);
   heartbeat({ ...NEW_INSTANCE, sequence: 2 }, 500);
   t.match(catalog.instance('i'), { isCold: true, coldSince: 2 }, 'cold without a new incarnation');
   state.now = 2999;
   heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0);
-  t.ok(catalog.instance('i')?.isCold, 'it may have been sent before');
+  t.ok(catalog.instance('i')?.isCold, 'the heartbeat may have been sent before');
   state.now = 3000;
   heartbeat({ ...NEW_INSTANCE, sequence: 3 }, 0, false);
-  t.ok(catalog.instance('i')?.isCold, 'a newer one was heard');
+  t.ok(catalog.instance('i')?.isCold, 'a newer heartbeat was received');
   heartbeat({ ...NEW_INSTANCE, sequence: 4 }, 0);
   t.notOk(catalog.instance('i')?.isCold);
   t.end();
 });
 
 void t.test(
-  'the end of an evacuation cools a zone, and an opinion of before changes nothing',
+  'an entry from before the end of an evacuation does not make its instances warm',
   (t) => {
     const table = new InstanceTable();
     table.put(1, NEW_INSTANCE);
@@ -375,11 +399,14 @@
     t.match(table.get('i'), { isCold: true, coldSince: 7, version: 7 });
     t.notOk(table.get('j')?.isCold);
     t.ok(table.setHolder(8, { instance: 'i', holder: 'a', incarnation: 'a1', address: 'a:1' }));
-    t.notOk(table.setHolder(9, { instance: 'i', incarnation: 'b1' }), 'it follows nobody');
+    t.notOk(
+      table.setHolder(9, { instance: 'i', incarnation: 'b1' }),
+      'the change names no predecessor',
+    );
     table.put(10, { ...NEW_INSTANCE, isCold: false, coldSince: 0 });
     t.match(table.get('i'), { isCold: true, coldSince: 7, holder: 'a' });
     table.put(11, { ...NEW_INSTANCE, isCold: false, coldSince: 7 });
-    t.match(table.get('i'), { isCold: false, coldSince: 0, holder: 'a' }, 'the holder stays');
+    t.match(table.get('i'), { isCold: false, coldSince: 0, holder: 'a' }, 'the holder is kept');
     t.notOk(table.markZoneCold('x', 12));
     t.end();
   },
