--- a/src/appointed/connections/acquire_error.ts
+++ b/src/appointed/connections/acquire_error.ts
@@ -1,15 +1,18 @@
-/** Reasons for which a pool refuses a request. Nothing ran then, here or at the instance. */
+/**
+ * Reasons for which a pool refuses a request. A refused request has not run, here or at the
+ * instance.
+ */
 
 /**
- * Why no connection could be had.
- * - `timeout`: none came while the request waited;
- * - `full`: on arrival, since the wait would have been too long;
- * - `displaced`: while it waited, since more urgent requests came before it;
- * - `unreachable`: the instance could not be reached;
- * - `wrongInstance`: another instance has its address;
- * - `evacuated`: the instance is in an evacuated zone;
- * - `closed`: the pool has ended;
- * - `slowStart`: the instance is cold, and no more may be sent to it now.
+ * Why a request got no connection.
+ * - `timeout`: none became available before the request timed out;
+ * - `full`: refused on arrival, since the expected wait exceeds the request's timeout;
+ * - `displaced`: refused while queued, since more urgent requests arrived;
+ * - `unreachable`: the instance cannot be reached;
+ * - `wrongInstance`: another instance answers at its address;
+ * - `evacuated`: the zone of the instance is evacuated;
+ * - `closed`: the pool is closed;
+ * - `slowStart`: the instance is cold and its slow-start limit is reached.
  */
 export type AcquireFailure =
   | 'timeout'
@@ -22,8 +25,9 @@
   | 'slowStart';
 
 /**
- * A pool had no connection for a request. A plain error, unlike all others: a full queue makes one for each statement that
- * it refuses, and a subclass of the root of errors costs several times as much to create.
+ * A request got no connection. Extends the plain `Error`, unlike the other errors of the project,
+ * since creating a subclass of `WhinyokeError` costs several times as much and a full queue creates
+ * one error for each statement that it refuses.
  */
 export class AcquireError extends Error {
   constructor(readonly failure: AcquireFailure) {
--- a/src/appointed/connections/connect_backoff.ts
+++ b/src/appointed/connections/connect_backoff.ts
@@ -1,42 +1,38 @@
 /**
- * Decision: when a pool may open a connection, and how many it may hold, after the instance refused one.
+ * Decides when a pool may open a connection, and how many it may have, after a connection attempt
+ * failed. Guards against many proxies that reconnect at once to an instance that is down or at its
+ * connection limit.
  *
- * Load that it answers: an instance that is down or has no connection left, and proxies that would all ask it again at
- * once. Owns the times until which the refusals count, and one timer.
+ * After the instance was unreachable, no connection is opened for a fixed delay. After the instance
+ * refused a connection at its limit, the pool stays at its current size for the clamp time of its
+ * quota; a pool without connections retries after a short random pause, for as long as requests
+ * wait.
  *
- * Inputs: failures of openings, connections of the pool (count), its connection share, the time (milliseconds).
- *
- * Rule: after the instance could not be reached, nothing for a fixed time. After it had no connection left, no more than
- * the pool has, for the time of the share; where the pool has none, nothing for a short time drawn at random, then again,
- * for as long as requests wait.
- *
- * docs/design/connection-shares.md describes it; test/unit/router.test.ts holds it.
+ * Design: docs/design/connection-shares.md
  */
 import type { Clock, RandomSource } from '../../runtime/runtime.js';
 import type { ConnectionQuota } from './connection_quota.js';
 
-/** Nothing is opened for this time after the instance could not be reached, in milliseconds. Guess, not measured. */
+/** Delay before the next attempt after the instance was unreachable. */
 const RECONNECT_DELAY_MS = 100;
 /**
- * The same where another instance has the address, in milliseconds: control soon removes the one that is gone from the
- * catalog. Guess, not measured.
+ * Delay after another instance answered at the address: control removes the stale address from the
+ * catalog within seconds.
  */
 const WRONG_INSTANCE_DELAY_MS = 3000;
-/**
- * Shortest pause of a pool without connections after the instance had none left, in milliseconds: other proxies give
- * theirs back all the time. Guess, not measured.
- */
+/** Shortest pause of a pool without connections after the instance was at its connection limit. */
 const MIN_LIMIT_PAUSE_MS = 10;
-/** Longest such pause, in milliseconds: drawn at random, so that proxies don't ask together. Guess, not measured. */
+/** Longest such pause. The pause is random so that proxies do not retry at the same time. */
 const MAX_LIMIT_PAUSE_MS = 30;
 
-/** Connect backoff of one pool. */
 export class ConnectBackoff {
   private clampedUntil = -Infinity;
-  /** Connections that the pool had when the instance took no further one. */
+  /** Size of the pool when the instance last refused a connection at its limit. */
   private clampedLimit = Infinity;
   private unreachableUntil = -Infinity;
-  /** Whether the instance had no connection left a moment ago; nothing is tried for a short time. */
+  /**
+   * Whether a pool without connections waits before its next attempt at an instance at its limit.
+   */
   private isPausedAtLimit = false;
 
   constructor(
@@ -45,7 +41,7 @@
     private readonly quota: () => ConnectionQuota,
   ) {}
 
-  /** Most connections now. */
+  /** Maximum number of connections now. */
   get maxConnections(): number {
     const { maxConnections } = this.quota();
     return this.clock.now() < this.clampedUntil
@@ -53,25 +49,28 @@
       : maxConnections;
   }
 
-  /** Whether the instance could not be reached a moment ago. */
+  /** Whether the instance was unreachable within the reconnect delay. */
   get isUnreachable(): boolean {
     return this.clock.now() < this.unreachableUntil;
   }
 
-  /** Whether opening may be tried at all now. */
+  /** Whether a connection may be opened now. */
   get mayConnect(): boolean {
     return !this.isUnreachable && !this.isPausedAtLimit;
   }
 
-  /** Holds openings back: the instance could not be reached, or another one has its address. */
+  /**
+   * Delays further attempts after the instance was unreachable, or another one answered at its
+   * address.
+   */
   recordUnreachable(isOtherInstance: boolean): void {
     const delayMs = isOtherInstance ? WRONG_INSTANCE_DELAY_MS : RECONNECT_DELAY_MS;
     this.unreachableUntil = this.clock.now() + delayMs;
   }
 
   /**
-   * Holds openings back: the instance took no further connection beside the `size` ones of this pool. Where the pool has
-   * none, `resume` is called when it may try again.
+   * Records that the instance refused a connection at its limit while the pool had `size` ones. For
+   * an empty pool, `resume` is called when it may retry.
    */
   recordConnectionLimit(size: number, resume: () => void): void {
     if (size > 0) {
--- a/src/appointed/connections/connection_opener.ts
+++ b/src/appointed/connections/connection_opener.ts
@@ -1,7 +1,6 @@
 /**
- * Opens the connections of one pool. Owns the openings under way and their smoothed time.
- *
- * Relies on the connector, which may fail in each way of {@link ConnectError}: the listener is called with each failure.
+ * Opens the connections of one pool. Tracks the attempts in flight and a moving average of the
+ * connect time, and reports each failed attempt to its listener.
  */
 import type { Clock } from '../../runtime/runtime.js';
 import type { Position } from '../../positions/position.js';
@@ -12,32 +11,32 @@
   type InstanceTarget,
 } from '../instance/instance_connection.js';
 
-/** Time of an opening that is assumed before the first one ended, in milliseconds. Guess, not measured. */
+/** Assumed connect time before the first connection was opened. */
 const INITIAL_CONNECT_MS = 15;
-/** Weight of the newest opening in the smoothed time, a fraction: about the last five count. Guess, not measured. */
+/** Weight of the newest sample in the moving average, a fraction: about the last five count. */
 const CONNECT_TIME_WEIGHT = 0.2;
 
-/** A connection that was opened. */
 export interface Opening {
   readonly connection: InstanceConnection;
   readonly tenant: string;
-  /** Position that the instance named at the start of the connection. */
+  /** Log position of the instance when the connection was opened. */
   readonly position: Position | undefined;
-  /** When the connection was asked for. */
+  /** When the attempt started. */
   readonly startedAt: number;
 }
 
-/** Called when an opening ends. */
+/** Called when a connection attempt ends. */
 export interface OpenerListener {
-  /** The connection is open. */
   onOpened(opening: Opening): void;
-  /** No connection came; `error` is undefined where the connector broke its interface. */
+  /**
+   * The attempt failed. `error` is undefined if the connector rejected with anything but a {@link
+   * ConnectError}, contrary to its interface.
+   */
   onFailed(error: ConnectError | undefined): void;
 }
 
-/** Opener of one pool. */
 export class ConnectionOpener {
-  /** Tenants of the openings under way, each as often as it has openings. */
+  /** Tenants of the attempts in flight; a tenant is listed once for each attempt. */
   private readonly openingTenants: string[] = [];
   private smoothedMs = INITIAL_CONNECT_MS;
 
@@ -49,23 +48,23 @@
     private readonly listener: OpenerListener,
   ) {}
 
-  /** Openings under way. */
+  /** Number of attempts in flight. */
   get count(): number {
     return this.openingTenants.length;
   }
 
-  /** Smoothed time of an opening, in milliseconds. */
+  /** Moving average of the connect time, in milliseconds. */
   get connectMs(): number {
     return this.smoothedMs;
   }
 
-  /** Openings under way for a tenant; for all tenants when undefined. */
+  /** Number of attempts in flight for a tenant; for all tenants if undefined. */
   countOf(tenant: string | undefined): number {
     if (tenant === undefined) return this.count;
     return this.openingTenants.filter((other) => other === tenant).length;
   }
 
-  /** Opens a connection for a tenant; the listener is called when that ends. */
+  /** Opens a connection for a tenant; the listener is called with the result. */
   open(tenant: string): void {
     this.openingTenants.push(tenant);
     const startedAt = this.clock.now();
@@ -77,7 +76,8 @@
         this.listener.onOpened({ connection, tenant, position, startedAt });
       },
       (error: unknown) => {
-        // Connectors reject with ConnectError only, by their interface; any other error counts as out of reach.
+        // Connectors reject with ConnectError only; any other error counts as an unreachable
+        // instance.
         this.removeOpening(tenant);
         this.listener.onFailed(error instanceof ConnectError ? error : undefined);
       },
--- a/src/appointed/connections/connection_quota.ts
+++ b/src/appointed/connections/connection_quota.ts
@@ -1,69 +1,69 @@
 /**
- * Decision: how many connections of an instance one proxy may hold. Pure.
+ * Calculates how many connections one proxy may have to an instance, which accepts a limited number
+ * from all proxies together. Pure: no I/O, no clock.
  *
- * Load that it answers: many proxies, and instances that each take a limited number of connections from all of them
- * together.
+ * The fair share of a proxy is the connection limit, less a reserve, divided by the live proxies.
+ * From two on, a proxy keeps one idle connection and may exceed its fair share while it uses the
+ * connections. Below two, connections are scarce: no proxy keeps idle ones, and a connection is
+ * opened on demand and closed after the idle timeout (see {@link IdleTimeout}). Connection owners
+ * have quotas of their own (see `relay/connection_owners.ts`).
  *
- * Inputs: connections that the instance takes (count), live proxies (count).
- *
- * Rule: the equal share is the connections, less a reserve, by the proxies. From two on a proxy keeps one idle connection
- * and may hold more for as long as it uses them. Below two it keeps none: a connection is opened for a statement or a
- * transaction and closed after the idle time-out (see {@link IdleTimeout}); connection owners have shares of their own.
- *
- * docs/design/connection-shares.md. Known fault: with an equal share between one and two each proxy could keep one and is
- * keeps none (docs/measurements/large.md, 229 proxies on 400 connections).
+ * Design: docs/design/connection-shares.md
  */
 
-/** Connections that one proxy may hold to one instance. */
+/** Limits on the connections of one proxy to one instance. */
 export interface ConnectionQuota {
-  /** Most connections at a time. */
   readonly maxConnections: number;
-  /** Idle connections that are kept. */
+  /** Number of idle connections that are kept open. */
   readonly minimumIdle: number;
-  /** Idle connections beyond those are closed after this time at the latest, in milliseconds. */
+  /** Idle connections beyond `minimumIdle` are closed after at most this time. */
   readonly idleTimeoutMs: number;
-  /** Whether the proxy is a connection owner: requests wait here while the slots are taken, since most pass here. */
+  /**
+   * Whether the proxy is a connection owner. Requests of all proxies queue here then, so it limits
+   * the statements in flight to the slots of the instance.
+   */
   readonly isOwner?: boolean;
-  /** After the instance refused one more, the proxy makes do with what it has for this time, in milliseconds. */
+  /**
+   * After the instance refused a connection at its limit, the pool stays at its size for this time.
+   */
   readonly clampMs: number;
 }
 
-/** Connections (a count) that no proxy counts on: those of control, and of proxies not yet known. Guess, not measured. */
+/** Connections left to control and to proxies that are not known yet. */
 const RESERVED_CONNECTIONS = 2;
 /**
- * Most connections of a proxy as a multiple (a ratio) of its equal share, for as long as it uses them: callers are spread
- * unevenly. Where all proxies want more at once the instance refuses, and each goes on with what it has. Guess, not
- * measured.
+ * Maximum connections of a proxy as a multiple of its fair share: load is spread unevenly over
+ * proxies. If all proxies need more at once, the instance refuses and each keeps what it has.
  */
 const BURST_FACTOR = 2.5;
-/** Most connections of a proxy as a fraction of all, where each keeps its own. Guess, not measured. */
+/** Maximum connections of a proxy as a fraction of all, where connections are sufficient. */
 const MAX_QUOTA_FRACTION = 0.4;
-/** Most connections of a proxy as a fraction of all, where they are scarce, for a moment. Guess, not measured. */
+/** Maximum connections of a proxy as a fraction of all, where connections are scarce. */
 const MAX_SCARCE_QUOTA_FRACTION = 0.2;
-/** From this equal share (a count) on, proxies keep connections of their own. Known to be wrong, see above. */
+/**
+ * Below this fair share, connections are scarce. Known limitation: with a fair share between one
+ * and two, a proxy could keep one connection but keeps none.
+ */
 const MIN_FAIR_SHARE = 2;
 
-/** Where each proxy keeps connections of its own. */
+/** Defaults where each proxy has connections of its own. */
 const SUFFICIENT_CONNECTIONS: Omit<ConnectionQuota, 'maxConnections'> = {
-  /** Saves the first request of a burst an opening. Guess, not measured. */
+  /** One spare connection, so that the first request of a burst does not wait for a handshake. */
   minimumIdle: 1,
   /**
-   * Connections of a machine that lost power count against the limit of its instance for seconds, and the proxy that takes
-   * its place needs connections then. docs/measurements/pieraksts.md: closed after 0.4 s, score of a day with faults
-   * 0.691 → 0.710, of a day of high load 0.637 → 0.659.
+   * Short, since connections of a crashed machine count against the connection limit of the
+   * instance for seconds while the proxies that replace it need connections.
    */
   idleTimeoutMs: 400,
-  /** Guess, not measured. */
   clampMs: 2000,
 };
 
-/** Where proxies keep none. */
+/** Defaults where connections are scarce. */
 const SCARCE_CONNECTIONS: Omit<ConnectionQuota, 'maxConnections'> = {
-  /** Others need the connection. */
   minimumIdle: 0,
-  /** Longest time; {@link IdleTimeout} shortens it. Guess, not measured. */
+  /** Upper bound; {@link IdleTimeout} shortens it. */
   idleTimeoutMs: 600,
-  /** Others give connections back all the time. Guess, not measured. */
+  /** Short, since other proxies close connections all the time. */
   clampMs: 100,
 };
 
@@ -72,12 +72,14 @@
   return Math.floor(usable / Math.max(1, liveProxies));
 }
 
-/** Whether an instance has too few connections for each proxy to keep its own. */
+/** Whether an instance has too few connections for each proxy to keep some of its own. */
 export function isScarce(connectionLimit: number, liveProxies: number): boolean {
   return fairShareOf(connectionLimit, liveProxies) < MIN_FAIR_SHARE;
 }
 
-/** Share of one of `liveProxies` proxies in an instance that takes `connectionLimit` connections. */
+/**
+ * Quota of one of `liveProxies` proxies at an instance that accepts `connectionLimit` connections.
+ */
 export function connectionQuota(connectionLimit: number, liveProxies: number): ConnectionQuota {
   const usable = Math.max(1, connectionLimit - RESERVED_CONNECTIONS);
   const fairShare = fairShareOf(connectionLimit, liveProxies);
--- a/src/appointed/connections/connection_source.ts
+++ b/src/appointed/connections/connection_source.ts
@@ -1,27 +1,32 @@
-/** Where statements get their connections to one instance: from a pool of this process, or from connection owners. */
+/**
+ * Interface through which statements get connections to an instance: from a pool of this process,
+ * or relayed through connection owners.
+ */
 import type { InstanceLoad } from './instance_load.js';
 import type { AllowedRegions } from '../placement/data_residency.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
-/** Source of connections to one instance. */
 export interface ConnectionSource {
-  /** What the answers of the instance say of it. */
+  /** Latency and failures of the instance, as seen by this proxy. */
   readonly load: InstanceLoad;
-  /** Whether requests queue at a connection owner, which knows how long that takes. */
+  /** Whether requests queue at a connection owner, which estimates the wait itself. */
   readonly queuesAtOwner: boolean;
-  /** @throws AcquireError when none could be had within `timeoutMs` */
+  /** @throws AcquireError if no connection is available within `timeoutMs` */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection>;
-  /** Whether the next statement on a connection may have these homes: another proxy may keep it, which gets its body. */
+  /**
+   * Whether the next statement may be sent on a connection under these allowed regions: the
+   * connection owner that pinned it receives the statement's text.
+   */
   satisfiesResidency(pooled: PooledConnection, allowedRegions: AllowedRegions): boolean;
-  /** Gives a connection back; it has no transaction and no answer outstanding. */
+  /** Returns a connection that has no open transaction and no command in flight. */
   release(pooled: PooledConnection): void;
   /** Closes a connection whose state is unknown. */
   discard(pooled: PooledConnection): void;
-  /** A statement of a transaction begins on its connection. */
+  /** A statement of a transaction starts on its pinned connection. */
   markActive(pooled: PooledConnection): void;
-  /** A transaction waits for its caller. */
+  /** A transaction is idle until its caller sends the next statement. */
   markIdleInTransaction(pooled: PooledConnection): void;
-  /** The instance turned a statement away since it was busy. */
+  /** The instance refused a statement with BUSY. */
   recordBusy(pooled: PooledConnection): void;
   /** The instance served a statement. */
   recordServed(pooled: PooledConnection): void;
--- a/src/appointed/connections/connections_in_use.ts
+++ b/src/appointed/connections/connections_in_use.ts
@@ -1,25 +1,25 @@
 /**
- * The connections of one pool that are held for a request or a transaction, and how many of them run a statement now.
- * Owns the set and the count. Relies on its pool to add and remove each connection once. Nothing in it can fail.
+ * Tracks the connections of one pool that requests and transactions use, and how many of them run a
+ * statement now.
  */
 import type { PooledConnection } from './pooled_connection.js';
 
-/** Connections in use. */
 export class ConnectionsInUse {
   private readonly connections = new Set<PooledConnection>();
   private activeCount = 0;
 
-  /** Number of connections. */
   get size(): number {
     return this.connections.size;
   }
 
-  /** Connections on which a statement runs or is about to; a transaction between two statements has none. */
+  /**
+   * Number of connections that run a statement or are about to. An idle transaction does not count.
+   */
   get active(): number {
     return this.activeCount;
   }
 
-  /** Connections of a tenant on which a statement runs; of all tenants when undefined. */
+  /** Number of active connections of a tenant; of all tenants if undefined. */
   activeOf(tenant: string | undefined): number {
     if (tenant === undefined) return this.activeCount;
     let count = 0;
@@ -33,27 +33,29 @@
     this.activate(pooled);
   }
 
-  /** Removes a connection. */
   remove(pooled: PooledConnection): void {
     this.connections.delete(pooled);
     this.deactivate(pooled);
   }
 
-  /** Counts a connection as running a statement. */
+  /** Marks a connection as running a statement. */
   activate(pooled: PooledConnection): void {
     if (pooled.isActive) return;
     pooled.isActive = true;
     this.activeCount++;
   }
 
-  /** Counts a connection as running none. */
+  /** Marks a connection as running no statement. */
   deactivate(pooled: PooledConnection): void {
     if (!pooled.isActive) return;
     pooled.isActive = false;
     this.activeCount--;
   }
 
-  /** Closes those whose transaction has waited for its caller since `latest` or before; returns how many. */
+  /**
+   * Closes the connections of transactions that have been idle since `idleSinceBefore` or longer.
+   * @returns number of connections closed
+   */
   closeIdleTransactions(idleSinceBefore: number): number {
     let count = 0;
     for (const { connection, isActive, idleSince } of this.connections) {
@@ -64,7 +66,7 @@
     return count;
   }
 
-  /** Closes all connections; each stays in the set until it is removed. */
+  /** Closes all connections. Each stays in the set until its user removes it. */
   closeAll(): void {
     for (const { connection } of this.connections) connection.close();
   }
--- a/src/appointed/connections/demand_opener.ts
+++ b/src/appointed/connections/demand_opener.ts
@@ -1,9 +1,7 @@
 /**
- * Brings connections to the requests that wait at one pool: opens further ones where that is worth it, and serves the
- * queue again when the pause of the concurrency limit is over. Owns the timers of both.
- *
- * Relies on {@link isOpeningWorthwhile} for the decision, and on the other parts of its pool for what there is. Nothing in
- * it can fail: an opening that fails is reported by the opener.
+ * Opens connections for the requests that wait at one pool where {@link isOpeningWorthwhile} says
+ * so, and serves the queue again when the pause of the concurrency limit ends. Owns the timers of
+ * both.
  */
 import type { Clock, Timer } from '../../runtime/runtime.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
@@ -20,7 +18,7 @@
 } from './opening_rule.js';
 import type { WaiterQueue } from './waiter_queue.js';
 
-/** The parts of a pool that tell whether a connection is wanted, and what the pool does about it. */
+/** The parts of a pool that the decision depends on, and the actions that it triggers. */
 export interface DemandOpenerDependencies {
   readonly clock: Clock;
   readonly load: InstanceLoad;
@@ -29,22 +27,21 @@
   readonly idle: IdleConnections;
   readonly inUse: ConnectionsInUse;
   readonly opener: ConnectionOpener;
-  /** Statements that the instance runs at a time. */
+  /** Number of statements that the instance runs concurrently. */
   readonly slots: () => number;
   /** Opens a connection for a tenant, if the pool has room for it. */
   readonly open: (tenant: string) => void;
-  /** Gives idle connections to the requests that wait. */
+  /** Gives idle connections to waiting requests. */
   readonly serveWaiters: () => void;
 }
 
-/** Opener for the requests that wait at one pool. */
 export class DemandOpener {
   private queueWaitTimer: Timer | undefined;
   private pauseTimer: Timer | undefined;
 
   constructor(private readonly dependencies: DemandOpenerDependencies) {}
 
-  /** Opens the connections that the requests that wait are worth, now or after the pause of the concurrency limit. */
+  /** Opens connections for waiting requests, now or after the pause of the concurrency limit. */
   openForWaiters(): void {
     const { clock, limit, waiters } = this.dependencies;
     if (waiters.length === 0) return;
@@ -89,7 +86,7 @@
       this.dependencies.open(tenant ?? NO_TENANT);
   }
 
-  /** A statement that takes unusually long must not hold up the requests that wait for its connection. */
+  /** Guards against a slow statement that blocks the requests queued for its connection. */
   private openAfterMaxQueueWait(): void {
     const { clock, waiters, opener } = this.dependencies;
     this.queueWaitTimer ??= clock.setTimer(maxQueueWaitMs(opener.connectMs), () => {
--- a/src/appointed/connections/expected_wait.ts
+++ b/src/appointed/connections/expected_wait.ts
@@ -1,23 +1,18 @@
 /**
- * Decision: how long a request is expected to wait for a connection of a pool. Pure.
+ * Estimates how long a request waits for a connection of a pool: the pause of the concurrency
+ * limit, then one statement time divided by the concurrency for each request ahead. A request whose
+ * estimate exceeds its timeout is refused on arrival, so that its caller can try another instance
+ * in time. Pure: no I/O, no clock.
  *
- * Load that it answers: a full instance. A request that would wait in vain is refused on arrival, so that its caller can
- * go elsewhere while there is time.
- *
- * Inputs: statements that may be sent at a time (count, infinite where nothing limits them), time of a statement
- * (milliseconds, smoothed), requests that come first (count), pause of the concurrency limit that is left (milliseconds).
- *
- * Rule: the pause, then one start each (time of a statement ÷ statements at a time). No constants.
- *
- * docs/design/scheduling.md, "Who decides", rule 4.
+ * Design: docs/design/scheduling.md
  */
 
-/** Time between two starts, in milliseconds; 0 where nothing limits them. */
+/** Time between two statement starts, in milliseconds; 0 where the concurrency is unlimited. */
 export function startSpacingMs(concurrency: number, statementMs: number): number {
   return statementMs / concurrency;
 }
 
-/** Time until a request is started that comes after `ahead` others, in milliseconds. */
+/** Time until a request with `requestsAhead` others before it starts, in milliseconds. */
 export function expectedWaitMs(
   pauseMs: number,
   requestsAhead: number,
--- a/src/appointed/connections/idle_connections.ts
+++ b/src/appointed/connections/idle_connections.ts
@@ -1,30 +1,30 @@
 /**
- * Idle connections of one pool, the one that is idle for longest first. Owns the list. Relies on each connection to be
- * removed when it is closed elsewhere. Nothing in it can fail.
+ * Idle connections of one pool, least recently used first. A connection that is closed elsewhere
+ * has to be removed by its pool.
  */
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
-/** Idle connections. */
 export class IdleConnections {
   private readonly connections: PooledConnection[] = [];
 
-  /** Number of connections. */
   get length(): number {
     return this.connections.length;
   }
 
-  /** Adds one that has become idle. */
   add(pooled: PooledConnection, now: number): void {
     pooled.idleSince = now;
     this.connections.push(pooled);
   }
 
-  /** Whether one may carry statements of a tenant; of the system itself when undefined. */
+  /** Whether an idle connection can serve a tenant, or an internal request if undefined. */
   hasConnectionFor(tenant: string | undefined): boolean {
     return this.connections.some((pooled) => pooled.canServeTenant(tenant));
   }
 
-  /** Takes out the one that is closest to a request's session; of equal ones the one used last. */
+  /**
+   * Removes and returns the connection that needs the fewest commands to load the request's
+   * session; among equal ones the most recently used.
+   */
   takeClosest(request: ConnectionRequest): PooledConnection | undefined {
     let best: PooledConnection | undefined;
     let bestDistance = Infinity;
@@ -39,26 +39,31 @@
     return best;
   }
 
-  /** Takes one out; does nothing when it is not idle. */
+  /** Removes a connection; does nothing if it is not idle. */
   remove(pooled: PooledConnection): void {
     const index = this.connections.indexOf(pooled);
     if (index >= 0) this.connections.splice(index, 1);
   }
 
-  /** Takes out and closes the one that is idle for longest; false when there is none. */
+  /**
+   * Closes the least recently used connection.
+   * @returns false if there is none
+   */
   closeOldest(): boolean {
     const oldest = this.connections.shift();
     oldest?.connection.close();
     return oldest !== undefined;
   }
 
-  /** Closes those that were idle for longer than `timeoutMs`, but for the `kept` newest ones. */
+  /**
+   * Closes connections that have been idle for longer than `timeoutMs`, except the `keepCount` most
+   * recently used.
+   */
   closeExpired(now: number, timeoutMs: number, keepCount: number): void {
     const isExpired = (): boolean => now - this.connections[0]!.idleSince > timeoutMs;
     while (this.connections.length > keepCount && isExpired()) this.closeOldest();
   }
 
-  /** Closes all. */
   closeAll(): void {
     while (this.closeOldest());
   }
--- a/src/appointed/connections/idle_timeout.ts
+++ b/src/appointed/connections/idle_timeout.ts
@@ -1,43 +1,41 @@
 /**
- * Decision: after how long an idle connection is closed, where the instance has too few for all proxies. Pure.
+ * Adapts the idle timeout of one pool to the free connections of its instance, where those are
+ * scarce: all proxies together keep about as many connections as the instance accepts, without
+ * messages between them. Pure: no I/O, no clock.
  *
- * Load that it answers: more proxies than connections. Each keeps its connections for as long as the instance has some
- * left, so that all proxies together keep about as many as it takes, without a message between them.
- *
- * Inputs: connections that were opened, refusals for want of a connection, the time-out by the connection share
- * (milliseconds).
- *
- * Rule: the time-out of the share until the instance first had no connection left; then halved with each such refusal, and
- * longer by a step with each connection that could be opened (additive increase, multiplicative decrease).
- *
- * docs/measurements/platform.md, "The grown deployments": score of a day of high load 0.682 with a fixed
- * 100 ms, 0.750 with this rule (one run). The constants were not measured one by one.
+ * The timeout follows additive increase, multiplicative decrease. It is that of the connection
+ * quota until the instance first refuses a connection at its limit; it halves with each such
+ * refusal and grows with each connection opened.
  */
 
-/** Shortest time-out, in milliseconds: connections are opened and closed all the time below it. Guess, not measured. */
+/** Lower bound, below which the pool would open and close connections all the time. */
 const MIN_IDLE_TIMEOUT_MS = 50;
-/** Added with each connection that could be opened, in milliseconds. Guess, not measured. */
+/** Added with each connection opened. */
 const TIMEOUT_INCREASE_MS = 10;
-/** Fraction of the time-out that is left after a refusal. Guess, not measured. */
+/** Factor applied with each refusal at the connection limit. */
 const TIMEOUT_DECREASE_FACTOR = 0.5;
 
-/** Idle time-out of one pool. */
 export class IdleTimeout {
-  /** Infinite until the instance first had no connection left. */
+  /** Infinite until the instance first refuses a connection at its limit. */
   private timeoutMs = Infinity;
 
-  /** Lengthens the time-out: a connection could be opened. */
   recordOpened(): void {
     this.timeoutMs += TIMEOUT_INCREASE_MS;
   }
 
-  /** Halves the time-out: the instance had no connection left. `longestMs` is the time-out by the share. */
+  /**
+   * Halves the timeout after the instance refused a connection at its limit.
+   * @param quotaTimeoutMs - upper bound, from the connection quota
+   */
   recordConnectionLimit(quotaTimeoutMs: number): void {
     const currentMs = Math.min(this.timeoutMs, quotaTimeoutMs);
     this.timeoutMs = Math.max(MIN_IDLE_TIMEOUT_MS, currentMs * TIMEOUT_DECREASE_FACTOR);
   }
 
-  /** Time after which an idle connection is closed, in milliseconds. `longestMs` is the time-out by the share. */
+  /**
+   * Current idle timeout, in milliseconds.
+   * @param quotaTimeoutMs - upper bound, from the connection quota
+   */
   effectiveMs(quotaTimeoutMs: number): number {
     return Math.min(this.timeoutMs, quotaTimeoutMs);
   }
--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -1,9 +1,7 @@
 /**
- * The instances that a proxy knows by the catalog, and the access to each of them. Makes a pool for each, with the settings
- * that its proxy gives, and writes what happens in pools to the log.
- *
- * Owns the entries, the accesses and their pools. Relies on the catalog being current: instances that are gone, or started
- * again, lose their pool, new ones get one. What fails in a pool is passed on to the proxy.
+ * Directory of the instances that a proxy knows from the catalog. Creates a pool and an access for
+ * each, and logs the events of the pools. Instances that are removed or restarted lose their pool;
+ * new and restarted ones get a new one.
  */
 import type { InstanceEntry } from '../catalog/catalog.js';
 import type { RouteTable } from '../catalog/route_table.js';
@@ -39,45 +37,43 @@
 
 const { InstanceState } = whinyoke;
 
-/** Longest time of an opening, in milliseconds. Guess, not measured. */
 const CONNECT_TIMEOUT_MS = 600;
-/** Slots (a count) of an instance whose heartbeat names none. Guess, not measured. */
+/** Number of slots assumed for an instance whose heartbeat does not report them. */
 const DEFAULT_SLOTS = 8;
 
-/** What the directory needs of its proxy. */
+/** What the directory needs from its proxy. */
 export interface InstanceDirectoryDependencies {
   readonly runtime: Runtime;
-  /** Address for messages of other processes. */
+  /** Address at which other processes reach this proxy. */
   readonly ownAddress: string;
-  /** Region of each zone that the settings name. */
+  /** Region of each zone, from the settings. */
   readonly regionByZone: ReadonlyMap<string, string>;
   readonly connector: InstanceConnector;
   readonly log: DecisionLog;
-  /** Bounds what cold instances get. */
+  /** Limits the requests sent to cold instances. */
   readonly slowStarts: SlowStartGate;
-  /** Connections that an instance of a group takes from all proxies together. */
+  /** Number of connections that an instance of a group accepts from all proxies together. */
   connectionLimitOf(group: string): number;
   /** Whether a connection serves only the tenant for whom it was opened. */
   hasTenants(): boolean;
-  /** Routing document in force; undefined before the first. */
+  /** Current routing table; undefined until the first document arrives. */
   table(): RouteTable | undefined;
-  /** Operations a second that a tenant may run; undefined where it has no limit. */
+  /** Operations per second that a tenant may run; undefined if unlimited. */
   tenantRate(tenant: string): number | undefined;
-  /** How far the evacuation of a zone has come; undefined when it is not evacuated. */
+  /** Evacuation stage of a zone; undefined if it is not evacuated. */
   zoneEvacuationStage(zone: string): EvacuationStage | undefined;
   /** Number of live proxies, this one included. */
   readonly liveProxies: () => number;
   /** A connection could not be opened. */
   onConnectFailed(target: InstanceTarget, error: ConnectError): void;
-  /** An instance started again: its former incarnation is over. */
+  /** An instance restarted: its former incarnation is over. */
   onInstanceRestarted(former: InstanceTarget, incarnation: number): void;
-  /** A connection was opened; the instance named its position after `startedAt`. */
+  /** A connection was opened. The instance reported its position after `startedAt`. */
   onOpened(target: InstanceTarget, position: Position, startedAt: number): void;
 }
 
-/** Directory of one proxy. */
 export class InstanceDirectory {
-  /** Proxies that hold the connections of instances that have too few for all proxies. */
+  /** Connection owners of the instances that have too few connections for all proxies. */
   readonly owners: ConnectionOwners;
   private readonly entries = new Map<string, InstanceEntry>();
   private readonly accesses = new Map<string, InstanceAccess>();
@@ -97,17 +93,17 @@
     return this.entries.size;
   }
 
-  /** Pools of connections of this process, for metrics. */
+  /** Connection pools of this process, for metrics. */
   get pools(): readonly InstancePool[] {
     return [...this.accesses.values()].map(({ localPool }) => localPool);
   }
 
-  /** Way to an instance. */
+  /** Access to an instance; undefined if it is unknown or not usable. */
   access(instance: string): InstanceAccess | undefined {
     return this.accesses.get(instance);
   }
 
-  /** Takes over what changed in the catalog. */
+  /** Applies a catalog update. */
   applyUpdate(update: whinyoke.ICatalogUpdate): void {
     if (update.isWhole) this.entries.clear();
     for (const instance of update.instances ?? []) {
@@ -129,7 +125,7 @@
     }
   }
 
-  /** Entries that name an instance to use; nothing is sent to the address of any other. */
+  /** Entries of instances that may be used. No message is sent to the address of any other. */
   private usableEntries(): ReadonlyMap<string, InstanceEntry> {
     const table = this.dependencies.table();
     const usable = new Map<string, InstanceEntry>();
@@ -141,7 +137,7 @@
     return usable;
   }
 
-  /** How far the evacuation of an instance's zone has come; undefined when it is not evacuated. */
+  /** Evacuation stage of an instance's zone; undefined if it is not evacuated. */
   evacuationStageOf(instance: string): EvacuationStage | undefined {
     const zone = this.entries.get(instance)?.zone;
     return zone === undefined || zone === null
@@ -149,7 +145,10 @@
       : this.dependencies.zoneEvacuationStage(zone);
   }
 
-  /** When this process last took a connection to an instance of a zone for a caller's statement; -Infinity: never. */
+  /**
+   * When this process last used a connection to an instance of a zone for a caller's statement;
+   * -Infinity if never.
+   */
   lastStatementIn(zone: string): number {
     const ofZone = [...this.entries].filter(([, entry]) => entry.zone === zone);
     return Math.max(
@@ -157,7 +156,10 @@
     );
   }
 
-  /** Instances of a group that take new work, none in an evacuated zone; cold ones without room for more included. */
+  /**
+   * Instances of a group that accept new work. Excludes evacuated zones; includes cold instances
+   * that have reached their slow-start limit.
+   */
   instancesAcceptingWork(group: string): readonly string[] {
     const accepting = [...this.entries.values()].filter((instance) =>
       this.acceptsNewWork(instance, group),
@@ -165,7 +167,10 @@
     return accepting.map(({ id }) => id ?? '');
   }
 
-  /** Instances of a group that may be sent a read now: cold ones only where there is room for it. */
+  /**
+   * Instances of a group that a read may be sent to now. Cold ones are included only below their
+   * slow-start limit.
+   */
   readCandidates(group: string, primary: string): readonly ReadCandidate[] {
     const candidates: ReadCandidate[] = [];
     for (const [id, instance] of this.entries) {
@@ -181,25 +186,32 @@
     return candidates;
   }
 
-  /** Zone of an instance; undefined when the catalog does not list it. */
+  /** Zone of an instance; undefined if the catalog does not list it. */
   zoneOf(instance: string): string | undefined {
     const entry = this.entries.get(instance);
     return entry && (entry.zone ?? '');
   }
 
-  /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
+  /**
+   * Registers a request that waits for a connection to an instance.
+   * @returns a callback that ends the wait; undefined if the instance is cold and at its slow-start
+   *   limit
+   */
   beginWait(id: string, isUrgent: boolean): CancelReservation | undefined {
     const instance = this.entries.get(id);
     return this.dependencies.slowStarts.reserve(instance ?? {}, isUrgent);
   }
 
-  /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
+  /**
+   * Counts a request that this process sends to an instance now.
+   * @returns false if the instance is cold and must not receive the request
+   */
   admit(id: string, isUrgent: boolean): boolean {
     const instance = this.entries.get(id);
     return this.dependencies.slowStarts.admit(instance ?? {}, isUrgent);
   }
 
-  /** All instances of a group but its primary, whatever their state. */
+  /** All instances of a group except its primary, in any state. */
   replicasOf(group: string, primary: string): readonly ConfirmingReplica[] {
     return [...this.entries]
       .filter(([id, instance]) => instance.group === group && id !== primary)
@@ -207,7 +219,10 @@
       .map(([id]) => ({ instance: id, pool: this.accesses.get(id) }));
   }
 
-  /** Suspends and resumes pools as the evacuation of zones asks; called after each change of the catalog, and often. */
+  /**
+   * Suspends and resumes pools according to the evacuation stage of their zones. Called after each
+   * catalog update and periodically.
+   */
   applyEvacuations(isPrimary: (instance: string, group: string) => boolean): void {
     for (const [id, { group, zone }] of this.entries) {
       const pool = this.accesses.get(id)?.localPool;
@@ -225,12 +240,12 @@
     }
   }
 
-  /** Opens missing and closes idle connections of all pools; called often. */
+  /** Opens spare connections and closes idle ones in all pools; called periodically. */
   maintain(): void {
     for (const { localPool } of this.accesses.values()) localPool.maintain();
   }
 
-  /** Ends all connections. */
+  /** Closes all pools. */
   close(): void {
     for (const { localPool } of this.accesses.values()) localPool.close();
   }
@@ -242,7 +257,10 @@
     );
   }
 
-  /** No answer of an incarnation that ended can come any more: whoever waits for one is told so. */
+  /**
+   * Closes all connections to the ended incarnation: no answer can arrive any more, and requests
+   * that wait for one must fail now.
+   */
   private endIncarnation(access: InstanceAccess, { id, group, incarnation }: InstanceEntry): void {
     this.dependencies.log(Events.instanceReplaced, {
       instance: id ?? '',
@@ -327,7 +345,10 @@
     };
   }
 
-  /** Connections are opened ahead only where their tenant is known, and where this proxy keeps connections of its own. */
+  /**
+   * Spare connections are opened only where their tenant is known and this proxy keeps connections
+   * of its own.
+   */
   private opensSpareConnections(instance: InstanceEntry): boolean {
     if (this.dependencies.hasTenants()) return false;
     return this.owners.ownersFor(this.ownedInstance(instance), NO_TENANT).length === 0;
--- a/src/appointed/connections/instance_load.ts
+++ b/src/appointed/connections/instance_load.ts
@@ -1,67 +1,52 @@
 /**
- * Decision: when an instance counts as slow, failing, out of reach or behind, from the answers to one proxy's own
- * statements. Pure: each call is told the time.
+ * Tracks the latency, failures and replication lag of one instance from the answers to this proxy's
+ * own statements, so that reads avoid instances that are slow, failing, unreachable or behind.
+ * Pure: the caller passes the time.
  *
- * Load that it answers: instances that answer late, refuse a part of their requests, break connections, or have not yet
- * applied the positions that reads ask for. Reads go to the others meanwhile, and no statement waits for long for an
- * answer that is lost.
- *
- * Inputs: duration of each answer, time of each failure, refusal and missing position (milliseconds), positions that the
- * instance named.
- *
- * Rules:
- * - Slow: an answer later than the smoothed latency and several mean deviations is taken for lost.
- * - Failing: the fraction of the latest answers that were refusals, which fades with time; see the replica selector for what
- *   it costs.
- * - Out of reach: after a broken connection or a missing answer it is left out, for longer with each one in a row.
- * - Behind: after it lacked a position it is not asked for one that it is not known to have, for longer each time.
- *
- * docs/measurements/pieraksts.md says that ejection and the slow-answer threshold were not measured alone.
- * test/unit/router.test.ts holds the rules for failing, out of reach and behind.
+ * - Slow: an answer that exceeds the smoothed latency by several mean deviations counts as lost.
+ * - Failing: a moving fraction of refused or failed answers, which decays over time; the replica
+ *   selector weighs it.
+ * - Ejected: after a broken connection or a missing answer the instance is skipped, for longer with
+ *   each consecutive failure.
+ * - Behind: after the instance lacked a position, it is not asked for positions that it is not
+ *   known to have, for longer with each consecutive miss.
  */
 import { type Position, covers } from '../../positions/position.js';
 
-/** Weight of the newest answer in latency and deviation, a fraction: about the last ten count. Guess, not measured. */
+/** Weight of the newest sample in latency and deviation, a fraction: about the last ten count. */
 const LATENCY_WEIGHT = 0.1;
-/** Latency and deviation that are assumed before the first answer, in milliseconds. Guess, not measured. */
+/** Latency and deviation assumed before the first answer. */
 const INITIAL_LATENCY_MS = 10;
 /**
- * Shortest slow-answer threshold, in milliseconds: a pause of a process or a lost packet is no trouble yet. Guess, not
- * measured.
+ * Lower bound of the slow-answer threshold: a process pause or a lost packet must not count as a
+ * failure.
  */
 const MIN_SLOW_ANSWER_THRESHOLD_MS = 80;
-/**
- * Mean deviations above the latency (a count) from which an answer is unusually late: statements differ in length. Guess,
- * not measured.
- */
+/** Mean deviations above the latency at which an answer counts as lost. */
 const SLOW_ANSWER_DEVIATIONS = 6;
-/** Time that an instance is left out after its first failure, in milliseconds. Guess, not measured. */
 const INITIAL_EJECTION_MS = 200;
-/** Longest time that it is left out, in milliseconds: three doublings of the first. Guess, not measured. */
 const MAX_EJECTION_MS = 1600;
 /**
- * An instance that lacked a position is not asked for it again for this time, in milliseconds, doubled with each time in a
- * row. Without the doubling 1,984 statements did not run in one play (docs/incidents/toplina-inc-7036.md); 60 ms itself
- * is a guess, not measured.
+ * An instance that lacked a position is not asked for it for this time, doubled with each
+ * consecutive miss.
  */
 const INITIAL_LAGGING_RECHECK_MS = 60;
-/** Longest such time, in milliseconds. Guess, not measured. */
 const MAX_LAGGING_RECHECK_MS = 1000;
-/** Doublings (a count) after which the longest time is reached in any case; keeps the power finite. */
+/** Keeps the power finite; the maximum is reached well before. */
 const MAX_DOUBLINGS = 10;
-/** Weight of the newest answer in the fraction of answers that failed, a fraction. Guess, not measured. */
+/** Weight of the newest answer in the fraction of failures. */
 const FAILURE_WEIGHT = 0.1;
-/** The fraction of failures halves in this time, in milliseconds: the instance is tried again. Guess, not measured. */
+/** Half-life of the fraction of failures, after which the instance is tried again. */
 const FAILURE_HALF_LIFE_MS = 2000;
 
-/** `firstMs`, doubled `times` times, `longestMs` at most. */
+/** `initialMs` doubled `doublings` times, at most `maxMs`. */
 function exponentialBackoffMs(initialMs: number, doublings: number, maxMs: number): number {
   return Math.min(initialMs * 2 ** Math.min(doublings, MAX_DOUBLINGS), maxMs);
 }
 
-/** Observations of one instance. */
+/** Load and health of one instance. */
 export class InstanceLoad {
-  /** Requests that wait for a connection, and statements under way. */
+  /** Number of requests that wait for a connection and of statements in flight. */
   outstanding = 0;
   private smoothedLatencyMs = INITIAL_LATENCY_MS;
   private deviationMs = INITIAL_LATENCY_MS;
@@ -73,18 +58,21 @@
   private consecutiveLags = 0;
   private laggingUntil = -Infinity;
 
-  /** Smoothed time of a statement, in milliseconds. */
+  /** Smoothed statement latency, in milliseconds. */
   get latencyMs(): number {
     return this.smoothedLatencyMs;
   }
 
-  /** Slow-answer threshold, in milliseconds: an answer that takes longer is most likely lost. */
+  /** Time after which an answer is most likely lost, in milliseconds. */
   get slowAnswerThresholdMs(): number {
     const expectedMs = this.smoothedLatencyMs + SLOW_ANSWER_DEVIATIONS * this.deviationMs;
     return Math.max(MIN_SLOW_ANSWER_THRESHOLD_MS, expectedMs);
   }
 
-  /** Records an answer that took `durationMs`: failures and missing positions are no longer in a row. */
+  /**
+   * Records an answer that took `durationMs`. Ends the ejection and resets the consecutive failures
+   * and misses.
+   */
   recordAnswer(durationMs: number, now: number): void {
     this.updateFailureFraction(0, now);
     const difference = durationMs - this.smoothedLatencyMs;
@@ -95,19 +83,19 @@
     this.ejectedUntil = -Infinity;
   }
 
-  /** Records a broken connection or a missing answer: the instance is left out for a while. */
+  /** Records a broken connection or a missing answer, and ejects the instance for a while. */
   recordFailure(now: number): void {
     this.ejectedUntil =
       now + exponentialBackoffMs(INITIAL_EJECTION_MS, this.consecutiveFailures, MAX_EJECTION_MS);
     this.consecutiveFailures++;
   }
 
-  /** Records that the instance turned a request away, or failed it, although it could be reached. */
+  /** Records that a reachable instance refused or failed a request. */
   recordRefusal(now: number): void {
     this.updateFailureFraction(1, now);
   }
 
-  /** Fraction of the latest answers that were refusals or failures, from 0 to 1; it fades with time. */
+  /** Fraction of recent answers that were refusals or failures, from 0 to 1; decays over time. */
   failureFraction(now: number): number {
     if (this.lastFailureFraction === 0) return 0;
     return (
@@ -116,17 +104,17 @@
     );
   }
 
-  /** Whether the instance is left out after a failure. */
+  /** Whether the instance is skipped after a failure. */
   isEjected(now: number): boolean {
     return now < this.ejectedUntil;
   }
 
-  /** Records the position that the instance named as applied. */
+  /** Records the position that the instance reported as applied. */
   recordPosition(position: Position): void {
     this.lastAppliedPosition = position;
   }
 
-  /** Records that the instance lacked a position that a read asked for. */
+  /** Records that the instance lacked the position that a read asked for. */
   recordLagging(now: number): void {
     const recheckMs = exponentialBackoffMs(
       INITIAL_LAGGING_RECHECK_MS,
@@ -137,7 +125,7 @@
     this.consecutiveLags++;
   }
 
-  /** Whether the instance lacked a position a short time ago, and is not known to have this one. */
+  /** Whether the instance recently lacked a position and is not known to have this one. */
   isBehind(wanted: Position, now: number): boolean {
     if (this.lastAppliedPosition && covers(this.lastAppliedPosition, wanted)) return false;
     return now < this.laggingUntil;
--- a/src/appointed/connections/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -1,13 +1,13 @@
 /**
- * Connections of one proxy to one instance: gives them to requests, takes them back, and queues the requests that find
- * none. A connection carries statements of the tenant for whom it was opened; where there are no tenants, all are opened
- * for the same.
+ * Pool of one proxy's connections to one instance. Gives connections to requests, queues the
+ * requests that find none free, and refuses those that cannot be served in time. A connection only
+ * serves the tenant for whom it was opened; without tenants, all connections belong to the same
+ * one.
  *
- * Owns its parts, one job each: `idle` and `inUse` (the connections), `waiters` (requests that wait, by ServiceOrder),
- * `limit` (statements at a time after BUSY), `opener` with `backoff` (openings), `demand` (openings for requests that
- * wait), `spares` (openings ahead), `idleTimeout` (when idle ones end).
- *
- * Relies on the connector, which may fail: requests then wait on, or are refused with the reason.
+ * The parts: `idle` and `inUse` track the connections, `waiters` holds the queued requests in the
+ * order of ServiceOrder, `limit` bounds the statements in flight after BUSY answers, `opener` and
+ * `backoff` open connections, `demand` opens them for queued requests, `spares` ahead of requests,
+ * `idleTimeout` decides when idle ones are closed.
  */
 import type { Clock } from '../../runtime/runtime.js';
 import { NO_TENANT } from '../tenancy/tenant.js';
@@ -33,11 +33,10 @@
 import { SpareSchedule } from './spare_connections.js';
 import { type WaitingRequest, WaiterQueue } from './waiter_queue.js';
 
-/** Pool of one instance. */
 export class InstancePool {
-  /** Requests that got no connection since the start, by cause. */
+  /** Number of refused requests, by cause. */
   readonly refusalCounts = new Map<AcquireFailure, number>();
-  /** When a connection was last taken for a caller's statement; -Infinity before the first. */
+  /** When a connection was last used for a caller's statement; -Infinity if never. */
   lastStatementAt = -Infinity;
   private readonly idle = new IdleConnections();
   private readonly inUse = new ConnectionsInUse();
@@ -50,17 +49,18 @@
   private readonly demand: DemandOpener;
   private readonly spares: SpareSchedule;
   private isClosed = false;
-  /** Whether only questions of the system itself get connections, since the zone of the instance is evacuated. */
+  /**
+   * Whether only internal requests get connections, since the zone of the instance is evacuated.
+   */
   private isSuspended = false;
-  /** Connections that were opened for such questions. */
+  /** Connections that were opened for internal requests during an evacuation. */
   private readonly systemConnections = new WeakSet<PooledConnection>();
 
   constructor(
-    /** The instance. */
     readonly target: InstanceTarget,
     connector: InstanceConnector,
     private readonly clock: Clock,
-    /** What the answers of the instance say of it. */
+    /** Latency and failures of the instance, as seen by this proxy. */
     readonly load: InstanceLoad,
     private readonly options: PoolOptions,
     private readonly listener: PoolListener,
@@ -93,34 +93,38 @@
     this.demand = new DemandOpener(dependencies);
   }
 
-  /** Open connections, those being opened included. */
+  /** Number of connections, those being opened included. */
   get size(): number {
     return this.idle.length + this.inUse.size + this.opener.count;
   }
 
-  /** Whether this proxy is a connection owner of the instance: requests of all proxies wait here then. */
+  /**
+   * Whether this proxy is a connection owner of the instance, so that the requests of all proxies
+   * queue here.
+   */
   get queuesAtOwner(): boolean {
     return this.options.quota().isOwner ?? false;
   }
 
-  /** Requests that wait for a connection. */
+  /** Number of requests that wait for a connection. */
   get waitingCount(): number {
     return this.waiters.length;
   }
 
-  /** Statements that may be sent at a time; infinite while the instance turns none away. */
+  /** Maximum number of statements in flight; infinite while the instance refuses none. */
   get concurrencyLimit(): number {
     return this.limit.maxInFlight;
   }
 
-  /** Connections that are in use. */
+  /** Number of connections in use. */
   get inUseCount(): number {
     return this.inUse.size;
   }
 
   /**
-   * A connection of the request's tenant, the one closest to the session's values first.
-   * @throws AcquireError when none could be had within `timeoutMs`
+   * Returns a connection of the request's tenant, preferably one that has the session's values
+   * loaded.
+   * @throws AcquireError if none is available within `timeoutMs`
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     if (this.isClosed) return Promise.reject(this.recordRefusal('closed'));
@@ -135,8 +139,8 @@
     }
     return new Promise((resolve, reject) => {
       const { objectiveMs = Infinity } = request;
-      // The time of a statement is not taken off `startBy`: the one that is known is a mean of all kinds, which may be
-      // longer than the objective of a short one.
+      // `startBy` does not subtract the duration of the statement: the known duration is a mean
+      // over all kinds of statements, which may exceed the latency objective of a short one.
       const times = {
         arrivedAt: now,
         latestStartAt: now + objectiveMs,
@@ -146,7 +150,7 @@
     });
   }
 
-  /** Lowers the concurrency limit: the instance turned a statement away since it was busy. */
+  /** Lowers the concurrency limit after the instance refused a statement with BUSY. */
   recordBusy(): void {
     const now = this.clock.now();
     if (!this.limit.recordBusy(this.inUse.active, now)) return;
@@ -154,30 +158,30 @@
     this.listener.onBusy({ limit: this.limit.maxInFlight, pauseMs, waiting: this.waitingCount });
   }
 
-  /** Raises the concurrency limit, if there is one: the instance served a statement. */
+  /** Raises the concurrency limit, if there is one, after the instance served a statement. */
   recordServed(): void {
     this.limit.recordServed();
   }
 
-  /** Counts a transaction's connection as running a statement. The statement waits for nothing. */
+  /** Marks a transaction's connection as running a statement. The statement does not queue. */
   markActive(pooled: PooledConnection): void {
     this.lastStatementAt = this.clock.now();
     this.inUse.activate(pooled);
   }
 
-  /** Counts a transaction's connection as running none: the transaction waits for its caller. */
+  /** Marks a transaction's connection as idle until the caller sends the next statement. */
   markIdleInTransaction(pooled: PooledConnection): void {
     pooled.idleSince = this.clock.now();
     this.inUse.deactivate(pooled);
     this.serveWaiters();
   }
 
-  /** The statements of its connections pass no other proxy. */
+  /** Always true: statements on the pool's own connections pass through no other proxy. */
   satisfiesResidency(): boolean {
     return true;
   }
 
-  /** Gives a connection back; it has no transaction and no answer outstanding. */
+  /** Returns a connection that has no open transaction and no command in flight. */
   release(pooled: PooledConnection): void {
     this.inUse.remove(pooled);
     if (pooled.connection.closed) this.serveWaiters();
@@ -192,12 +196,17 @@
     this.serveWaiters();
   }
 
-  /** Closes the connections in use: no answer on them counts any more, and no request should wait for one. */
+  /**
+   * Closes the connections in use, so that no request waits for an answer of an ended incarnation.
+   */
   closeInUse(): void {
     this.inUse.closeAll();
   }
 
-  /** Refuses what waits and comes, and closes what is idle: the zone of the instance is evacuated. What runs may end. */
+  /**
+   * Refuses queued and new requests and closes idle connections: the zone of the instance is
+   * evacuated. Running statements and transactions may finish.
+   */
   suspend(): void {
     if (this.isSuspended) return;
     this.isSuspended = true;
@@ -205,17 +214,22 @@
     this.waiters.rejectAll(() => this.recordRefusal('evacuated'));
   }
 
-  /** Serves again. */
+  /** Ends the suspension. */
   resume(): void {
     this.isSuspended = false;
   }
 
-  /** Closes connections whose transactions have waited for their callers this long, in milliseconds; returns how many. */
+  /**
+   * Closes the connections of transactions that have been idle for at least `minIdleMs`.
+   * @returns number of connections closed
+   */
   closeIdleTransactions(minIdleMs: number): number {
     return this.inUse.closeIdleTransactions(this.clock.now() - minIdleMs);
   }
 
-  /** Opens connections until the minimum is there, and closes those that are idle for long; called often. */
+  /**
+   * Opens spare connections up to the minimum and closes expired idle ones; called periodically.
+   */
   maintain(): void {
     if (this.isClosed) return;
     const now = this.clock.now();
@@ -228,14 +242,14 @@
   }
 
   /**
-   * Opens a connection to see whether the instance is alive, unless one is being opened; also beyond the share, since all
-   * connections may have fallen silent.
+   * Opens a connection to check whether the instance is alive, unless an attempt is in flight. May
+   * exceed the quota, since all existing connections may be unresponsive.
    */
   probeByConnecting(): void {
     if (this.opener.count === 0 && !this.isClosed && !this.isSuspended) this.opener.open(NO_TENANT);
   }
 
-  /** Ends the pool; connections in use end when they are given back. */
+  /** Closes the pool. Connections in use are closed when they are returned. */
   close(): void {
     this.isClosed = true;
     this.demand.close();
@@ -243,7 +257,10 @@
     this.waiters.rejectAll(() => this.recordRefusal('closed'));
   }
 
-  /** Refuses a request that would wait in vain; queues it otherwise, and refuses those that it displaces. */
+  /**
+   * Queues a request, and refuses the requests that it displaces. A request whose expected wait
+   * exceeds its timeout is refused at once.
+   */
   private enqueue(request: WaitingRequest, timeoutMs: number, now: number): void {
     const { effectiveConcurrency } = this;
     const isLimited = effectiveConcurrency !== Infinity;
@@ -261,7 +278,10 @@
     this.demand.openForWaiters();
   }
 
-  /** Refuses at once, not when their time is over, the requests that more urgent ones keep from a connection in time. */
+  /**
+   * Refuses requests that more urgent ones push beyond their deadline now, rather than when they
+   * time out.
+   */
   private refuseDisplaced(
     ranked: readonly WaitingRequest[],
     concurrency: number,
@@ -302,13 +322,16 @@
     this.serveWaiters();
   }
 
-  /** Whether the instance may be sent another statement now, as far as its refusals tell. */
+  /**
+   * Whether another statement may be sent: the concurrency limit allows it, and at a connection
+   * owner a slot is free.
+   */
   private canSendStatement(now: number): boolean {
     const hasSlot = !this.queuesAtOwner || this.inUse.active < this.maxActiveStatements;
     return hasSlot && this.limit.allows(this.inUse.active, now);
   }
 
-  /** Statements that the instance is sent at a time; infinite where nothing limits them. */
+  /** Number of statements that may be in flight; infinite if unlimited. */
   private get effectiveConcurrency(): number {
     return this.queuesAtOwner
       ? Math.min(this.maxActiveStatements, this.limit.maxInFlight)
@@ -319,7 +342,7 @@
     return maxStatementsInFlight(this.options.slots());
   }
 
-  /** Gives idle connections to those that wait, as long as the instance may be sent more. */
+  /** Gives idle connections to waiting requests while the limits allow it. */
   private serveWaiters(): void {
     const now = this.clock.now();
     for (const request of this.waiters.rank(now)) {
@@ -344,7 +367,10 @@
     if (!this.isClosed && this.makeRoom()) this.opener.open(tenant);
   }
 
-  /** Whether one more may be opened; an idle connection, of another tenant then, is closed where there is no room. */
+  /**
+   * Whether one more connection may be opened. If the pool is full, closes an idle connection,
+   * which belongs to another tenant then.
+   */
   private makeRoom(): boolean {
     if (!this.backoff.mayConnect) return false;
     return this.size < this.backoff.maxConnections || this.idle.closeOldest();
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -1,38 +1,43 @@
 /**
- * One connection of a pool or of a connection owner, and what is known of it: the session values and prepared shapes that it
- * has loaded. Owns that knowledge; its pool and the session loader keep it true.
+ * A connection of a pool or of a connection owner, with the session values and prepared statements
+ * that are loaded on it. The pool and the session loader keep these up to date.
  */
 import type { AllowedRegions } from '../placement/data_residency.js';
 import type { InstanceConnection } from '../instance/instance_connection.js';
 
-/** Steps that a reset counts as (a count), more than a single value. Guess, not measured. */
+/** Cost of a reset, in commands; higher than that of setting one value. */
 const RESET_COST = 3;
 
-/** A connection with the session values and prepared shapes that it holds. */
+/** A connection with its loaded session state. */
 export class PooledConnection {
-  /** Session values that it has loaded, by name. */
+  /** Session values loaded on the connection, by name. */
   readonly values = new Map<string, string>();
-  /** Names of the prepared shapes that it has. */
+  /** Names of the statements prepared on the connection. */
   readonly preparedNames = new Set<string>();
-  /** When it became idle, or its transaction began to wait for the caller. */
+  /** When it became idle, or its transaction became idle. */
   idleSince = 0;
-  /** Whether a statement runs on it or is about to; a transaction rests between its statements. */
+  /** Whether a statement runs on it or is about to; false while its transaction is idle. */
   isActive = false;
 
   constructor(
     readonly connection: InstanceConnection,
     /** Tenant for whom it was opened. */
     readonly tenant: string,
-    /** Whether it is at a connection owner, which knows what it has loaded and records its failures. */
+    /**
+     * Whether it belongs to a connection owner, which tracks its session state and failures itself.
+     */
     readonly isRelayed = false,
   ) {}
 
-  /** Whether it may carry statements of a tenant; of the system itself when undefined, which any connection may. */
+  /**
+   * Whether it can serve a tenant. Internal requests, for which `tenant` is undefined, may use any
+   * connection.
+   */
   canServeTenant(tenant: string | undefined): boolean {
     return tenant === undefined || tenant === this.tenant;
   }
 
-  /** Number of commands that load a session's values onto it. */
+  /** Number of commands that load the values of a session onto it. */
   commandsToLoad(values: ReadonlyMap<string, string>): number {
     let commands = 0;
     for (const name of this.values.keys()) if (!values.has(name)) return RESET_COST + values.size;
@@ -41,16 +46,18 @@
   }
 }
 
-/** What a request needs of a connection. */
+/** Requirements of a request for a connection. */
 export interface ConnectionRequest {
-  /** Tenant for whom it must have been opened; undefined where any will do, for statements of the system itself. */
+  /**
+   * Tenant that the connection must belong to; undefined for internal requests, which accept any.
+   */
   readonly tenant: string | undefined;
   /** Values of the session. */
   readonly values: ReadonlyMap<string, string>;
   /** 0 is the highest. */
   readonly priority: number;
-  /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
+  /** Time within which an answer meets the caller's latency objective; no limit if left out. */
   readonly objectiveMs?: number;
-  /** Regions to which the request is bound; undefined where it is bound to none. */
+  /** Regions that the request is restricted to; undefined if unrestricted. */
   readonly homes?: AllowedRegions;
 }
--- a/src/appointed/connections/waiter_queue.ts
+++ b/src/appointed/connections/waiter_queue.ts
@@ -1,12 +1,12 @@
 /**
- * Requests that wait for a connection of one pool. Owns the requests and a timer for each, which rejects it when it gives
- * up. Relies on {@link ServiceOrder} for the order in which they are served. Nothing in it can fail.
+ * Queue of the requests that wait for a connection of one pool, each with a timer that rejects it
+ * at its timeout. {@link ServiceOrder} decides the order in which they are served.
  */
 import type { Clock, Timer } from '../../runtime/runtime.js';
 import type { QueuedRequest, ServiceOrder } from '../scheduling/service_order.js';
 import type { ConnectionRequest, PooledConnection } from './pooled_connection.js';
 
-/** A request that waits for a connection, and the promise of its caller. */
+/** A queued request and the promise of its caller. */
 export interface WaitingRequest extends ConnectionRequest, QueuedRequest {
   /** Ends the wait with a connection. */
   resolve(pooled: PooledConnection): void;
@@ -14,7 +14,6 @@
   reject(error: Error): void;
 }
 
-/** Queue of one pool. */
 export class WaiterQueue {
   private readonly timers = new Map<WaitingRequest, Timer>();
 
@@ -23,34 +22,31 @@
     private readonly order: ServiceOrder,
   ) {}
 
-  /** Number of requests. */
   get length(): number {
     return this.timers.size;
   }
 
-  /** All requests in the order in which they are served. */
+  /** All requests in the order in which they will be served. */
   rank(now: number): readonly WaitingRequest[] {
     return this.order.rank([...this.timers.keys()], now);
   }
 
-  /** All requests and a newcomer, in the order in which they would be served. */
+  /** All requests and a new one, in the order in which they would be served. */
   rankWith(newcomer: WaitingRequest, now: number): readonly WaitingRequest[] {
     return this.order.rank([...this.timers.keys(), newcomer], now);
   }
 
-  /** Tenants of all requests. */
   get tenants(): ReadonlySet<string | undefined> {
     return new Set([...this.timers.keys()].map(({ tenant }) => tenant));
   }
 
-  /** Number of requests of one tenant. */
   countOf(tenant: string | undefined): number {
     let count = 0;
     for (const request of this.timers.keys()) if (request.tenant === tenant) count++;
     return count;
   }
 
-  /** Adds a request; when it gives up, it is taken out and rejected with `timeoutError`. */
+  /** Adds a request. At its timeout it is removed and rejected with `timeoutError`. */
   add(request: WaitingRequest, timeoutError: () => Error): void {
     const timer = this.clock.setTimer(request.expiresAt - this.clock.now(), () =>
       this.reject(request, timeoutError()),
@@ -58,17 +54,17 @@
     this.timers.set(request, timer);
   }
 
-  /** Takes out a request and gives it a connection. */
+  /** Removes a request and gives it a connection. */
   serve(request: WaitingRequest, pooled: PooledConnection): void {
     this.remove(request);
     request.resolve(pooled);
   }
 
   /**
-   * Takes out the requests that will not be served in time, and rejects them.
-   * @param ranked - all requests in the order in which they are served
+   * Removes and rejects the requests that cannot be served in time.
+   * @param ranked - all requests in the order in which they will be served
    * @param spacingMs - time between two starts
-   * @returns the requests that were rejected
+   * @returns the rejected requests
    */
   rejectDisplaced(
     ranked: readonly WaitingRequest[],
@@ -81,7 +77,6 @@
     return displaced;
   }
 
-  /** Takes out all requests, and rejects them. */
   rejectAll(error: () => Error): void {
     for (const request of [...this.timers.keys()]) this.reject(request, error());
   }
