--- a/src/appointed/instance/instance_connection.ts
+++ b/src/appointed/instance/instance_connection.ts
@@ -1,8 +1,6 @@
 /**
- * What the system needs of a connection to a database instance, whatever protocol carries it.
- *
- * Owns: the kinds of errors of instances, and of attempts to connect. Relies on nothing; the implementations are in platform/
- * and, for connections of other proxies, in relay/.
+ * Interface to a connection to a database instance, independent of the wire protocol. Implemented
+ * in `platform/`, and in `relay/` for connections of other proxies.
  */
 import type { InstanceOptions } from 'modern-errors';
 import { WhinyokeError } from '../../errors/errors.js';
@@ -13,8 +11,9 @@
 export type TransactionState = 'idle' | 'open' | 'failed';
 
 /**
- * Kinds of errors that an instance answers. All up to `slowStart` promise that the statement did not run; the others promise
- * nothing. `slowStart` is the answer of the proxy that holds a cold instance: it sent nothing.
+ * Kinds of errors that an instance answers. The kinds up to and including `slowStart` guarantee
+ * that the statement did not run; the others guarantee nothing. `slowStart` is answered by the
+ * proxy that holds the slow start of a cold instance, which sent nothing.
  */
 export type InstanceErrorKind =
   | 'busy'
@@ -29,40 +28,38 @@
   | 'timeout'
   | 'other';
 
-/** An error that an instance answered. */
 export interface InstanceError {
-  /** Kind, which decides whether the statement ran. */
+  /** Kind, which determines whether the statement may have run. */
   readonly kind: InstanceErrorKind;
-  /** The instance's own text, passed on to the caller. */
+  /** Error text of the instance, passed to the caller unchanged. */
   readonly text: string;
 }
 
-/** A whole answer of an instance. */
+/** A complete answer of an instance. */
 export interface InstanceAnswer {
-  /** Rows of the result, unread. */
+  /** Rows of the result, not parsed. */
   readonly rows: readonly string[];
-  /** The instance's own proof that it ran the statement. */
+  /** Signature of the instance, which proves that it ran the statement. */
   readonly signature: string;
-  /** The error; undefined when the command succeeded. */
+  /** Undefined if the command succeeded. */
   readonly error?: InstanceError;
   /** State of the connection after the command. */
   readonly state: TransactionState;
-  /** Position of the instance's log after the statement. */
+  /** Log position of the instance after the statement. */
   readonly position?: Position;
-  /** The instance's state, in answers to administrative commands. */
+  /** Status of the instance, in answers to administrative commands. */
   readonly status?: InstanceStatus;
 }
 
-/** One connection to an instance. */
 export interface InstanceConnection {
   /**
-   * Runs one command. Commands run in the order in which they were sent; several may be under way.
-   * @throws BackendConnectionLostError when the connection broke or `timeoutMs` passed; it is unusable then
+   * Runs one command. Commands run in the order in which they were sent; several may be in flight.
+   * @throws BackendConnectionLostError if the connection broke or `timeoutMs` passed; the
+   *   connection is unusable then
    */
   run(command: InstanceCommand, timeoutMs: number): Promise<InstanceAnswer>;
-  /** Ends the connection at once. */
+  /** Closes the connection at once. */
   close(): void;
-  /** Whether it has ended. */
   readonly closed: boolean;
   /** Called once when the connection ends. */
   onClosed: (() => void) | undefined;
@@ -70,23 +67,24 @@
 
 /** Instance to connect to. */
 export interface InstanceTarget {
-  /** Identifier that the instance must have; another one at the address refuses with `wrongInstance`. */
+  /**
+   * Identifier that the instance must have; another instance at the address refuses with
+   * `wrongInstance`.
+   */
   readonly id: string;
-  /** Group that it belongs to. */
+  /** Replication group that it belongs to. */
   readonly group: string;
   /** Host and port. */
   readonly address: string;
-  /** Number of the incarnation that is meant, in the catalog; the first one when left out. The wire does not tell it. */
+  /** Incarnation in the catalog; the first one if left out. It is not sent to the instance. */
   readonly incarnation?: number;
 }
 
-/** How a connection attempt failed. */
 export type ConnectFailure = 'refused' | 'silent' | 'connectionLimit' | 'wrongInstance' | 'busy';
 
 /** A connection could not be opened. Nothing ran. */
 export const ConnectError = WhinyokeError.subclass('ConnectError', {
   custom: class extends WhinyokeError {
-    /** How the attempt failed. */
     readonly failure: ConnectFailure;
 
     constructor(message: string, options?: InstanceOptions & { failure?: ConnectFailure }) {
@@ -99,35 +97,34 @@
 /** See {@link ConnectError}. */
 export type ConnectError = InstanceType<typeof ConnectError>;
 
-/** An open connection and the position that the instance answered at its start. */
+/** An open connection and the log position that the instance reported at its start. */
 export interface OpenedConnection {
-  /** The connection. */
   readonly connection: InstanceConnection;
-  /** Position of the instance's log; undefined when it named none. */
+  /** Undefined if the instance reported none. */
   readonly position?: Position;
 }
 
 /** Opens connections to instances. */
 export interface InstanceConnector {
   /**
-   * @param tenant - whose statements it will carry; left out for those of the system itself
-   * @throws ConnectError when it can't be opened in time
+   * @param tenant - tenant whose statements the connection will serve; left out for internal ones
+   * @throws ConnectError if the connection cannot be opened in time
    */
   connect(target: InstanceTarget, timeoutMs: number, tenant?: string): Promise<OpenedConnection>;
 }
 
-/** State of an instance as it answers itself. */
+/** Status of an instance as it reports it. */
 export interface InstanceStatus {
-  /** Whether it leads its group. */
+  /** Whether the instance leads its group. */
   readonly role: 'primary' | 'replica';
-  /** Newest term that it knows. */
+  /** Newest replication term that the instance knows. */
   readonly term: number;
-  /** Newest position that it received. */
+  /** Newest log position that the instance received. */
   readonly received: Position;
-  /** Term up to which it refuses to receive; 0 when it does not. */
+  /** Highest fenced term: the instance receives no log of lower terms; 0 if it is not fenced. */
   readonly fencedTerm: number;
-  /** Time by which it is behind the primary, in milliseconds. */
+  /** Replication lag behind the primary. */
   readonly lagMs: number;
-  /** Since when the connection was open on which it answered; undefined where that was opened for the question. */
+  /** When the connection that answered was opened; undefined if it was opened for this request. */
   readonly connectedSince?: number | undefined;
 }
--- a/src/appointed/instance/statement.ts
+++ b/src/appointed/instance/statement.ts
@@ -1,21 +1,21 @@
 /**
- * Statements of callers and commands to instances, independent of the protocol that carries them. Arguments
- * are passed on unread.
+ * Statements of callers and commands to instances, independent of the wire protocol. Arguments are
+ * passed on without being parsed.
  */
 import type { Position } from '../../positions/position.js';
 
 /** Whether a statement may change data. */
 export type Access = 'read' | 'write';
 
-/** Shape of a prepared statement. */
+/** A prepared statement without its arguments. */
 export interface PreparedShape {
-  /** Whether its executions may change data. */
+  /** Whether executing it may change data. */
   readonly access: Access;
-  /** Text of the shape, passed on unread. */
+  /** Text of the statement, not parsed. */
   readonly shape: string;
 }
 
-/** One statement of a caller. */
+/** A statement of a caller. */
 export type CallerStatement =
   | { readonly kind: 'begin'; readonly readOnly: boolean }
   | { readonly kind: 'commit' }
@@ -27,7 +27,7 @@
   | { readonly kind: 'deallocate'; readonly name: string }
   | { readonly kind: 'malformed'; readonly problem: string };
 
-/** Statement that reads or writes data, with everything the instance needs to run it. */
+/** A statement that reads or writes data, with everything that the instance needs to run it. */
 export type DataStatement =
   | { readonly kind: Access; readonly argument: string }
   | {
@@ -36,7 +36,7 @@
       readonly argument: string;
     };
 
-/** One command to an instance. `id` is the identifier of the caller's request. */
+/** A command to an instance. `id` is the identifier of the caller's request. */
 export type InstanceCommand =
   | { readonly kind: 'begin'; readonly readOnly: boolean; readonly after?: Position }
   | { readonly kind: 'commit'; readonly id: string }
@@ -55,12 +55,12 @@
   | { readonly kind: 'stepDown'; readonly term: number }
   | { readonly kind: 'resume' };
 
-/** Whether a statement may change data. */
+/** Returns whether a statement may change data. */
 export function accessOf(statement: DataStatement): Access {
   return statement.kind === 'execute' ? statement.prepared.access : statement.kind;
 }
 
-/** Name under which a shape is prepared on instance connections, the same for all callers. */
+/** Name under which a statement is prepared on instance connections, the same for all callers. */
 export function sharedPreparedName(prepared: PreparedShape): string {
   return `${prepared.access === 'read' ? 'r' : 'w'}_${prepared.shape}`;
 }
--- a/src/appointed/relay/connection_owners.ts
+++ b/src/appointed/relay/connection_owners.ts
@@ -1,20 +1,16 @@
 /**
- * Decision: which proxies are the connection owners of an instance, and how many connections an owner may hold. No input or
- * output but calls.
+ * Selects the connection owners of an instance and the number of connections that an owner may
+ * have. No I/O, no clock.
  *
- * Load that it answers: instances that take fewer than two connections for each proxy. Where each proxy opened one for a
- * statement and gave it back, 14,484 openings served 15,663 requests (docs/design/connection-owners.md).
+ * An instance that accepts fewer than two connections for each proxy would have one opened and
+ * closed for nearly every statement. Such an instance has a few owners, selected by rendezvous
+ * hashing among the live proxies of its zone (of all zones if that zone has none), so that all
+ * proxies agree without messages. Owners keep its connections; all other proxies relay statements
+ * to them. A hash of the tenant selects the first owner, so that all statements of a tenant reuse
+ * the same connections. Standby owners take over while owners are unavailable; the last one is in
+ * another zone, so that the instance stays reachable if its zone loses all proxies.
  *
- * Inputs: live proxies by zone (addresses), zone and connections of the instance (count), the tenant of a statement.
- *
- * Rule: such an instance has a few owners among the proxies of its zone, of all zones where that has none, by rendezvous
- * hashing, so that all proxies agree without a message. They hold its connections; all other proxies relay their statements
- * to them. A hash of the tenant picks the first of the owners: all statements of a tenant meet at one, and reuse its
- * connections. Further proxies stand in while owners are gone; the last of them is in another zone, so that an instance whose zone
- * loses its proxies is still reached.
- *
- * docs/design/connection-owners.md: scores of a quiet day, one with faults and one of high load 0.704, 0.549, 0.579
- * without owners, 0.858, 0.606, 0.652 with them. Its constants were not compared.
+ * Design: docs/design/connection-owners.md
  */
 import { RendezvousTable } from '../../hashing/rendezvous.js';
 import {
@@ -24,42 +20,33 @@
 } from '../connections/connection_quota.js';
 import { stableHash } from '../../hashing/stable_hash.js';
 
-/** Live proxies of one zone, by address. */
 export interface ZoneProxies {
   readonly zone: string;
   readonly addresses: readonly string[];
 }
 
-/** What the choice of connection owners needs to know of an instance. */
+/** Properties of an instance that determine its connection owners. */
 export interface OwnedInstance {
   readonly id: string;
   readonly zone: string;
-  /** Connections that it takes from all together. */
+  /** Number of connections that the instance accepts from all proxies together. */
   readonly connectionLimit: number;
 }
 
-/**
- * Connections (a count) that one owner should have: enough for the slots of an instance and for several tenants beside.
- * Guess, not measured.
- */
+/** Connections per owner: enough for the slots of an instance and for several tenants besides. */
 const CONNECTIONS_PER_OWNER = 24;
-/** Further proxies (a count) that take over while owners are gone. Guess, not measured. */
+/** Number of proxies that take over while owners are unavailable. */
 const STANDBY_OWNER_COUNT = 3;
-/** Most owners (a count) of one instance. Guess, not measured. */
 const MAX_OWNERS = 12;
 /**
- * Fraction of the connections that owners leave to stand-ins, and to proxies that know other owners for a moment. Guess, not
- * measured.
+ * Fraction of the connections left to standby owners, and to proxies that briefly disagree on the
+ * owners.
  */
 const STANDBY_RESERVE_FRACTION = 0.12;
-/**
- * How long an owner keeps an idle connection, in milliseconds: no other proxy needs its place. Guess, not measured. Closing
- * idle ones sooner, where connections are lent, was tried and was worse (docs/design/connection-owners.md).
- */
+/** Long, since no other proxy needs the connections of an owner. */
 const OWNER_IDLE_TIMEOUT_MS = 20_000;
 /**
- * After an instance refused one more, an owner makes do with what it has for this time, in milliseconds. Guess, not
- * measured.
+ * After the instance refused a connection at its limit, an owner stays at its size for this time.
  */
 const OWNER_CLAMP_MS = 100;
 
@@ -68,9 +55,9 @@
   return Math.min(MAX_OWNERS, Math.max(1, count));
 }
 
-/** Proxies through which one instance is reached, in the order of rendezvous hashing. */
+/** Owners and standby owners of one instance, in the order of rendezvous hashing. */
 interface OwnerOrder {
-  /** For which the order was made. */
+  /** Instance properties for which the order was calculated. */
   readonly instance: OwnedInstance;
   readonly owners: readonly string[];
   readonly standbyOwners: readonly string[];
@@ -79,7 +66,9 @@
 /** Connection owners of all instances, as one proxy knows them. */
 export class ConnectionOwners {
   private readonly tableByZone = new Map<string, RendezvousTable>();
-  /** Order of each instance, kept until the proxies change: each statement needs one. */
+  /**
+   * Cached order of each instance, since each statement needs one; cleared when the proxies change.
+   */
   private readonly orders = new Map<string, OwnerOrder>();
   private readonly allZonesTable = new RendezvousTable(
     MAX_OWNERS + STANDBY_OWNER_COUNT,
@@ -90,7 +79,7 @@
 
   constructor(private readonly ownAddress: string) {}
 
-  /** Takes over the live proxies of all zones. */
+  /** Replaces the live proxies of all zones. */
   updateProxies(zones: readonly ZoneProxies[]): void {
     const currentZones = new Set(zones.map(({ zone }) => zone));
     for (const zone of this.tableByZone.keys())
@@ -106,8 +95,8 @@
   }
 
   /**
-   * Proxies through which statements of a tenant reach an instance, the first choice first; empty where each proxy
-   * keeps connections of its own.
+   * Proxies through which statements of a tenant reach an instance, the preferred one first. Empty
+   * if each proxy keeps connections of its own.
    */
   ownersFor(instance: OwnedInstance, tenant: string): readonly string[] {
     if (!isScarce(instance.connectionLimit, this.proxyCount)) return [];
@@ -116,12 +105,12 @@
     return [...owners.slice(first), ...owners.slice(0, first), ...standbyOwners];
   }
 
-  /** Zone of a live proxy; undefined for any other. */
+  /** Zone of a live proxy; undefined for any other address. */
   zoneOf(address: string): string | undefined {
     return this.zoneByAddress.get(address);
   }
 
-  /** Connections that this proxy may hold to an instance itself. */
+  /** Limits on this proxy's own connections to an instance. */
   quotaOf(instance: OwnedInstance, liveProxies: number): ConnectionQuota {
     const { connectionLimit } = instance;
     if (!this.isOwnerOf(instance)) return connectionQuota(connectionLimit, liveProxies);
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -1,8 +1,6 @@
 /**
- * How a proxy reaches one instance: by connections of its own, or through the connection owners of the instance.
- *
- * Owns the list of relayed connections in use. Relies on the pool and on the health of owners; where no owner may be tried,
- * the pool is.
+ * Access of a proxy to one instance: through its own connection pool, or relayed through the
+ * connection owners of the instance. Uses the pool if no owner is available.
  */
 import { AcquireError } from '../connections/acquire_error.js';
 import type { ConnectionSource } from '../connections/connection_source.js';
@@ -15,24 +13,26 @@
 import { NO_TENANT } from '../tenancy/tenant.js';
 import { RelayedConnection, type RelayDependencies } from './relayed_connection.js';
 
-/** Ways to one instance but for own connections. */
+/** Routing of the requests to one instance. */
 export interface InstanceRouting {
-  /** Connection owners for a tenant, in order; empty where this proxy has connections of its own. */
+  /**
+   * Connection owners for a tenant, the preferred one first; empty if this proxy has connections of
+   * its own.
+   */
   ownersFor(tenant: string): readonly string[];
-  /** Whether another proxy may get the body of a statement with these homes. */
+  /** Whether a proxy may receive the text of a statement with these allowed regions. */
   isProxyAllowed(address: string, allowedRegions: AllowedRegions): boolean;
-  /** The way of requests for a cold instance; undefined for a warm one. */
+  /** Route of requests for a cold instance; undefined for a warm one. */
   coldRoute(isUrgent: boolean): ColdInstanceRoute | undefined;
-  /** A request for the instance, which is cold, was refused. */
+  /** Counts a refused request for a cold instance. */
   recordSlowStartRefusal(): void;
 }
 
-/** Most owners (a count) that one request tries. Guess, not measured. */
+/** Maximum number of owners that one request tries. */
 const MAX_OWNERS_TRIED = 3;
 
-/** Access to one instance. */
 export class InstanceAccess implements ConnectionSource {
-  /** Connections of owners that are in use here. */
+  /** Relayed connections in use. */
   private readonly relayedConnections = new Set<PooledConnection>();
 
   constructor(
@@ -43,7 +43,7 @@
     private readonly routing: InstanceRouting,
   ) {}
 
-  /** Number of the incarnation that it leads to. */
+  /** Incarnation of the instance that the access leads to. */
   get incarnation(): number {
     return this.localPool.target.incarnation ?? 0;
   }
@@ -53,14 +53,14 @@
     return this.routing.ownersFor(NO_TENANT).length > 0;
   }
 
-  /** What the answers of the instance say of it. */
+  /** Latency and failures of the instance, as seen by this proxy. */
   get load(): InstanceLoad {
     return this.localPool.load;
   }
 
   /**
-   * A connection of the pool where this proxy is the first owner or no owner may be tried; a relayed one otherwise. Owners outside
-   * the homes of the request may not.
+   * Returns a connection of the pool if this proxy is the preferred owner or no owner is available,
+   * otherwise a relayed one. Owners outside the allowed regions of the request are not used.
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     const isOfCaller = request.tenant !== undefined;
@@ -80,7 +80,10 @@
     return Promise.resolve(this.relayVia(others, request, timeoutMs));
   }
 
-  /** Requests for a cold instance go through its holder only. Where that is this proxy, room for them was found already. */
+  /**
+   * Requests for a cold instance go only through the proxy that holds its slow start. If that is
+   * this proxy, the caller has already checked the slow-start limit.
+   */
   private acquireCold(
     { holderAddress, canSend }: ColdInstanceRoute,
     request: ConnectionRequest,
@@ -117,7 +120,7 @@
     return pooled;
   }
 
-  /** Whether the next statement on a connection may have these homes. */
+  /** Whether the next statement may be sent on a connection under these allowed regions. */
   satisfiesResidency(pooled: PooledConnection, allowedRegions: AllowedRegions): boolean {
     const { connection } = pooled;
     const pinnedOwner =
@@ -125,7 +128,7 @@
     return pinnedOwner === undefined || this.isProxyAllowed(pinnedOwner, allowedRegions);
   }
 
-  /** Gives a connection back to where it came from. */
+  /** Returns a connection to the pool, or ends the use of a relayed one. */
   release(pooled: PooledConnection): void {
     if (pooled.isRelayed) this.relayedConnections.delete(pooled);
     else this.localPool.release(pooled);
@@ -137,27 +140,32 @@
     else this.localPool.discard(pooled);
   }
 
-  /** A statement of a transaction begins. Owners count their own statements. */
+  /** A statement of a transaction starts. Owners track their own connections. */
   markActive(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.localPool.markActive(pooled);
   }
 
-  /** A transaction waits for its caller. Owners count their own statements. */
+  /**
+   * A transaction is idle until its caller sends the next statement. Owners track their own
+   * connections.
+   */
   markIdleInTransaction(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.localPool.markIdleInTransaction(pooled);
   }
 
-  /** The instance was busy. Owners hear of that themselves. */
+  /** The instance refused a statement with BUSY. Owners record that themselves. */
   recordBusy(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.localPool.recordBusy();
   }
 
-  /** The instance served a statement. Owners hear of that themselves. */
+  /** The instance served a statement. Owners record that themselves. */
   recordServed(pooled: PooledConnection): void {
     if (!pooled.isRelayed) this.localPool.recordServed();
   }
 
-  /** Closes all connections in use: no answer on them counts any more. */
+  /**
+   * Closes all connections in use, so that no request waits for an answer of an ended incarnation.
+   */
   closeInUse(): void {
     this.localPool.closeInUse();
     for (const { connection } of [...this.relayedConnections]) connection.close();
--- a/src/appointed/relay/relay_codec.ts
+++ b/src/appointed/relay/relay_codec.ts
@@ -1,6 +1,6 @@
 /**
- * Commands and answers of relayed statements as messages of the internal protocol. Pure. A message of an unknown kind decodes
- * to undefined; a part that is missing, to its default.
+ * Encodes and decodes the commands and answers of relayed statements. Pure: no I/O, no clock. A
+ * command of an unknown kind decodes to undefined; missing fields decode to their defaults.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type {
@@ -13,13 +13,12 @@
 import { START } from '../../positions/position.js';
 import { positionOf } from '../../positions/position_message.js';
 
-/** Commands that travel; what a session needs on its connection travels beside them. */
+/** Commands that are relayed. Session values and prepared statements are sent along with them. */
 export type RelayedCommand = Extract<
   InstanceCommand,
   { kind: 'begin' | 'commit' | 'rollback' | 'data' | 'status' }
 >;
 
-/** Message of a command. */
 export function encodeRelayCommand(command: RelayedCommand): whinyoke.IRelayCommand {
   switch (command.kind) {
     case 'begin':
@@ -42,7 +41,7 @@
   return { writes: access === 'write', argument, isPrepared: true, shape };
 }
 
-/** Command of a message; undefined when it holds none that is known. */
+/** Decodes a command; undefined if the message has none of a known kind. */
 export function decodeRelayCommand(
   message: whinyoke.IRelayCommand | null | undefined,
 ): RelayedCommand | undefined {
@@ -68,7 +67,6 @@
   return { kind: 'execute', prepared: { access, shape: shape ?? '' }, argument: text };
 }
 
-/** Message of an answer. */
 export function encodeRelayAnswer(answer: InstanceAnswer): whinyoke.IRelayAnswer {
   const { rows, signature, error, state, position, status } = answer;
   return {
@@ -88,7 +86,6 @@
   };
 }
 
-/** Answer of a message. */
 export function decodeRelayAnswer(message: whinyoke.IRelayAnswer): InstanceAnswer {
   const { rows, signature, errorKind, errorText, state, position, status } = message;
   const kind = errorKind as InstanceErrorKind | undefined;
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -1,9 +1,8 @@
 /**
- * Runs statements of other proxies on the connections of this one, a connection owner.
- *
- * Owns the connections that transactions of other proxies keep. Relies on the pools of its process and on the instances,
- * which may fail: the reply then says whether the statement ran, did not run or may have run. Proxies that asked may be gone:
- * what they kept is ended after a while.
+ * Runs the statements of other proxies on the connections of this proxy, which is a connection
+ * owner of the instance. The reply says whether the statement ran, did not run, or may have run.
+ * Connections pinned by transactions of other proxies are closed when they have been idle for too
+ * long, since the other proxy may have crashed.
  */
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
@@ -28,48 +27,47 @@
 
 const { RelayOutcome } = whinyoke;
 
-/** An instance that is reached by connections of this process. */
+/** An instance that this process has connections to. */
 type LocalTarget = Target & { readonly pool: InstancePool };
 
-/** A connection that another proxy's transaction keeps. */
+/** A connection pinned by a transaction of another proxy. */
 interface RelayPinnedConnection {
   readonly pinned: PinnedConnection;
   usedAt: number;
 }
 
 /**
- * A kept connection without a request for this long, in milliseconds, is ended: the proxy of its transaction ends sooner a
- * transaction that rests, so it is gone. Guess, not measured.
+ * Longer than the idle timeout of transactions at the proxy that runs them: a connection that is
+ * idle for this long belongs to a proxy that is gone.
  */
 const PINNED_IDLE_TIMEOUT_MS = 8000;
 
-/** Cause of a refusal: nothing that a primary answers counts once it has started again. */
+/** Cause of a refusal: the answers of a restarted primary are not trusted. */
 const PRIMARY_RESTARTED = 'the primary started again';
 
-/** Relay server of one proxy. */
 export class RelayServer {
   private readonly runner: StatementRunner;
   private readonly pinnedConnections = new Map<string, RelayPinnedConnection>();
-  /** Requests of other proxies since the start, by outcome. */
+  /** Number of requests of other proxies, by outcome. */
   readonly counts = new Map<string, number>();
   private inFlight = 0;
   private nextConnection = 1;
 
   constructor(
     private readonly context: ProxyContext,
-    /** Connections of this process to an instance. */
+    /** Returns the pool of this process for an instance. */
     private readonly poolOf: (instance: string) => InstancePool | undefined,
     private readonly incarnation: string,
   ) {
     this.runner = new StatementRunner(context);
   }
 
-  /** Statements that are under way, and transactions that keep a connection. */
+  /** Number of statements in flight and of pinned connections. */
   get openCount(): number {
     return this.inFlight + this.pinnedConnections.size;
   }
 
-  /** Answers one request. Never rejects. */
+  /** Handles one request. Never rejects. */
   async handle(request: whinyoke.IRelayRequest, isLeaving: boolean): Promise<whinyoke.IRelayReply> {
     this.inFlight++;
     try {
@@ -91,7 +89,7 @@
     return reply;
   }
 
-  /** Ends kept connections whose proxy is gone; called now and then. */
+  /** Closes pinned connections whose proxy is gone; called periodically. */
   maintain(): void {
     const oldest = this.context.clock.now() - PINNED_IDLE_TIMEOUT_MS;
     for (const [connection, { pinned, usedAt }] of this.pinnedConnections) {
@@ -123,7 +121,10 @@
     return this.runNew(target, request, command, waitMs, timeoutMs);
   }
 
-  /** Whether a statement may be here, and may be run by its instance: the settings of its proxy may tell other regions. */
+  /**
+   * Whether this proxy may receive the statement and the instance may run it. Checked here as well,
+   * since the settings of the other proxy may assign other regions to the zones.
+   */
   private isAllowedHere({ homes, instance }: whinyoke.IRelayRequest): boolean {
     const { zone, regionByZone } = this.context;
     const regions = homes ? new Set(homes.regions ?? []) : undefined;
@@ -210,7 +211,8 @@
     timeoutMs: number,
   ): Promise<whinyoke.IRelayReply> {
     const attempt = await this.runner.attempt(pinned, content, command, timeoutMs);
-    // The proxy that asked may not have heard from the primary before, and so can't tell that its log has gone.
+    // The other proxy may not have had contact with the primary before, and then cannot detect that
+    // the primary lost its log.
     if (this.isDistrusted(pinned.target)) {
       this.pinnedConnections.delete(connection);
       this.runner.discard(pinned);
@@ -235,7 +237,10 @@
   }
 }
 
-/** A request that names no incarnation, or the first one, means the one that is served. */
+/**
+ * Whether a request means the incarnation that is served. One that names none, or the first one
+ * (0), always does.
+ */
 function matchesIncarnation(
   request: whinyoke.IRelayRequest,
   { incarnation }: InstanceTarget,
@@ -244,7 +249,7 @@
   return requestedIncarnation === 0 || requestedIncarnation === (incarnation ?? 0);
 }
 
-/** Reply that nothing ran, here or elsewhere. */
+/** Reply for a statement that has not run. */
 function notRunReply(cause: string): whinyoke.IRelayReply {
   return { outcome: RelayOutcome.NOT_RUN_HERE, cause };
 }
--- a/src/appointed/relay/relayed_connection.ts
+++ b/src/appointed/relay/relayed_connection.ts
@@ -1,11 +1,10 @@
 /**
- * A connection to an instance at another proxy, a connection owner of the instance, which runs the commands. It holds nothing
- * until its first command; a transaction then keeps one connection of that owner until its end.
+ * Connection to an instance through another proxy, a connection owner of the instance, which runs
+ * the commands. Session values are sent along with each command. A transaction pins one connection
+ * of its owner until it ends.
  *
- * Owns the values of its session, which travel with each command, and the name of the connection that the owner keeps.
- *
- * Relies on the messenger and on owners, both of which may fail: the next owner is tried only where nothing was sent;
- * otherwise the error says that the command may have run.
+ * The next owner is tried only if nothing was sent to the previous one; otherwise the error says
+ * that the command may have run, so that no statement runs twice.
  */
 import {
   BackendConnectionLostError,
@@ -23,55 +22,59 @@
 
 const { RelayOutcome } = whinyoke;
 
-/** What a relayed connection is for, and the owners that may run its statements. */
+/**
+ * Instance and request that a relayed connection serves, and the owners that may run its
+ * statements.
+ */
 export interface RelayedRoute {
-  /** Identifier of the instance. */
   readonly instance: string;
-  /** Number of its incarnation. */
+  /** Number of the incarnation of the instance. */
   readonly incarnation: number;
-  /** Undefined for statements of the system itself. */
+  /** Undefined for internal statements. */
   readonly tenant: string | undefined;
-  /** 0 is the most urgent. */
+  /** 0 is the highest. */
   readonly priority: number;
-  /** Time within which an answer meets the caller's objective, in milliseconds; no limit when left out. */
+  /** Time within which an answer meets the caller's latency objective; undefined if unlimited. */
   readonly objectiveMs: number | undefined;
-  /** Longest wait for a connection at an owner, in milliseconds. */
+  /** Maximum wait for a connection at an owner. */
   readonly waitMs: number;
   /** Connection owners in the order in which they are tried. */
   readonly owners: readonly string[];
-  /** Regions to which its statements are bound, which owners check too; undefined where they are bound to none. */
+  /**
+   * Regions that its statements are restricted to, which owners check too; undefined if
+   * unrestricted.
+   */
   readonly allowedRegions?: AllowedRegions;
 }
 
-/** What all relayed connections of a process use. */
+/** Dependencies that all relayed connections of a process share. */
 export interface RelayDependencies {
   readonly messenger: Messenger;
   readonly health: OwnerHealth;
 }
 
-/** Reply of one owner, or why there is none. */
+/** Reply of an owner, or the error if it could not be reached. */
 type OwnerReply =
   { readonly reply: whinyoke.IRelayReply } | { readonly unreachable: OwnerUnreachableError };
 
-/** Time for a request and its reply on the way, in milliseconds. Guess, not measured. */
+/** Time allowed for the transfer of a request and its reply. */
 const NETWORK_DELAY_MS = 40;
-/** Sent where a statement has no objective, in milliseconds: longer than any statement waits. */
+/** Sent for statements without a latency objective; longer than any statement waits. */
 const MAX_OBJECTIVE_MS = 600_000;
 const ACKNOWLEDGED: InstanceAnswer = { rows: [], signature: '-', state: 'idle' };
 
-/** One connection. */
 export class RelayedConnection implements InstanceConnection {
   /** Called once when the connection ends. */
   onClosed: (() => void) | undefined;
   private readonly values = new Map<string, string>();
   private state: InstanceAnswer['state'] = 'idle';
-  /** Owner that keeps a connection for this one, and the name of that connection. */
+  /** Owner that pinned a connection for this one, and the identifier of that connection. */
   private pinned: { readonly owner: string; readonly connection: string } | undefined;
   private isClosed = false;
   private resolveClosed: () => void = () => undefined;
-  /** Resolves when the connection is closed here, so that a command that waits for its answer ends at once. */
+  /** Resolves when this side closes the connection, so that a command in flight ends at once. */
   private readonly closedReply = new Promise<OwnerReply>((resolve) => {
-    const cause = 'the connection was closed meanwhile';
+    const cause = 'the relayed connection was closed while the command was in flight';
     this.resolveClosed = () => resolve({ reply: { outcome: RelayOutcome.LOST, cause } });
   });
 
@@ -80,20 +83,22 @@
     private readonly dependencies: RelayDependencies,
   ) {}
 
-  /** Whether the connection has ended. */
   get closed(): boolean {
     return this.isClosed;
   }
 
-  /** Owner that keeps a connection for this one; undefined where none does. */
+  /** Owner that pinned a connection for this one; undefined if there is none. */
   get pinnedOwner(): string | undefined {
     return this.pinned?.owner;
   }
 
-  /** Runs one command at an owner; session values and prepared shapes travel with the next statement. */
+  /**
+   * Runs one command at an owner. Session values and prepared statements are sent along with the
+   * next statement.
+   */
   run(command: InstanceCommand, timeoutMs: number): Promise<InstanceAnswer> {
     if (this.isClosed) {
-      const error = new BackendConnectionLostError('connection is closed', { sent: false });
+      const error = new BackendConnectionLostError('relayed connection is closed', { sent: false });
       return Promise.reject(error);
     }
     switch (command.kind) {
@@ -103,7 +108,7 @@
       case 'reset':
         this.values.clear();
         return this.acknowledge();
-      // A prepared shape travels with each statement that executes it.
+      // The prepared statement is sent along with each execution.
       case 'prepare':
         return this.acknowledge();
       case 'begin':
@@ -113,11 +118,11 @@
       case 'status':
         return this.hasTimeLeft(timeoutMs) ? this.send(command, timeoutMs) : this.rejectExpired();
       default:
-        return Promise.reject(new RangeError(`${command.kind} can't be relayed`));
+        return Promise.reject(new RangeError(`command ${command.kind} cannot be relayed`));
     }
   }
 
-  /** Ends the connection at once, also the one that an owner keeps for it. */
+  /** Closes the connection at once, and the pinned one at its owner. */
   close(): void {
     if (this.isClosed) return;
     const { pinned } = this;
@@ -125,10 +130,10 @@
     if (pinned) this.closeAtOwner(pinned.owner, pinned.connection);
   }
 
-  /** Asks an owner to end a connection that it keeps for this one. */
+  /** Asks an owner to close a connection that it pinned for this one. */
   private closeAtOwner(owner: string, connection: string): void {
     const relayRequest = { connection, closes: true };
-    // Nothing is lost where that fails: the owner ends a connection by itself that is not used for a while (RelayServer).
+    // A failure is harmless: the owner closes idle pinned connections itself (see RelayServer).
     this.dependencies.messenger
       .request(owner, { relayRequest }, NETWORK_DELAY_MS)
       .catch(() => undefined);
@@ -138,9 +143,14 @@
     return timeoutMs > 0 && this.route.waitMs >= 0;
   }
 
-  /** A command without time left is not sent: its caller would have given it up before an owner answered. */
+  /** Fails a command whose deadline has passed without sending it. */
   private rejectExpired(): Promise<never> {
-    return this.fail(new BackendConnectionLostError('no time is left', { sent: false }));
+    return this.fail(
+      new BackendConnectionLostError(
+        'deadline passed before the command was sent to a connection owner',
+        { sent: false },
+      ),
+    );
   }
 
   private acknowledge(): Promise<InstanceAnswer> {
@@ -154,10 +164,15 @@
     this.onClosed?.();
   }
 
-  /** Tries one owner after the other until one has sent the command, or refuses it for want of a connection. */
+  /**
+   * Tries the owners in order until one has sent the command, or refuses it for lack of a
+   * connection.
+   */
   private async send(command: RelayedCommand, timeoutMs: number): Promise<InstanceAnswer> {
     const owners = this.pinned ? [this.pinned.owner] : this.route.owners;
-    let unreachable = new OwnerUnreachableError('no home can be reached', { sent: false });
+    let unreachable = new OwnerUnreachableError('no connection owner can be reached', {
+      sent: false,
+    });
     for (const owner of owners) {
       const reply = await Promise.race([
         this.exchange(owner, command, timeoutMs),
@@ -187,7 +202,7 @@
         return { reply: relayReply };
       }
       health.recordFailure(owner);
-      const cause = relayReply?.cause ?? 'it relays nothing';
+      const cause = relayReply?.cause ?? 'the reply holds no relay reply';
       return { unreachable: new OwnerUnreachableError(`${owner}: ${cause}`, { sent: false }) };
     } catch (error) {
       health.recordFailure(owner);
--- a/test/unit/connection_owners.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -1,4 +1,7 @@
-/** Connection owners: which proxies they are, what they may hold, and what a relayed statement says of its outcome. */
+/**
+ * Selection and quotas of connection owners. Guards against instances without usable connections,
+ * and against statements that run twice when an owner fails.
+ */
 import t from 'tap';
 import { BackendConnectionLostError, PeerUnreachableError } from '../../src/errors/errors.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -20,7 +23,7 @@
   }));
 }
 
-void t.test('all proxies agree on few connection owners in the zone of an instance', (t) => {
+void t.test('no two proxies disagree on the connection owners of an instance', (t) => {
   const zones = zonesOf({ a: 27, b: 30, c: 25 });
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
   const addresses = zones.flatMap((zone) => zone.addresses);
@@ -33,23 +36,23 @@
   const used = new Set<string>();
   for (const tenant of tenants) {
     const orders = new Set(views.map((owners) => owners.ownersFor(instance, tenant).join()));
-    t.equal(orders.size, 1, `one order for ${tenant}`);
+    t.equal(orders.size, 1, `all proxies use the same order for ${tenant}`);
     const [first] = views[0]!.ownersFor(instance, tenant);
     used.add(first!);
   }
-  t.equal(used.size, 2, 'both owners get tenants');
+  t.equal(used.size, 2, 'tenants are spread over both owners');
   t.ok([...used].every((address) => address.startsWith('b:')));
   const shares = views.map((owners) => owners.quotaOf(instance, addresses.length));
   const ofOwners = shares.filter((share) => share.isOwner);
   t.equal(ofOwners.length, 2);
   t.ok(
     ofOwners.reduce((sum, { maxConnections }) => sum + maxConnections, 0) <= 53 * 0.9,
-    'a rest is left to stand-ins',
+    'connections are left for standby owners',
   );
   t.end();
 });
 
-void t.test('one stand-in is in another zone, and all proxies agree on it', (t) => {
+void t.test('an instance whose zone loses all proxies has one standby owner elsewhere', (t) => {
   const zones = zonesOf({ a: 27, b: 30, c: 25 });
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
   const standIns = ['a:0', 'b:3', 'c:9'].map((address) => {
@@ -62,7 +65,7 @@
   t.end();
 });
 
-void t.test('where each proxy can have its own connections, an instance has no owners', (t) => {
+void t.test('statements are not relayed where each proxy can have its own connections', (t) => {
   const owners = new ConnectionOwners('a:0');
   owners.updateProxies(zonesOf({ a: 6 }));
   const instance = { id: 'i', zone: 'a', connectionLimit: 34 };
@@ -72,25 +75,26 @@
 });
 
 void t.test(
-  'more proxies than connections allow for go through owners, not without connections',
+  'proxies with a fair share below two connections use owners instead of having no connections',
   (t) => {
-    // 193 proxies on 400 connections keep two each; with 36 more each had fewer than two, and kept none.
+    // At 229 proxies and 400 connections the fair share is below two: without owners, no proxy
+    // would keep a connection.
     const zones = zonesOf({ a: 80, b: 80, c: 69 });
     const instance = { id: 'i', zone: 'a', connectionLimit: 400 };
     const owners = new ConnectionOwners('a:0');
     owners.updateProxies(zones);
     const [first] = owners.ownersFor(instance, '');
-    t.ok(first, 'statements go through an owner');
+    t.ok(first, 'statements are relayed through an owner');
     const owner = new ConnectionOwners(first!);
     owner.updateProxies(zones);
     const { maxConnections, idleTimeoutMs } = owner.quotaOf(instance, 229);
-    t.ok(maxConnections >= 24, 'which has connections for all');
-    t.ok(idleTimeoutMs > 5000, 'and keeps them');
+    t.ok(maxConnections >= 24, 'the owner has connections for all proxies');
+    t.ok(idleTimeoutMs > 5000, 'the owner keeps idle connections');
     t.end();
   },
 );
 
-void t.test('an instance in a zone without proxies has owners elsewhere', (t) => {
+void t.test('an instance in a zone without proxies is reached through owners elsewhere', (t) => {
   const owners = new ConnectionOwners('a:0');
   owners.updateProxies(zonesOf({ a: 40 }));
   t.ok(owners.ownersFor({ id: 'i', zone: 'z', connectionLimit: 20 }, '').length > 0);
@@ -99,7 +103,7 @@
 
 const FROZEN_CLOCK: Clock = { now: () => 0, setTimer: () => ({ cancel: () => undefined }) };
 
-/** Reply of an owner, or why there is none. */
+/** Reply of an owner, or the error if it cannot be reached. */
 type OwnerAnswer = whinyoke.IRelayReply | { readonly unreachable: Error };
 
 function connectionVia(replyByOwner: Readonly<Record<string, OwnerAnswer>>): {
@@ -146,25 +150,25 @@
   }
 }
 
-void t.test('a statement without time left is refused where it is', async (t) => {
+void t.test('a statement whose deadline has passed is not sent to an owner', async (t) => {
   const { connection, asked } = connectionVia({ h1: SERVED });
   await t.rejects(connection.run(WRITE, -8), BackendConnectionLostError);
   t.same(asked, [], 'nothing is sent');
   t.ok(connection.closed);
 });
 
-void t.test('durations of messages: what no timer can wait is none', (t) => {
+void t.test('a negative duration sent as unsigned is not used as a timeout', (t) => {
   t.equal(durationOf(undefined), 0);
   t.equal(durationOf(800), 800);
-  t.equal(durationOf(4_294_967_288), undefined, 'a negative wait as an unsigned number');
+  t.equal(durationOf(4_294_967_288), undefined, 'a negative duration as an unsigned number');
   t.end();
 });
 
-void t.test('a write may have run only where an owner may have sent it', async (t) => {
+void t.test('a write that an owner may have run is never sent to another owner', async (t) => {
   const unsent = { unreachable: new PeerUnreachableError('refused', { sent: false }) };
   const silent = { unreachable: new PeerUnreachableError('no answer') };
   t.equal(await mayHaveRun({ h1: SERVED }), undefined);
-  t.equal(await mayHaveRun({ h1: unsent, h2: SERVED }), undefined, 'the next owner serves');
+  t.equal(await mayHaveRun({ h1: unsent, h2: SERVED }), undefined, 'the next owner serves it');
   t.equal(await mayHaveRun({ h1: { outcome: RelayOutcome.NOT_HOME }, h2: SERVED }), undefined);
   t.equal(await mayHaveRun({ h1: unsent, h2: unsent }), false, 'nothing was sent');
   t.equal(
@@ -176,14 +180,14 @@
   t.equal(await mayHaveRun({ h1: { outcome: RelayOutcome.NOT_RUN_HERE, cause: 'full' } }), false);
 });
 
-void t.test('a transaction stays at its owner, with the values of its session', async (t) => {
+void t.test('a transaction keeps its owner while that is marked unavailable', async (t) => {
   const open = { signature: '-', state: 'open' };
   const { connection, asked, health } = connectionVia({
     h1: { outcome: RelayOutcome.ANSWERED, connection: 'k.1', answer: open },
     h2: SERVED,
   });
   await connection.run({ kind: 'set', name: 'v', value: '1' }, 100);
-  t.equal(asked.length, 0, 'values travel with the next statement');
+  t.equal(asked.length, 0, 'values are sent along with the next statement');
   await connection.run({ kind: 'begin', readOnly: false }, 100);
   health.recordFailure('h1');
   await connection.run(WRITE, 100);
@@ -197,7 +201,7 @@
 });
 
 void t.test(
-  'a command that waits for its answer ends at once when its connection is closed',
+  'closing a relayed connection fails its command in flight at once instead of at the timeout',
   async (t) => {
     const messenger: Messenger = {
       request: () => new Promise(() => undefined),
@@ -218,12 +222,12 @@
     connection.onClosed = () => closings++;
     const answer = connection.run(WRITE, 100);
     connection.close();
-    await t.rejects(answer, /closed meanwhile/);
+    await t.rejects(answer, /closed while the command was in flight/);
     t.equal(closings, 1);
   },
 );
 
-void t.test('an owner that is away is probed in the background until it answers', async (t) => {
+void t.test('no statement waits for an unavailable owner, which is probed instead', async (t) => {
   const timers: (() => void)[] = [];
   let now = 0;
   let isAway = true;
@@ -250,7 +254,7 @@
   };
   health.recordFailure('h');
   for (let round = 0; round < 5; round++) {
-    t.notOk(health.isAvailable('h'), 'no statement tries it');
+    t.notOk(health.isAvailable('h'), 'statements skip it');
     await tick();
   }
   t.equal(asked, 5);
@@ -261,6 +265,6 @@
   health.recordFailure('h');
   now += 10_000;
   await tick();
-  t.ok(health.isAvailable('h'), 'no statement wanted it for long: the next one tries it');
+  t.ok(health.isAvailable('h'), 'not requested for a while: the next statement tries it');
   t.equal(timers.length, 0);
 });
