--- a/test/simulation/explain.test.ts
+++ b/test/simulation/explain.test.ts
@@ -1,17 +1,6 @@
 /**
- * From the identifier of a failed request to its cause, from log lines alone.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - the cause of a refusal is named by the lines around it: a refusal whose cause no log line names; needs the
- *   generator with dark-primary, crash-primary, leave-primary and cut-primary-from-proxies, each alone, and the
- *   log lines of the run.
- * - each refusal for want of a lease is explained by the loss of control: a lease that ends without a line; needs
- *   kill-all-controls and crash-replica.
- * - without any control machine callers are served on: requests that fail only because control is away; needs
- *   kill-all-controls.
- * - a proxy that is cut off from control is served through another one: requests refused beside a reachable proxy;
- *   needs cut-proxy-from-control.
- * - an unknown request has no explanation: lines of other requests shown for it; needs no emulation.
+ * Explains failed requests from log lines alone. Guards against refusals whose cause no log line
+ * names.
  */
 import t from 'tap';
 import { APPOINTED_QUETZAL } from '../../lab/appointed/appointed_deployment.js';
@@ -20,7 +9,7 @@
 import type { SimulatedLogLine } from '../../lab/appointed/appointed_nodes.js';
 import { explainRequest } from '../../lab/explain/explain.js';
 
-/** Logs of a simulated run as the daemons write them, one text for each process. */
+/** Logs of a simulated run in the format of the daemons, one text for each process. */
 function logsOf(lines: readonly SimulatedLogLine[]): string[] {
   const texts = new Map<string, string[]>();
   for (const { at, node, event, fields } of lines) {
@@ -33,7 +22,10 @@
 
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** Failed requests of the first seed whose run has any with some kinds of faults, and its lines. */
+/**
+ * Failed requests and log lines of the first seed whose run has a failed request under these
+ * faults.
+ */
 async function findFailures(
   faults: readonly AppointedFaultKind[],
 ): Promise<{ failed: readonly SimulatedLogLine[]; lines: readonly SimulatedLogLine[] }> {
@@ -53,7 +45,7 @@
   return { failed: [], lines: [] };
 }
 
-/** Whether some failed request of a run with some kinds of faults is explained by a line. */
+/** Whether the explanation of any failed request under these faults matches `cause`. */
 async function isExplained(faults: readonly AppointedFaultKind[], cause: RegExp): Promise<boolean> {
   const { failed, lines } = await findFailures(faults);
   const logs = logsOf(lines);
@@ -62,14 +54,14 @@
   );
 }
 
-void t.test('the cause of a refusal is named by the lines around it', async (t) => {
+void t.test('log lines around a refused request name its cause', async (t) => {
   t.ok(await isExplained(['dark-primary'], /primary_change_begun.*find it silent/));
   t.ok(await isExplained(['crash-primary'], /primary_change_begun.*find it (refusing|silent)/));
   t.ok(await isExplained(['leave-primary'], /primary_change_begun.*the primary leaves/));
   t.ok(await isExplained(['cut-primary-from-proxies'], /connect_failed.*failure=silent/));
 });
 
-void t.test('each refusal for want of a lease is explained by the loss of control', async (t) => {
+void t.test('a refusal without a lease is explained by a control_lost line', async (t) => {
   let refusals = 0;
   for (const seed of SEEDS) {
     const faults = ['kill-all-controls', 'crash-replica'] as const;
@@ -80,7 +72,7 @@
       faultCount: 4,
     });
     const logs = logsOf(lines);
-    // While a primary is changed there is no lease either, for another reason.
+    // During a change of primary there is no lease either, for another reason.
     const unleased = lines.filter(
       ({ event, fields }) =>
         event === 'request_refused' && fields['leased'] === false && fields['phase'] === 'steady',
@@ -94,12 +86,12 @@
   t.ok(refusals > 0, 'some requests were refused');
 });
 
-void t.test('without any control machine callers are served on', async (t) => {
+void t.test('no request fails only because all control machines are down', async (t) => {
   const { failed } = await findFailures(['kill-all-controls']);
   t.same(failed, []);
 });
 
-void t.test('a proxy that is cut off from control is served through another one', async (t) => {
+void t.test('a proxy cut off from control does not refuse requests', async (t) => {
   const deployment = APPOINTED_QUETZAL;
   const faults = ['cut-proxy-from-control'] as const;
   const report = await runAppointed({ deployment, seed: 1, faults, faultCount: 2 });
@@ -107,7 +99,7 @@
   t.notOk(report.lines.some(({ event }) => event === 'request_refused'));
 });
 
-void t.test('an unknown request has no explanation', (t) => {
+void t.test('an unknown request is not explained by lines of other requests', (t) => {
   t.same(explainRequest('nothing', ['not a log\n{"broken"'], 1000), []);
   t.end();
 });
--- a/test/simulation/protections.test.ts
+++ b/test/simulation/protections.test.ts
@@ -1,9 +1,6 @@
 /**
- * For each protection of the MySQL interface, a simulated run that fails without it.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - without each protection a violation is found: a history check that cannot fail; needs the simulator of
- *   lab/simulation, the kinds of faults that faultsFor names, and each protection's switch.
+ * Simulates the MySQL interface without each of its protections. Guards against history checks that
+ * cannot fail.
  */
 import t from 'tap';
 import { QUETZAL } from '../../lab/fleet/deployment.js';
@@ -15,7 +12,7 @@
 const JOBS = 4;
 const SEEDS_WITHOUT_PROTECTION = 50;
 
-/** What the checks report when a protection is off. */
+/** Checks that may report a violation without each protection. */
 const expected: Readonly<Record<Protection, readonly CheckName[]>> = {
   'read-position': ['read-your-writes', 'fresh-reads'],
   'commit-evidence': ['durable-writes', 'replaced-primary', 'register-order', 'read-your-writes'],
@@ -29,7 +26,7 @@
   'stable-identity': ['configuration-kept', 'configuration-order'],
 };
 
-/** Faults that matter to a protection; all kinds where it is left out. */
+/** Faults that exercise a protection; all kinds if it is not listed. */
 const faultsFor: Partial<Record<Protection, readonly FaultKind[]>> = {
   'discard-on-timeout': ['slow-instance', 'freeze-primary'],
   'once-key': ['kill-proxy', 'isolate-primary', 'cut-zone', 'cut-primary-from-proxies'],
@@ -40,7 +37,7 @@
 };
 
 for (const protection of PROTECTIONS) {
-  void t.test(`without ${protection} a violation is found`, async (t) => {
+  void t.test(`the history checks find a violation without ${protection}`, async (t) => {
     const summary = await runSeeds({
       deployment: QUETZAL.name,
       firstSeed: 1,
--- a/test/tools/connection_request.ts
+++ b/test/tools/connection_request.ts
@@ -1,9 +1,9 @@
-/** Requests for connections, for tests of pools. */
+/** Creates connection requests for tests of pools. */
 import type { ConnectionRequest } from '../../src/appointed/connections/pooled_connection.js';
 
 const NO_VALUES: ReadonlyMap<string, string> = new Map();
 
-/** Request of a priority and a tenant for a session with these values. */
+/** Request with a priority, session values and a tenant. */
 export function connectionRequest(
   priority: number,
   values = NO_VALUES,
--- a/test/tools/fake_connection.ts
+++ b/test/tools/fake_connection.ts
@@ -1,11 +1,11 @@
-/** A connection to an instance that can only be closed, for tests of pools. */
+/** Instance connection that can only be closed, for tests of pools. */
 import type { InstanceConnection } from '../../src/appointed/instance/instance_connection.js';
 
-/** Fake of one connection. */
 export class FakeConnection implements InstanceConnection {
   onClosed: (() => void) | undefined;
   closed = false;
-  run: InstanceConnection['run'] = () => Promise.reject(new Error('unused'));
+  run: InstanceConnection['run'] = () =>
+    Promise.reject(new Error('FakeConnection runs no commands'));
   close(): void {
     this.closed = true;
     this.onClosed?.();
--- a/test/tools/instance_pool.ts
+++ b/test/tools/instance_pool.ts
@@ -1,4 +1,4 @@
-/** Pools of connections to one instance, for tests: settings and listeners that a test leaves out are the plainest ones. */
+/** Creates instance pools for tests. Options that a test leaves out have simple defaults. */
 import type { InstanceConnector } from '../../src/appointed/instance/instance_connection.js';
 import { InstanceLoad } from '../../src/appointed/connections/instance_load.js';
 import { InstancePool } from '../../src/appointed/connections/instance_pool.js';
@@ -11,11 +11,13 @@
 const MANY_SLOTS = 100;
 const TARGET = { id: 'i', group: 'g', address: '127.0.0.1:1' };
 
-/** A connector whose connections can only be closed; `tenants` names the tenant of each opening. */
+/**
+ * Connector whose connections can only be closed; `tenants` lists the tenant of each connection.
+ */
 export class CountingConnector implements InstanceConnector {
   readonly tenants: string[] = [];
 
-  /** Number of openings. */
+  /** Number of connections opened. */
   get opened(): number {
     return this.tenants.length;
   }
@@ -30,14 +32,14 @@
   }
 }
 
-/** What a test sets of its pool. */
+/** Options that a test overrides. */
 interface TestPoolOptions extends Partial<Omit<PoolOptions, 'quota'>>, Partial<PoolListener> {
   readonly quota?: Partial<ReturnType<PoolOptions['quota']>>;
   readonly clock?: Clock;
   readonly load?: InstanceLoad;
 }
 
-/** A pool of an instance with many slots, at a proxy that may hold two connections. */
+/** Creates a pool with at most two connections at an instance with many slots. */
 export function createTestPool(
   connector: InstanceConnector,
   options: TestPoolOptions = {},
--- a/test/tools/rendezvous_order.ts
+++ b/test/tools/rendezvous_order.ts
@@ -1,4 +1,7 @@
-/** The whole order of rendezvous hashing, made anew each time: the oracle of the kept table. */
+/**
+ * Reference implementation of rendezvous hashing, against which the cached RendezvousTable is
+ * tested.
+ */
 import xxhash from 'xxhash-wasm';
 
 const hasher = await xxhash();
--- a/test/tools/single_proxy_harness.ts
+++ b/test/tools/single_proxy_harness.ts
@@ -1,6 +1,8 @@
 /**
- * One real proxy on a virtual clock, before instances that only record what they are sent, with a catalog in place of control.
- * Group `g` has the database `any` (reads may be 2 s old) and `own` (only the primary serves).
+ * Runs one real proxy on a virtual clock, with fake instances that record the commands they receive
+ * and a fake control that serves a local catalog.
+ *
+ * Group `g` has the databases `any` (reads may be 2 s stale) and `own` (only the primary serves).
  */
 import { Scheduler } from '../../lab/simulation/scheduler.js';
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
@@ -34,7 +36,10 @@
   readonly command: InstanceCommand;
 }
 
-/** A connection that records commands and answers them after a while, unless its instance hangs. */
+/**
+ * Connection that records commands and answers them after a delay, unless its instance is
+ * unresponsive.
+ */
 class RecordingConnection extends FakeConnection {
   private state: InstanceAnswer['state'] = 'idle';
 
@@ -66,25 +71,26 @@
   return [database, { name: database, database, group: 'g', policy, ...times, isPublic: true }];
 }
 
-/** The proxy, its instances and its control. */
+/** A proxy with its instances and control. */
 export class SingleProxyHarness {
   readonly scheduler = new Scheduler();
   readonly catalog = new Catalog();
   readonly core: AppointedProxy;
-  /** Everything that reached an instance. */
+  /** All commands that reached an instance. */
   readonly sentCommands: SentCommand[] = [];
-  /** Openings, by instance. */
+  /** Instance of each opened connection. */
   readonly openedInstances: string[] = [];
-  /** Instances to which no connection is opened. */
+  /** Instances whose connection attempts never complete. */
   readonly unreachableInstances = new Set<string>();
-  /** Instances that do not answer. */
+  /** Instances that do not answer commands. */
   readonly unresponsiveInstances = new Set<string>();
-  /** Names of events. */
+  /** Names of the logged events. */
   readonly events: string[] = [];
-  /** Whether control answers nothing. */
+  /** Whether control does not answer. */
   isControlUnresponsive = false;
-  /** Handler of messages of other proxies. */
-  handle: Parameters<Runtime['messenger']['serve']>[0] = () => Promise.reject(new Error('unset'));
+  /** Handler for messages of other proxies. */
+  handle: Parameters<Runtime['messenger']['serve']>[0] = () =>
+    Promise.reject(new Error('no message handler is registered'));
   private readonly process = new VirtualProcess('10.7.0.1', this.scheduler, new SeededRandom(1), 0);
   private readonly updates = new CatalogUpdates(this.catalog);
   private index = 0;
@@ -102,7 +108,7 @@
     };
     const { process } = this;
     const { clock, random } = process;
-    // A proxy of this interface keeps no data folder.
+    // This kind of proxy has no data folder, so the runtime needs no storage.
     const runtime = { clock, random, messenger } as Runtime;
     this.core = new AppointedProxy(runtime, {
       id: 'p',
@@ -145,7 +151,7 @@
     return this.process.clock;
   }
 
-  /** Starts the proxy, and has a write give it the position that reads need. */
+  /** Starts the proxy, and runs a write to give it the position that reads require. */
   async start(): Promise<void> {
     this.core.start();
     await this.run(200);
@@ -156,13 +162,13 @@
     return this.scheduler.runUntil(this.now + milliseconds);
   }
 
-  /** Lets time pass until a promise is settled. */
+  /** Advances the clock until a promise is settled. */
   async runUntilSettled<T>(promise: Promise<T>): Promise<T> {
     let isSettled = false;
     const onSettled = (): void => void (isSettled = true);
     promise.then(onSettled, onSettled);
     for (let tries = 0; tries < 3000 && !isSettled; tries++) await this.run(1);
-    if (!isSettled) throw new Error('still waiting after 3 s');
+    if (!isSettled) throw new Error('promise was not settled within 3000 ms of virtual time');
     return promise;
   }
 
@@ -180,12 +186,12 @@
     this.apply({ putInstance: { id, group: 'g', address: `${id}:1`, zone, slots: 4, state } });
   }
 
-  /** Names the primary of the next epoch. */
+  /** Appoints a primary for an epoch. */
   setPrimary(primary: string, epoch: number, phase = GroupPhase.STEADY): void {
     this.apply({ putGroup: { group: 'g', epoch, phase, primary, term: 1, planned: true } });
   }
 
-  /** Opens a session; what it runs gets new identifiers. */
+  /** Opens a session whose statements get new request identifiers. */
   session(database: string): {
     state: () => string;
     read: () => ReturnType<RoutedSession['execute']>;
@@ -205,7 +211,7 @@
     };
   }
 
-  /** Instances that statements of callers reached after a moment. */
+  /** Instances that received statements of callers after a point in time. */
   instancesReachedSince(at: number): readonly string[] {
     const later = this.sentCommands.filter(
       (item) => item.at > at && item.command.kind !== 'status',
@@ -218,7 +224,7 @@
     const until = this.now + (syncRequest?.waitMs ?? 0);
     do await delay(this.clock, 1);
     while (this.catalog.version <= known && this.now < until);
-    if (this.isControlUnresponsive) throw new Error('control is silent');
+    if (this.isControlUnresponsive) throw new Error('control does not answer');
     return {
       syncReply: {
         accepted: true,
--- a/test/unit/emulated_instance.test.ts
+++ b/test/unit/emulated_instance.test.ts
@@ -1,8 +1,6 @@
 /**
- * The emulated instance whose primary is appointed, where its judge depends on it.
- *
- * Failure that the test holds: the emulation counts as missing what an instance holds, so that the judge calls a fresh
- * read stale; needs one instance, no world.
+ * Emulated instance with an appointed primary. Guards against an emulation that loses track of
+ * committed data, so that the checker calls a fresh read stale.
  */
 import t from 'tap';
 import { EmulatedInstance, type InstanceStorage } from '../../lab/appointed/emulated_instance.js';
@@ -17,7 +15,7 @@
   onAppended: () => undefined,
 };
 
-void t.test('a primary that steps down has applied what it committed', async (t) => {
+void t.test('a primary that steps down does not lose track of its committed writes', async (t) => {
   const process = new VirtualProcess('10.9.0.1', new Scheduler(), new SeededRandom(1), 0);
   const storage: InstanceStorage = { log: [], role: 'primary', term: 1, born: 0, isWhole: true };
   const options = {
