--- a/src/appointed/connections/connection_opener.ts
+++ b/src/appointed/connections/connection_opener.ts
@@ -38,7 +38,7 @@
 export class ConnectionOpener {
   /** Tenants of the attempts in flight; a tenant is listed once for each attempt. */
   private readonly openingTenants: string[] = [];
-  private smoothedMs = INITIAL_CONNECT_MS;
+  private smoothedConnectMs = INITIAL_CONNECT_MS;
 
   constructor(
     private readonly target: InstanceTarget,
@@ -55,7 +55,7 @@
 
   /** Moving average of the connect time, in milliseconds. */
   get connectMs(): number {
-    return this.smoothedMs;
+    return this.smoothedConnectMs;
   }
 
   /** Number of attempts in flight for a tenant; for all tenants if undefined. */
@@ -72,7 +72,7 @@
       ({ connection, position }) => {
         this.removeOpening(tenant);
         const durationMs = this.clock.now() - startedAt;
-        this.smoothedMs += CONNECT_TIME_WEIGHT * (durationMs - this.smoothedMs);
+        this.smoothedConnectMs += CONNECT_TIME_WEIGHT * (durationMs - this.smoothedConnectMs);
         this.listener.onOpened({ connection, tenant, position, startedAt });
       },
       (error: unknown) => {
--- a/src/appointed/connections/idle_connections.ts
+++ b/src/appointed/connections/idle_connections.ts
@@ -27,13 +27,13 @@
    */
   takeClosest(request: ConnectionRequest): PooledConnection | undefined {
     let best: PooledConnection | undefined;
-    let bestDistance = Infinity;
+    let bestCost = Infinity;
     for (const pooled of this.connections) {
       if (!pooled.canServeTenant(request.tenant)) continue;
-      const distance = pooled.commandsToLoad(request.values);
-      if (distance > bestDistance) continue;
+      const cost = pooled.commandsToLoad(request.values);
+      if (cost > bestCost) continue;
       best = pooled;
-      bestDistance = distance;
+      bestCost = cost;
     }
     if (best) this.remove(best);
     return best;
--- a/src/appointed/connections/instance_pool.ts
+++ b/src/appointed/connections/instance_pool.ts
@@ -132,8 +132,8 @@
       return Promise.reject(this.recordRefusal('evacuated'));
     }
     const now = this.clock.now();
-    const free = this.canSendStatement(now) ? this.takeIdle(request) : undefined;
-    if (free) return Promise.resolve(free);
+    const idleConnection = this.canSendStatement(now) ? this.takeIdle(request) : undefined;
+    if (idleConnection) return Promise.resolve(idleConnection);
     if (this.size === 0 && this.backoff.isUnreachable) {
       return Promise.reject(this.recordRefusal('unreachable'));
     }
@@ -347,8 +347,8 @@
     const now = this.clock.now();
     for (const request of this.waiters.rank(now)) {
       if (this.idle.length === 0 || !this.canSendStatement(now)) break;
-      const free = this.takeIdle(request);
-      if (free) this.waiters.serve(request, free);
+      const idleConnection = this.takeIdle(request);
+      if (idleConnection) this.waiters.serve(request, idleConnection);
     }
     this.demand.openForWaiters();
   }
--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -39,10 +39,10 @@
 
   /** Number of commands that load the values of a session onto it. */
   commandsToLoad(values: ReadonlyMap<string, string>): number {
-    let commands = 0;
+    let commandCount = 0;
     for (const name of this.values.keys()) if (!values.has(name)) return RESET_COST + values.size;
-    for (const [name, value] of values) if (this.values.get(name) !== value) commands++;
-    return commands;
+    for (const [name, value] of values) if (this.values.get(name) !== value) commandCount++;
+    return commandCount;
   }
 }
 
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -64,16 +64,16 @@
    */
   acquire(request: ConnectionRequest, timeoutMs: number): Promise<PooledConnection> {
     const isOfCaller = request.tenant !== undefined;
-    const cold = isOfCaller
+    const coldRoute = isOfCaller
       ? this.routing.coldRoute(isUrgentPriority(request.priority))
       : undefined;
-    if (cold) return this.acquireCold(cold, request, timeoutMs);
+    if (coldRoute) return this.acquireCold(coldRoute, request, timeoutMs);
     const owners = this.routing
       .ownersFor(request.tenant ?? NO_TENANT)
       .filter((address) => this.isProxyAllowed(address, request.homes))
       .filter((address) => this.dependencies.health.isAvailable(address));
-    const [first] = owners;
-    if (first === undefined || first === this.ownAddress) {
+    const [preferredOwner] = owners;
+    if (preferredOwner === undefined || preferredOwner === this.ownAddress) {
       return this.localPool.acquire(request, timeoutMs);
     }
     const others = owners.filter((address) => address !== this.ownAddress);
--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -168,7 +168,7 @@
     timeoutMs: number,
   ): Promise<whinyoke.IRelayReply> {
     const content = contentOf(request, command);
-    const needed = {
+    const connectionRequest = {
       tenant: request.anyTenant ? undefined : (request.tenant ?? ''),
       values: content.values,
       priority: request.priority ?? 0,
@@ -176,7 +176,7 @@
     };
     let pinned: PinnedConnection;
     try {
-      pinned = await this.runner.acquire(target, needed, waitMs);
+      pinned = await this.runner.acquire(target, connectionRequest, waitMs);
     } catch (error) {
       if (error instanceof AcquireError && error.failure === 'slowStart') {
         return replyTo({ outcome: 'answered', answer: slowStartAnswer(target, false) }, '');
@@ -229,8 +229,8 @@
     return replyTo(attempt, '');
   }
 
-  private pin(pinned: PinnedConnection, known: string): string {
-    const connection = known || `${this.incarnation}.${this.nextConnection++}`;
+  private pin(pinned: PinnedConnection, existing: string): string {
+    const connection = existing || `${this.incarnation}.${this.nextConnection++}`;
     this.pinnedConnections.set(connection, { pinned, usedAt: this.context.clock.now() });
     pinned.target.pool.markIdleInTransaction(pinned.pooled);
     return connection;
--- a/test/unit/connection_owners.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -55,13 +55,13 @@
 void t.test('an instance whose zone loses all proxies has one standby owner elsewhere', (t) => {
   const zones = zonesOf({ a: 27, b: 30, c: 25 });
   const instance = { id: 'i-7', zone: 'b', connectionLimit: 53 };
-  const standIns = ['a:0', 'b:3', 'c:9'].map((address) => {
+  const standbyOwners = ['a:0', 'b:3', 'c:9'].map((address) => {
     const owners = new ConnectionOwners(address);
     owners.updateProxies(zones);
     return owners.ownersFor(instance, 'tenant-1').filter((owner) => !owner.startsWith('b:'));
   });
-  t.equal(standIns[0]!.length, 1);
-  t.same(standIns, [standIns[0], standIns[0], standIns[0]]);
+  t.equal(standbyOwners[0]!.length, 1);
+  t.same(standbyOwners, [standbyOwners[0], standbyOwners[0], standbyOwners[0]]);
   t.end();
 });
 
@@ -108,13 +108,13 @@
 
 function connectionVia(replyByOwner: Readonly<Record<string, OwnerAnswer>>): {
   readonly connection: RelayedConnection;
-  readonly asked: whinyoke.IRelayRequest[];
+  readonly sentRequests: whinyoke.IRelayRequest[];
   readonly health: OwnerHealth;
 } {
-  const asked: whinyoke.IRelayRequest[] = [];
+  const sentRequests: whinyoke.IRelayRequest[] = [];
   const messenger: Messenger = {
     request: (address, { relayRequest }) => {
-      asked.push(relayRequest!);
+      sentRequests.push(relayRequest!);
       const answer = replyByOwner[address]!;
       if ('unreachable' in answer) return Promise.reject(answer.unreachable);
       return Promise.resolve({ relayReply: answer });
@@ -132,7 +132,7 @@
     waitMs: 50,
     owners,
   };
-  return { connection: new RelayedConnection(route, { messenger, health }), asked, health };
+  return { connection: new RelayedConnection(route, { messenger, health }), sentRequests, health };
 }
 
 const WRITE = { kind: 'data', id: 'q1', statement: { kind: 'write', argument: 'x' } } as const;
@@ -151,9 +151,9 @@
 }
 
 void t.test('a statement whose deadline has passed is not sent to an owner', async (t) => {
-  const { connection, asked } = connectionVia({ h1: SERVED });
+  const { connection, sentRequests } = connectionVia({ h1: SERVED });
   await t.rejects(connection.run(WRITE, -8), BackendConnectionLostError);
-  t.same(asked, [], 'nothing is sent');
+  t.same(sentRequests, [], 'nothing is sent');
   t.ok(connection.closed);
 });
 
@@ -182,21 +182,21 @@
 
 void t.test('a transaction keeps its owner while that is marked unavailable', async (t) => {
   const open = { signature: '-', state: 'open' };
-  const { connection, asked, health } = connectionVia({
+  const { connection, sentRequests, health } = connectionVia({
     h1: { outcome: RelayOutcome.ANSWERED, connection: 'k.1', answer: open },
     h2: SERVED,
   });
   await connection.run({ kind: 'set', name: 'v', value: '1' }, 100);
-  t.equal(asked.length, 0, 'values are sent along with the next statement');
+  t.equal(sentRequests.length, 0, 'values are sent along with the next statement');
   await connection.run({ kind: 'begin', readOnly: false }, 100);
   health.recordFailure('h1');
   await connection.run(WRITE, 100);
-  t.match(asked, [
+  t.match(sentRequests, [
     { tenant: 'ana', values: [{ name: 'v', value: '1' }] },
     { connection: 'k.1', values: [{ name: 'v', value: '1' }] },
   ]);
   connection.close();
-  t.match(asked.at(-1), { connection: 'k.1', closes: true });
+  t.match(sentRequests.at(-1), { connection: 'k.1', closes: true });
   await t.rejects(connection.run(WRITE, 100), /closed/);
 });
 
@@ -230,8 +230,8 @@
 void t.test('no statement waits for an unavailable owner, which is probed instead', async (t) => {
   const timers: (() => void)[] = [];
   let now = 0;
-  let isAway = true;
-  let asked = 0;
+  let isUnavailable = true;
+  let probeCount = 0;
   const clock: Clock = {
     now: () => now,
     setTimer: (_delayMs, callback) => {
@@ -241,8 +241,10 @@
   };
   const messenger: Messenger = {
     request: () => {
-      asked++;
-      return isAway ? Promise.reject(new Error('no answer')) : Promise.resolve({ relayReply: {} });
+      probeCount++;
+      return isUnavailable
+        ? Promise.reject(new Error('no answer'))
+        : Promise.resolve({ relayReply: {} });
     },
     serve: () => undefined,
   };
@@ -257,11 +259,11 @@
     t.notOk(health.isAvailable('h'), 'statements skip it');
     await tick();
   }
-  t.equal(asked, 5);
-  isAway = false;
+  t.equal(probeCount, 5);
+  isUnavailable = false;
   await tick();
   t.ok(health.isAvailable('h'));
-  isAway = true;
+  isUnavailable = true;
   health.recordFailure('h');
   now += 10_000;
   await tick();
