--- a/src/appointed/relay/relay_server.ts
+++ b/src/appointed/relay/relay_server.ts
@@ -38,7 +38,7 @@
 
 /**
  * Longer than the idle timeout of transactions at the proxy that runs them: a connection that is
- * idle for this long belongs to a proxy that is gone.
+ * idle for this long belongs to a proxy that has crashed.
  */
 const PINNED_IDLE_TIMEOUT_MS = 8000;
 
@@ -89,7 +89,7 @@
     return reply;
   }
 
-  /** Closes pinned connections whose proxy is gone; called periodically. */
+  /** Closes pinned connections that their proxy abandoned; called periodically. */
   maintain(): void {
     const oldest = this.context.clock.now() - PINNED_IDLE_TIMEOUT_MS;
     for (const [connection, { pinned, usedAt }] of this.pinnedConnections) {
