--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -281,7 +281,7 @@
       isProxyAllowed: (address, allowedRegions) =>
         isWithinAllowedRegions(allowedRegions, this.owners.zoneOf(address), regionByZone),
       coldRoute: (isUrgent) => this.coldRoute(pool.target.id, isUrgent),
-      recordSlowStartRefusal: () => this.noteRefused(pool.target.id),
+      recordSlowStartRefusal: () => this.recordSlowStartRefusal(pool.target.id),
     };
     return new InstanceAccess(pool, ownAddress, this.relayDependencies, routing);
   }
@@ -291,7 +291,7 @@
     return instance && this.dependencies.slowStarts.routeTo(instance, isUrgent);
   }
 
-  private noteRefused(id: string): void {
+  private recordSlowStartRefusal(id: string): void {
     const instance = this.entries.get(id);
     if (instance) this.dependencies.slowStarts.recordRefusal(instance);
   }
--- a/test/unit/connection_owners.test.ts
+++ b/test/unit/connection_owners.test.ts
@@ -33,20 +33,20 @@
     return owners;
   });
   const tenants = Array.from({ length: 84 }, (_, index) => `tenant-${index}`);
-  const used = new Set<string>();
+  const usedOwners = new Set<string>();
   for (const tenant of tenants) {
     const orders = new Set(views.map((owners) => owners.ownersFor(instance, tenant).join()));
     t.equal(orders.size, 1, `all proxies use the same order for ${tenant}`);
     const [first] = views[0]!.ownersFor(instance, tenant);
-    used.add(first!);
+    usedOwners.add(first!);
   }
-  t.equal(used.size, 2, 'tenants are spread over both owners');
-  t.ok([...used].every((address) => address.startsWith('b:')));
-  const shares = views.map((owners) => owners.quotaOf(instance, addresses.length));
-  const ofOwners = shares.filter((share) => share.isOwner);
-  t.equal(ofOwners.length, 2);
+  t.equal(usedOwners.size, 2, 'tenants are spread over both owners');
+  t.ok([...usedOwners].every((address) => address.startsWith('b:')));
+  const quotas = views.map((owners) => owners.quotaOf(instance, addresses.length));
+  const ownerQuotas = quotas.filter((quota) => quota.isOwner);
+  t.equal(ownerQuotas.length, 2);
   t.ok(
-    ofOwners.reduce((sum, { maxConnections }) => sum + maxConnections, 0) <= 53 * 0.9,
+    ownerQuotas.reduce((sum, { maxConnections }) => sum + maxConnections, 0) <= 53 * 0.9,
     'connections are left for standby owners',
   );
   t.end();
