--- a/src/appointed/connections/instance_directory.ts
+++ b/src/appointed/connections/instance_directory.ts
@@ -50,7 +50,7 @@
   readonly regionByZone: ReadonlyMap<string, string>;
   readonly connector: InstanceConnector;
   readonly log: DecisionLog;
-  /** Limits the requests sent to cold instances. */
+  /** Limits the requests sent to cold instances, which warm up after a start. */
   readonly slowStarts: SlowStartGate;
   /** Number of connections that an instance of a group accepts from all proxies together. */
   connectionLimitOf(group: string): number;
