--- a/src/appointed/tenancy/adaptive_timeout.ts
+++ b/src/appointed/tenancy/adaptive_timeout.ts
@@ -1,34 +1,29 @@
 /**
- * DECISION: when an answer to a request for operations is late, so that another way is tried. Owns the smoothed time of an answer;
- * relies on nothing that may fail.
- *
- * Answers: lost packets, which the transport sends again after 200 ms only, and processes that stand still, while callers
- * wait for a quarter of their objective.
- * Inputs: the times that answers took (ms).
- * Rule: late is what takes {@link LATE_FACTOR} times the usual, within bounds.
+ * Timeout that adapts to observed response times, after which an allowance request is tried by another route. It covers
+ * lost packets, which TCP retransmits only after about 200 ms, and stalled processes, while a caller is waiting. The timeout
+ * is a multiple of the smoothed response time, within bounds.
  */
 
-/** An answer is late after so many times the usual time. Guess, not measured. */
+/** Multiple of the smoothed response time. */
 const TIMEOUT_FACTOR = 4;
-/** Shortest time until then, in milliseconds: a pause of a busy process. Guess, not measured. */
+/** Tolerates short pauses of a busy process. */
 const MIN_TIMEOUT_MS = 12;
-/** Longest time until then, in milliseconds: more than an answer between two regions takes. Guess, not measured. */
+/** Longer than a round trip between two regions. */
 const MAX_TIMEOUT_MS = 150;
-/** Weight of the newest answer in the usual time of an answer. Guess, not measured. */
+/** Weight of the newest sample in the moving average. */
 const SMOOTHING_WEIGHT = 0.1;
-/** Usual time of an answer before one was measured, in milliseconds. Guess, not measured. */
+/** Assumed response time before the first sample. */
 const INITIAL_RESPONSE_MS = 10;
 
-/** Usual time of the answers of one kind. */
+/** Timeout for one kind of request. */
 export class AdaptiveTimeout {
   private smoothedResponseMs = INITIAL_RESPONSE_MS;
 
-  /** Notes how long an answer took. */
   recordResponse(responseMs: number): void {
     this.smoothedResponseMs += (responseMs - this.smoothedResponseMs) * SMOOTHING_WEIGHT;
   }
 
-  /** Time without an answer after which another way is tried, in milliseconds. */
+  /** Time without a response after which another route is tried. */
   get timeoutMs(): number {
     return Math.min(
       MAX_TIMEOUT_MS,
--- a/src/appointed/tenancy/admission.ts
+++ b/src/appointed/tenancy/admission.ts
@@ -1,14 +1,10 @@
 /**
- * DECISION: whether a caller's credential allows an operation now. Owns nothing; relies on the document in force and on control,
- * which may be out of reach: then credentials count until the document is too old, and no longer.
+ * Decides whether a caller's credential allows an operation. A credential is admitted if the routing document in force
+ * assigns it to a tenant and the control service confirmed within `freshnessMs` that this document is the newest. A
+ * credential that the document does not contain is checked once more after asking control for a newer document.
  *
- * Answers: credentials are added and taken away while proxies may be cut off from control.
- * Inputs: the document in force; the age of control's newest confirmation that it is the newest (ms); the longest age at
- * which it counts (ms).
- * Rule: a credential is admitted when a confirmed document names its tenant. One that the document does not know is looked up
- * once more in the newest document of control. So a credential that was taken away is soon refused everywhere, also by a
- * proxy that nobody reaches.
- * Shown by: docs/design/tenancy.md for the bound; test/unit/tenancy.test.ts, test/simulation/tenancy.test.ts.
+ * Because an unconfirmed document stops counting, a revoked credential is refused within a bounded time even by a proxy
+ * that is partitioned from control. docs/design/tenancy.md derives the bound.
  */
 import { LEADERSHIP_PROOF_MAX_AGE_MS } from '../../consensus/raft_options.js';
 import { Events } from '../../observability/events.js';
@@ -17,25 +13,24 @@
 import type { Clock } from '../../runtime/runtime.js';
 import { NO_TENANT, type Tenant } from './tenant.js';
 
-/** What a credential allows. */
+/** Result of checking a credential. */
 type AdmissionResult =
   | { readonly outcome: 'admitted'; readonly tenant: Tenant }
-  /** No tenant holds the credential. */
+  /** The credential belongs to no tenant. */
   | { readonly outcome: 'unknown' }
-  /** Whether a tenant holds it is not known now. */
+  /** The document in force is too old to decide. */
   | { readonly outcome: 'unproven' };
 
-/** What the decision needs of its process. */
 interface AdmissionDependencies {
   readonly clock: Clock;
   readonly log: DecisionLog;
-  /** Document in force. */
+  /** Routing document in force. */
   table(): RouteTable | undefined;
-  /** When the newest request was sent that control answered with the newest document. */
+  /** Send time of the newest request by which control confirmed that the document in force is the newest. */
   confirmedAt(): number;
-  /** Asks control for the newest document; resolves when it answered, after `timeoutMs` at the latest. */
+  /** Requests the newest document from control; resolves on the reply or after `timeoutMs`, whichever is first. */
   refresh(timeoutMs: number): Promise<void>;
-  /** How long a confirmation of the document counts, in milliseconds. */
+  /** How long a confirmation of the document is valid. */
   readonly freshnessMs: number;
 }
 
@@ -45,32 +40,26 @@
 };
 const UNPROVEN: AdmissionResult = { outcome: 'unproven' };
 const UNKNOWN: AdmissionResult = { outcome: 'unknown' };
-/** Time for control to answer whether a newer document knows a credential, in milliseconds. Guess, not measured. */
+/** Timeout of the request for a newer document when a credential is unknown. */
 const LOOKUP_TIMEOUT_MS = 300;
-/**
- * A document that was confirmed within this time is not asked for again, in milliseconds, so that unknown credentials cost
- * at most ten requests a second. Guess, not measured.
- */
+/** A document confirmed more recently than this is not requested again, so unknown credentials cost at most 10 requests/s. */
 const RECENT_CONFIRMATION_MS = 100;
 
-/** Difference of clocks that run at different speeds within the bound, in milliseconds. Guess, not measured. */
+/** Margin for clocks that drift apart within the revocation bound. */
 const CLOCK_DRIFT_MARGIN_MS = 300;
-/**
- * Time of the bound on revoked credentials that is lost, in milliseconds: a leader that has a successor may answer for as
- * long as its proof counts.
- */
+/** Deducted from the revocation bound: a deposed leader may still confirm an old document while its proof is valid. */
 const FRESHNESS_MARGIN_MS = LEADERSHIP_PROOF_MAX_AGE_MS + CLOCK_DRIFT_MARGIN_MS;
 
-/** How long a confirmed document may count so that no credential is used later than `boundMs` after it was taken away. */
+/** How long a confirmation may be valid so that no credential is accepted later than `revocationBoundMs` after its revocation. */
 export function documentFreshnessMs(revocationBoundMs: number): number {
   return Math.max(0, revocationBoundMs - FRESHNESS_MARGIN_MS);
 }
 
-/** Admission of one proxy. */
+/** Checks the credentials of the callers of one proxy. */
 export class Admission {
   constructor(private readonly dependencies: AdmissionDependencies) {}
 
-  /** What a credential allows on a route, as far as this process knows. */
+  /** Checks a credential for a route against the document in force only. */
   check(credential: string, route: Route): AdmissionResult {
     if (route.isPublic) return PUBLIC;
     if (this.documentAgeMs > this.dependencies.freshnessMs) return UNPROVEN;
@@ -78,7 +67,7 @@
     return tenant ? { outcome: 'admitted', tenant } : UNKNOWN;
   }
 
-  /** Checks a credential, and asks control for a newer document where the one in force does not know it. */
+  /** Checks a credential, and requests a newer document from control if the one in force does not contain it. */
   async checkWithRefresh(credential: string, route: Route): Promise<AdmissionResult> {
     const result = this.check(credential, route);
     if (result.outcome !== 'unknown') return result;
@@ -90,7 +79,7 @@
     return this.dependencies.confirmedAt() >= askedAt ? this.logUnknownCredential(route) : UNPROVEN;
   }
 
-  /** Milliseconds since control confirmed, at the latest, that the document in force is the newest. */
+  /** Time since the request by which control last confirmed that the document in force is the newest. */
   get documentAgeMs(): number {
     return this.dependencies.clock.now() - this.dependencies.confirmedAt();
   }
--- a/src/appointed/tenancy/admitted_operation.ts
+++ b/src/appointed/tenancy/admitted_operation.ts
@@ -1,26 +1,20 @@
-/**
- * One operation that may run: whose it is, and whether an instance may have run it. Owns that mark, by which an operation
- * that surely did not run is given back; relies on nothing that may fail.
- */
+/** An operation that was counted against its tenant's limit. It is returned to the limit if it certainly did not run. */
 import type { Tenant } from './tenant.js';
 
-/** An operation within the limit of its tenant. */
 export class AdmittedOperation {
   private executionPossible = false;
 
   constructor(
-    /** Tenant that it counts for. */
     readonly tenant: Tenant,
-    /** When it was counted, on the clock of this process. */
+    /** When it was counted, on this process's clock. */
     readonly countedAt: number,
   ) {}
 
-  /** Whether an instance may have run it. */
+  /** Whether an instance may have executed it. */
   get mayHaveRun(): boolean {
     return this.executionPossible;
   }
 
-  /** Notes that an instance ran it, or may have. */
   markMayHaveRun(): void {
     this.executionPossible = true;
   }
--- a/src/appointed/tenancy/allowance_client.ts
+++ b/src/appointed/tenancy/allowance_client.ts
@@ -1,7 +1,7 @@
 /**
- * A proxy's side of the limit on operations: takes operations out of its reserves; has the issuer of its zone asked where it has
- * none, and the leading control machine where that has none either. Owns the counts; relies on both, which may not answer:
- * callers then wait for a part of their objective and are refused.
+ * Enforces the operation limits of tenants at a proxy. An operation is taken from the proxy's own reserve if there is one;
+ * otherwise it is requested from the tenant's issuer, which is a proxy of the same zone that holds the zone's reserve, and
+ * finally from the leader of the control service. If neither grants it within the caller's maximum wait, it is refused.
  */
 import { Events } from '../../observability/events.js';
 import type { AdmittedOperation } from './admitted_operation.js';
@@ -23,9 +23,9 @@
 } from './tenant_allowance.js';
 import { TenantAllowances } from './tenant_allowances.js';
 
-/** Client of one proxy. */
+/** Enforces operation limits at one proxy. */
 export class AllowanceClient {
-  /** How operations were counted, since the start. */
+  /** Operations since the start, by outcome. */
   readonly counts: OperationCounts = {
     fromReserve: 0,
     byIssuer: 0,
@@ -36,9 +36,9 @@
     issuerLate: 0,
     issued: 0,
   };
-  /** Answers other proxies of the zone. */
+  /** Grants operations to other proxies of the zone. */
   readonly issuer: IssuerService;
-  /** What this proxy may run, by tenant. */
+  /** State of this proxy by tenant. */
   readonly allowances = new TenantAllowances();
   private readonly refusals: LimitRefusals;
   private readonly requests: AllowanceRequests;
@@ -60,12 +60,12 @@
     );
   }
 
-  /** Tells a new leader at once what this proxy holds; called now and then, since it may have no requests to ask for. */
+  /** Reports all reserves to the leader if it has changed. Called periodically, because there may be no other requests. */
   reportToNewLeader(): void {
     this.requests.reportToNewLeader();
   }
 
-  /** This proxy is to stop: hands the reserves of its zone over, by way of the leader, to those that come after it. */
+  /** Returns all reserves to the leader before the proxy stops, so that the next issuers of the zone can get them. */
   returnReserves(): void {
     this.dependencies.issuers.stopIssuing();
     this.issuer.stopIssuing();
@@ -77,12 +77,11 @@
     this.requests.scheduleRequest(RETURN_BATCH_WINDOW_MS);
   }
 
-  /** Stops. */
   stop(): void {
     this.requests.stop();
   }
 
-  /** Asks for one operation of a tenant; resolves after `longestWaitMs` at the latest. */
+  /** Requests one operation of a tenant; resolves after `maxWaitMs` at the latest. */
   acquire(tenant: Tenant, maxWaitMs: number): Promise<GrantResult> | GrantResult {
     const { limit } = tenant;
     if (!limit) return GRANTED;
@@ -101,7 +100,7 @@
     return this.waitForGrant(allowance, maxWaitMs);
   }
 
-  /** Gives an operation back that was counted and did not run. */
+  /** Returns an operation that was counted but did not run. */
   returnUnused({ tenant, countedAt, mayHaveRun }: AdmittedOperation): void {
     const now = this.dependencies.runtime.clock.now();
     if (!tenant.limit || mayHaveRun || !isReturnable(now - countedAt)) return;
--- a/src/appointed/tenancy/allowance_client_dependencies.ts
+++ b/src/appointed/tenancy/allowance_client_dependencies.ts
@@ -1,43 +1,42 @@
-/** What the proxy's side of the limit on operations needs of its proxy. The leader may be unknown or not answer. */
+/** Dependencies and counters of the operation limits at one proxy. */
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { Runtime } from '../../runtime/runtime.js';
 import type { IssuerSelector } from './issuer_selector.js';
 import type { QuotaRules } from './operation_budget.js';
 import type { OperationLimit } from './tenant.js';
 
-/** Surroundings of the allowances of one proxy. */
 export interface AllowanceClientDependencies {
   readonly runtime: Pick<Runtime, 'clock' | 'random' | 'messenger'>;
   readonly log: DecisionLog;
   readonly rules: QuotaRules;
   /** Identifier of the proxy. */
   readonly proxy: string;
-  /** Identifier of this run of the proxy. */
+  /** Identifier of this process of the proxy; it changes with each restart. */
   readonly incarnation: string;
-  /** Who holds the reserves of this proxy's zone. */
+  /** Selects the proxy that holds the zone's reserve of a tenant. */
   readonly issuers: IssuerSelector;
-  /** Limit of a tenant in the document in force; undefined where it has none or is unknown. */
+  /** Limit of a tenant in the document in force; undefined if the tenant has none or is unknown. */
   limitOf(tenant: string): OperationLimit | undefined;
-  /** Address of the leading control machine; empty while unknown. */
+  /** Address of the control leader; empty while unknown. */
   leaderAddress(): string;
 }
 
-/** How operations were counted, since the start. The names are those of the metric. */
+/** Operations and requests since the start. The names are label values of a metric. */
 export type OperationCounts = {
-  /** Out of a reserve of this proxy. */
+  /** Taken from a reserve of this proxy. */
   fromReserve: number;
   /** Granted by an issuer of the zone. */
   byIssuer: number;
   /** Granted by the leader. */
   granted: number;
-  /** Over the limit. */
+  /** Refused because the tenant is over its limit. */
   refused: number;
-  /** Refused for want of a grant: nobody answered in time. */
+  /** Refused because neither an issuer nor the leader answered in time. */
   ungranted: number;
-  /** Requests to the leader that were sent a second time. */
+  /** Requests that were repeated to the leader on another connection. */
   secondWay: number;
-  /** Requests to an issuer whose answer was late. */
+  /** Requests that an issuer did not answer within its timeout. */
   issuerLate: number;
-  /** Granted to other proxies, as their issuer. */
+  /** Granted by this proxy, as issuer, to other proxies. */
   issued: number;
 };
--- a/src/appointed/tenancy/allowance_exchange.ts
+++ b/src/appointed/tenancy/allowance_exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Requests for allowances and their replies. Owns what this proxy knows of leaders: which one it asks, the newest term, the
- * usual time of an answer, and which machines may count on reserves that this proxy reported to them. A leader may not
- * answer, or answer late; a failure is an outcome, never an error.
+ * Sends allowance requests to the control leader and filters its replies. Tracks the leader and the newest term, and
+ * which control machines may assume that this proxy still holds reserves that it reported to them. Replies of earlier
+ * terms are dropped. A request that fails is logged and reported as `false`.
  */
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
@@ -10,29 +10,28 @@
 import { AdaptiveTimeout } from './adaptive_timeout.js';
 import { LEADER_OVERLAP_MS, RESERVE_LEASE_MS, GRANT_VALIDITY_MS } from './operation_budget.js';
 
-/** Connection of usual requests. */
 const DEFAULT_LANE = 0;
-/** Connection of requests that are sent a second time. */
+/** A separate connection for repeated requests, so that packet loss on the default one does not delay them. */
 const ALTERNATE_LANE = 1;
 
-/** Takes over a reply to a request that was sent at `askedAt`. */
+/** Receives the reply to a request that was sent at `askedAt`. */
 type ReplyReceiver = (
   reply: whinyoke.IAllowanceReply,
   askedAt: number,
   isWaitingOnly: boolean,
 ) => void;
 
-/** Exchange of one proxy. */
+/** Exchange of allowance messages between one proxy and the leader. */
 export class AllowanceExchange {
   private leader = '';
   private term = 0;
   private needsFullReport = false;
   private readonly responseTimeout = new AdaptiveTimeout();
-  /** When machines were sent all that is held, where no answer came: they may count on it. */
+  /** Send times of full reports without a reply, by address: the machine may have received the report and count on it. */
   private readonly unansweredReportAt = new Map<string, number>();
   private sequence = 0;
   private readonly startedAt: number;
-  /** Whether replies of more than one term were taken over. */
+  /** Whether replies of more than one term were applied. */
   private hasSeenSeveralTerms = false;
 
   constructor(
@@ -42,17 +41,17 @@
     this.startedAt = dependencies.runtime.clock.now();
   }
 
-  /** Whether the next request names all that is held, since the leader may not know it. */
+  /** Whether the next request must report all reserves, because the leader may not know them. */
   get mustReportAllReserves(): boolean {
     return this.needsFullReport;
   }
 
-  /** Time without an answer after which callers' requests are sent a second time, in milliseconds. */
+  /** Time without a reply after which callers' requests are repeated on another connection. */
   get alternateRouteDelayMs(): number {
     return this.responseTimeout.timeoutMs;
   }
 
-  /** Whether another machine leads than the one that was asked last; it is asked from now on. */
+  /** Switches to the current leader; returns whether it differs from the previous one. */
   switchToNewLeader(): boolean {
     const leader = this.dependencies.leaderAddress();
     if (leader === '' || leader === this.leader) return false;
@@ -61,13 +60,13 @@
     return true;
   }
 
-  /** Whether another machine may have become the leader, and count on reserves that this proxy reported to it. */
+  /** Whether another control machine may lead by now and count on reserves that this proxy reported to it. */
   mayOtherLeaderCountReserves(now: number): boolean {
     const oldest = now - RESERVE_LEASE_MS - LEADER_OVERLAP_MS;
     return [...this.unansweredReportAt.values()].some((askedAt) => askedAt > oldest);
   }
 
-  /** Sends a request to the leader; false when it gave no answer that counts. Never rejects. */
+  /** Sends a request to the leader; resolves with false if there was no valid reply. Never rejects. */
   async send(content: whinyoke.IAllowanceRequest, askedAt: number): Promise<boolean> {
     const { runtime, proxy, incarnation, log } = this.dependencies;
     const address = this.leader;
@@ -93,8 +92,8 @@
   }
 
   /**
-   * Age of this run, as long as replies of one term at most were taken over, and that term: its leader may then count on nothing of
-   * former leaders being in use here, since replies of earlier terms are dropped from now on.
+   * Age of this process and the term of its replies, as long as it has applied replies of at most one term. The leader
+   * may then assume that nothing granted by earlier leaders is in use here, because replies of earlier terms are dropped.
    */
   private get freshness(): Pick<whinyoke.IAllowanceRequest, 'freshMs' | 'freshTerm'> {
     if (this.hasSeenSeveralTerms) return {};
@@ -107,14 +106,14 @@
     content: whinyoke.IAllowanceRequest,
     askedAt: number,
   ): boolean {
-    // A former leader that answers late knows less than the one that answered already.
+    // A late reply of an earlier leader does not account for what the current one knows.
     if (!reply?.accepted || (reply.term ?? 0) < this.term) return false;
     const term = reply.term ?? 0;
     this.hasSeenSeveralTerms ||= this.term > 0 && term !== this.term;
     this.term = term;
     this.needsFullReport = reply.needsAll ?? false;
     this.onReply(reply, askedAt, content.waitingOnly ?? false);
-    // A leader that does not know a tenant yet leaves it out of the reply, and is asked again after a pause.
+    // A leader omits tenants that it does not know yet; the caller retries after a pause.
     return (reply.allowances ?? []).length === (content.demands ?? []).length;
   }
 }
--- a/src/appointed/tenancy/allowance_requests.ts
+++ b/src/appointed/tenancy/allowance_requests.ts
@@ -1,7 +1,7 @@
 /**
- * Decides when the leading control machine is asked for allowances, and for what. One request at a time carries everything
- * that waits, so the number of requests is bounded by the time of a trip, whatever tenants send. Owns the loop of
- * requests; relies on the leader, which may not answer: then it is asked again for as long as callers wait.
+ * Decides when a proxy sends an allowance request to the control leader, and what it contains. At most one regular request
+ * is in flight, and it carries all pending demands, so the request rate is bounded by the round-trip time and not by the
+ * tenants' load. While callers wait, requests are repeated until the leader answers.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import { type Timer, delay } from '../../runtime/runtime.js';
@@ -16,18 +16,18 @@
 import type { TenantAllowances } from './tenant_allowances.js';
 import { fromWireRate, toReportedWireRate } from './wire_rate.js';
 
-/** Pause after a request that failed, in milliseconds: several tries within the wait of a caller. Guess, not measured. */
+/** Allows several retries within the maximum wait of a caller. */
 const RETRY_PAUSE_MS = 25;
 
-/** Requests of one proxy. */
+/** Schedules the allowance requests of one proxy. */
 export class AllowanceRequests {
   private readonly exchange: AllowanceExchange;
   private isRunning = false;
   private isStopped = false;
-  /** Ends the wait for an answer, since another machine leads now. */
+  /** Ends the wait for a reply when the leader changes. */
   private abortWait: () => void = () => undefined;
   private batchTimer: Timer | undefined;
-  /** When the next request goes that no caller waits for. */
+  /** When the next background request, for which no caller waits, is due. */
   private batchDueAt = Infinity;
 
   constructor(
@@ -41,13 +41,12 @@
     );
   }
 
-  /** Stops. */
   stop(): void {
     this.isStopped = true;
     this.batchTimer?.cancel();
   }
 
-  /** Asks within `withinMs`, together with what comes until then: no caller waits for it. */
+  /** Schedules a background request within `withinMs`; demands that arrive until then are sent with it. */
   scheduleRequest(withinMs: number): void {
     const { clock } = this.dependencies.runtime;
     const dueAt = clock.now() + withinMs;
@@ -61,14 +60,14 @@
     });
   }
 
-  /** Asks a new leader at once: it adds to reserves only once it knows what each proxy holds. */
+  /** Sends a request at once if the leader has changed: a new leader adds to reserves only after all proxies have reported theirs. */
   reportToNewLeader(): void {
     if (!this.exchange.switchToNewLeader()) return;
     this.abortWait();
     void this.requestWhileWaiting();
   }
 
-  /** Asks once, and again for as long as something waits: one request after the other. */
+  /** Sends one request, and further ones, one at a time, for as long as callers wait. */
   async requestWhileWaiting(): Promise<void> {
     if (this.isRunning) return;
     this.isRunning = true;
@@ -77,14 +76,14 @@
       const leaderChanged = new Promise<boolean>((resolve) => {
         this.abortWait = () => resolve(true);
       });
-      // An answer of a former leader is not waited for; what it grants still counts when it comes.
+      // Does not wait for a former leader. Its grants are still applied if they arrive.
       const isAnswered = await Promise.race([this.requestOnce(), leaderChanged]);
       if (!isAnswered) await delay(this.dependencies.runtime.clock, RETRY_PAUSE_MS);
     } while (!this.isStopped && this.allowances.waiting.length > 0);
     this.isRunning = false;
   }
 
-  /** Sends one request and takes over its answer; false when none came. */
+  /** Sends one request and applies the reply; resolves with false if there was none. */
   private async requestOnce(): Promise<boolean> {
     const { clock } = this.dependencies.runtime;
     this.allowances.evictIdle(clock.now());
@@ -105,7 +104,7 @@
     }
   }
 
-  /** Asks once more for what callers wait for; what is granted twice is dropped. */
+  /** Repeats the demands of waiting callers on another connection; operations that are granted twice are dropped. */
   private async requestByAlternateRoute(): Promise<void> {
     const { waiting } = this.allowances;
     if (waiting.length === 0 || this.isStopped) return;
@@ -124,7 +123,7 @@
     isWaitingOnly: boolean,
   ): void {
     const now = this.dependencies.runtime.clock.now();
-    // What was granted to waiting requests may not be used any more; the reserves hold on.
+    // Grants for waiting callers have expired by then; reserves are still valid.
     const isGrantExpired = now - askedAt > GRANT_VALIDITY_MS;
     if (this.exchange.mustReportAllReserves) this.scheduleRequest(RETURN_BATCH_WINDOW_MS);
     const mayAddReserve = !this.exchange.mayOtherLeaderCountReserves(now);
--- a/src/appointed/tenancy/issuer_requests.ts
+++ b/src/appointed/tenancy/issuer_requests.ts
@@ -1,6 +1,7 @@
 /**
- * Asks issuers of the own zone for operations that wait. One request at a time to each issuer carries all that waits for it. Owns what
- * waits; relies on issuers, which may not answer, answer late, or have too little: what is left is passed on to the leader.
+ * Requests operations for waiting callers from the issuers of the zone. At most one request per issuer is in flight, and it
+ * carries all operations queued for that issuer. Operations that the issuer does not grant, because it times out, refuses
+ * or has too few left, are requested from the leader.
  */
 import { messageOf } from '../../errors/errors.js';
 import { Events } from '../../observability/events.js';
@@ -15,19 +16,18 @@
 import { GRANT_VALIDITY_MS } from './operation_budget.js';
 import { GRANTED, type TenantAllowance, type WaitingOperation } from './tenant_allowance.js';
 
-/** Reason of an issuer that is to stop, in log lines. */
+/** Logged as the reason when an issuer refuses because it is about to stop. */
 const REFUSED_REASON = 'refused';
 
-/** An operation that waits for an issuer. */
 interface QueuedOperation {
   readonly allowance: TenantAllowance;
   readonly operation: WaitingOperation;
 }
 
-/** Hands an operation that no issuer granted to the leader. */
+/** Requests an operation that the issuer did not grant from the leader. */
 type LeaderFallback = (allowance: TenantAllowance, operation: WaitingOperation) => void;
 
-/** Requests of one proxy to issuers. */
+/** Requests of one proxy to the issuers of its zone. */
 export class IssuerRequests {
   private readonly queues = new Map<string, QueuedOperation[]>();
   private readonly busyIssuers = new Set<string>();
@@ -41,7 +41,7 @@
     private readonly fallBackToLeader: LeaderFallback,
   ) {}
 
-  /** Has an issuer asked for one operation. */
+  /** Queues one operation for the next request to an issuer. */
   enqueue(issuer: string, queued: QueuedOperation): void {
     const queue = this.queues.get(issuer) ?? [];
     queue.push(queued);
@@ -49,7 +49,7 @@
     if (!this.busyIssuers.has(issuer)) void this.drainQueue(issuer);
   }
 
-  /** Asks for as long as something waits: one request after the other. Never rejects. */
+  /** Sends requests, one at a time, until the queue is empty. Never rejects. */
   private async drainQueue(issuer: string): Promise<void> {
     this.busyIssuers.add(issuer);
     for (;;) {
@@ -61,13 +61,13 @@
     this.busyIssuers.delete(issuer);
   }
 
-  /** Resolves when the issuer answered, or is late; what it grants later still counts for those that wait. */
+  /** Resolves on the reply or at the timeout. Grants that arrive later still serve operations that are waiting. */
   private async sendBatch(issuer: string, batch: readonly QueuedOperation[]): Promise<void> {
     const { clock } = this.dependencies.runtime;
     await new Promise<void>((resolve) => {
       const timer = clock.setTimer(this.responseTimeout.timeoutMs, () => {
         this.counts.issuerLate++;
-        this.failOverToLeader(issuer, batch, 'late');
+        this.failOverToLeader(issuer, batch, 'no answer within the timeout');
         resolve();
       });
       void this.exchangeBatch(issuer, batch).finally(() => {
--- a/src/appointed/tenancy/issuer_selector.ts
+++ b/src/appointed/tenancy/issuer_selector.ts
@@ -1,29 +1,25 @@
 /**
- * DECISION: which proxy of a zone is the issuer of a tenant: it holds a reserve of the tenant's operations for the whole zone.
+ * Selects the issuer of a tenant: the proxy that holds a reserve of the tenant's operations for its whole zone. Without
+ * issuers, a tenant with fewer operations than there are proxies would have no reserve at most of them, and would fail
+ * while there is no leader or the zone is partitioned from it.
  *
- * Answers: tenants with fewer operations than there are proxies, while no control machine leads or a zone is cut off.
- * Inputs: live proxies of the own zone (addresses), the tenant's name, issuers that were late lately.
- * Rule: the first of the zone by rendezvous hashing of the tenant, so that all agree without a message. One that was late is
- * passed over for {@link PASSED_OVER_MS}, one that refused for {@link LEFT_MS}, for the second one; where both are, the leader is asked.
- *
- * Owns the order of the zone's proxies and whom this proxy passes over. Relies on nothing that may fail; proxies that know
- * different sets choose different issuers for a moment, which the leader's ledger counts as it counts all reserves.
+ * The issuer is the first proxy of the zone by rendezvous hashing of the tenant's name, so all proxies agree without
+ * communication. If it timed out or refused recently, the second one is used; if both did, the leader. Proxies that see
+ * different sets of live proxies may select different issuers for a short time. That is safe, because the leader counts
+ * the reserves of all proxies.
  */
 import { RendezvousTable } from '../../hashing/rendezvous.js';
 import { stableHash } from '../../hashing/stable_hash.js';
 import type { ZoneProxies } from '../relay/connection_owners.js';
 
-/** The issuer of a tenant and the one that stands in for it (a count). */
+/** The issuer and its substitute. */
 const CANDIDATE_COUNT = 2;
-/**
- * An issuer that was late is not asked again for this time, in milliseconds, so that one that stands still costs one late
- * answer a second. Guess, not measured.
- */
+/** A stalled issuer costs each proxy at most one timeout per second. */
 const TIMEOUT_EXCLUSION_MS = 1000;
-/** One that refused is not asked again for this time, in milliseconds: it is about to stop. Guess, not measured. */
+/** An issuer that refuses is about to stop. */
 const REFUSAL_EXCLUSION_MS = 10_000;
 
-/** The issuers of one zone, as one of its proxies knows them. */
+/** Selects the issuers of a zone on behalf of one of its proxies. */
 export class IssuerSelector {
   private readonly table = new RendezvousTable(CANDIDATE_COUNT, stableHash);
   private readonly excludedUntil = new Map<string, number>();
@@ -34,7 +30,7 @@
     private readonly zone: string,
   ) {}
 
-  /** Takes over the live proxies of all zones. */
+  /** Updates the live proxies of all zones. */
   update(zones: readonly ZoneProxies[]): void {
     const ownZone = zones.find(({ zone }) => zone === this.zone);
     const addresses = new Set(ownZone?.addresses);
@@ -44,18 +40,18 @@
     }
   }
 
-  /** This proxy is an issuer no more. */
+  /** From now on this proxy is never selected by itself as the issuer. */
   stopIssuing(): void {
     this.hasStoppedIssuing = true;
   }
 
-  /** Whether this proxy itself should hold the zone's reserve of a tenant. */
+  /** Whether this proxy is the issuer of a tenant. */
   isOwnProxyIssuer(tenant: string): boolean {
     const [first] = this.table.top(tenant);
     return !this.hasStoppedIssuing && (first === undefined || first === this.ownAddress);
   }
 
-  /** Address of another proxy to ask for operations of a tenant; undefined where only the leader is left. */
+  /** Address of another proxy to request operations of a tenant from; undefined if only the leader remains. */
   findOtherIssuer(tenant: string, now: number): string | undefined {
     if (this.isOwnProxyIssuer(tenant)) return undefined;
     return this.table
@@ -63,7 +59,7 @@
       .find((address) => address !== this.ownAddress && !this.isExcluded(address, now));
   }
 
-  /** An issuer was late, or refused. */
+  /** Excludes an issuer for a while after a timeout or a refusal. */
   exclude(address: string, now: number, hasRefused: boolean): void {
     this.excludedUntil.set(
       address,
--- a/src/appointed/tenancy/issuer_service.ts
+++ b/src/appointed/tenancy/issuer_service.ts
@@ -1,10 +1,11 @@
 /**
- * An issuer's side: answers other proxies of its zone out of the reserves that this proxy holds. Owns whether this proxy is leaving;
- * relies on the leader to fill the reserves, which may not answer: then they end, and nothing is granted.
+ * Grants operations from this proxy's reserves to other proxies of its zone. It replies immediately and never contacts the
+ * leader on behalf of a request: a proxy that gets too few operations requests the rest from the leader itself, so an
+ * issuer that is partitioned from the leader delays no caller. If the leader does not renew the reserves, they expire and
+ * nothing is granted.
  *
- * It answers at once and never asks the leader on behalf of another proxy: who gets too little asks the leader itself, so an
- * issuer that is cut off from it delays nobody. An answer counts for the asker only within WAITING_ALLOWANCE_MS after it asked,
- * so that one written before a freeze counts for nothing after it.
+ * The requesting proxy drops replies that arrive later than GRANT_VALIDITY_MS after its request, so a reply that was
+ * delayed by a stalled process cannot exceed the limit.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type {
@@ -13,12 +14,12 @@
 } from './allowance_client_dependencies.js';
 import type { TenantAllowances } from './tenant_allowances.js';
 
-/** Most operations of one tenant that one request may ask for (a count): a check of what is decoded. Guess, not measured. */
+/** Bounds the value that a decoded request may contain. */
 const MAX_WAITING_COUNT = 10_000;
 
 const REFUSED: whinyoke.IAllowanceReply = { accepted: false };
 
-/** Service of one proxy. */
+/** Issuer service of one proxy. */
 export class IssuerService {
   private hasStoppedIssuing = false;
 
@@ -29,16 +30,16 @@
     >,
     private readonly allowances: TenantAllowances,
     private readonly counts: OperationCounts,
-    /** Asks the leader soon for the reserves that are low. */
+    /** Schedules a request to the leader that refills low reserves. */
     private readonly scheduleRequest: (withinMs: number) => void,
   ) {}
 
-  /** Refuses from now on, so that others become the issuers. */
+  /** Refuses all requests from now on, so that other proxies become the issuers. */
   stopIssuing(): void {
     this.hasStoppedIssuing = true;
   }
 
-  /** Answers another proxy of the zone. */
+  /** Answers a request of another proxy of the zone. */
   answer(request: whinyoke.IAllowanceRequest): whinyoke.IAllowanceReply {
     if (this.hasStoppedIssuing) return REFUSED;
     const allowances = (request.demands ?? []).flatMap((demand) => this.issue(demand));
@@ -49,7 +50,7 @@
     const { runtime, rules, limitOf } = this.dependencies;
     const name = tenant ?? '';
     const limit = limitOf(name);
-    // The asker's document is newer or older: the leader decides.
+    // The requesting proxy has another version of the document; it falls back to the leader.
     if (!limit) return [];
     const now = runtime.clock.now();
     const count = Math.min(waiting ?? 0, MAX_WAITING_COUNT);
--- a/src/appointed/tenancy/limit_refusals.ts
+++ b/src/appointed/tenancy/limit_refusals.ts
@@ -1,6 +1,6 @@
 /**
- * Refusals of operations over the limit of their tenant; when callers should come back is decided in
- * `routing/retry_after.ts`. Owns the spacing of log lines; relies on nothing that may fail.
+ * Refuses operations of tenants that are over their limit, and logs it at a bounded rate. `routing/retry_after.ts` decides
+ * the retry delay that is reported to callers.
  */
 import { Events } from '../../observability/events.js';
 import { overLimitRetryMs } from '../routing/retry_after.js';
@@ -10,7 +10,7 @@
 } from './allowance_client_dependencies.js';
 import type { GrantResult, TenantAllowance } from './tenant_allowance.js';
 
-/** Time between two log lines for one tenant, in milliseconds: one line a second can be read. Guess, not measured. */
+/** Minimum time between two log lines for one tenant. */
 const LOG_INTERVAL_MS = 1000;
 
 /** Refusals of one proxy. */
@@ -23,7 +23,7 @@
     private readonly counts: OperationCounts,
   ) {}
 
-  /** Refuses one operation; `waitMs` is the time until the leader may grant the next one, in milliseconds. */
+  /** Refuses one operation; `waitMs` is the time until the leader can grant the next one. */
   refuse(allowance: TenantAllowance, waitMs: number): GrantResult {
     const { random } = this.dependencies.runtime;
     this.counts.refused++;
@@ -32,7 +32,7 @@
     return { isGranted: false, cause: { kind: 'tenantOverLimit', retryAfterMs } };
   }
 
-  /** Refuses all operations that wait for an allowance of a tenant. */
+  /** Refuses all waiting operations of a tenant. */
   refuseWaiting(allowance: TenantAllowance, waitMs: number): void {
     for (const operation of [...allowance.waiting]) {
       operation.settle(this.refuse(allowance, waitMs));
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -1,87 +1,66 @@
 /**
- * DECISION: how the limit of a tenant becomes a token bucket. Pure: owns nothing, relies on nothing that may fail.
+ * Derives the token bucket of a tenant from its limit. The bound to keep: in any window of `windowMs`, all proxies together
+ * run at most (rate x window + burst) x (1 + overage) + tolerance operations of a tenant, also while leaders change.
  *
- * Answers: tenants that send more than their limit through many proxies, while leaders change. In any window
- * of `windowMs` all proxies together may run (rate x window + burst) x (1 + overage) + tolerance operations of a tenant.
- * Inputs: rate (operations/s), burst (operations), window (ms), overage (fraction of the limit), tolerance (operations).
- * Rule: all allowances of a tenant come out of one bucket. A part of its size lies at the leader, the rest may lie with
- * proxies as reserves. So in a window there run at most rate x window and what lay in both parts at its begin. An
- * allowance for a request that waits is used within {@link WAITING_ALLOWANCE_MS}, or given back within
- * {@link GIVE_BACK_MS}: see docs/design/quota.md for the proof, test/unit/tenancy.test.ts for drawn schedules.
+ * All operations of a tenant come from one bucket. Part of its capacity stays with the leader, the rest may be granted to
+ * proxies as reserves. A window therefore runs at most rate x window plus what both parts contained when it began. A grant
+ * to a waiting request is used within {@link GRANT_VALIDITY_MS} or returned within {@link RETURN_DEADLINE_MS}.
+ * docs/design/quota.md contains the proof; test/unit/tenancy.test.ts checks it with generated schedules. Pure: no I/O, no clock.
  */
 import { LEADERSHIP_PROOF_MAX_AGE_MS } from '../../consensus/raft_options.js';
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import type { OperationLimit } from './tenant.js';
 
-/** How strictly the limit is judged, as the operator's settings tell. */
+/** Operator settings that define how far a window may exceed the limit. */
 export interface QuotaRules {
-  /** Length of the sliding window, in milliseconds. */
+  /** Length of the sliding window. */
   readonly windowMs: number;
   /** Fraction of the limit by which a window may exceed it. */
   readonly overage: number;
-  /** Operations by which a window may exceed the limit besides. */
+  /** Additional operations by which a window may exceed the limit. */
   readonly tolerance: number;
 }
 
-/**
- * A proxy drops an allowance for a waiting request that arrives later than this after it asked, in milliseconds. It is part
- * of the proof in docs/design/quota.md. Guess, not measured.
- */
+/** A proxy drops a grant for a waiting request that arrives later than this after its request (docs/design/quota.md). */
 export const GRANT_VALIDITY_MS = 200;
-/**
- * An operation that did not run is given back within this time or not at all, in milliseconds. It is part of the proof in
- * docs/design/quota.md. Guess, not measured.
- */
+/** An operation that did not run is returned to the leader within this time or not at all (docs/design/quota.md). */
 const RETURN_DEADLINE_MS = 350;
-/** How long a proxy gathers requests for reserves that are short, in milliseconds: no caller waits for them. Guess, not measured. */
+/** Batch window of background requests when a reserve is at most half of the wanted size. */
 export const SHORT_RESERVE_BATCH_WINDOW_MS = 150;
-/**
- * How long it gathers those for reserves that hold more than half of what is wanted, in milliseconds. With 150 twice as many
- * requests went to the leader (docs/design/issuers.md).
- */
+/** Batch window of background requests when the reserve is larger than that. */
 export const SUFFICIENT_RESERVE_BATCH_WINDOW_MS = 600;
-/**
- * How long a proxy gathers operations that it gives back, in milliseconds: the longer, the fewer it may give back of those that
- * waited for a connection in vain, for a quarter of their objective. Guess, not measured.
- */
+/** Batch window of returned operations. A longer one leaves fewer operations returnable within {@link RETURN_DEADLINE_MS}. */
 export const RETURN_BATCH_WINDOW_MS = 40;
-/** Difference of clocks that run at different speeds while a former leader goes on, in milliseconds. Guess, not measured. */
+/** Margin for clocks that drift apart while a former leader is still active. */
 const CLOCK_DRIFT_MARGIN_MS = 50;
-/** A former leader may go on granting for this long beside its successor, in milliseconds: the age of its proof that it leads. */
+/** How long a former leader may keep granting beside its successor: the validity of its proof of leadership. */
 export const LEADER_OVERLAP_MS = LEADERSHIP_PROOF_MAX_AGE_MS + CLOCK_DRIFT_MARGIN_MS;
-/**
- * A reserve that was not renewed ends after this time, in milliseconds: as long as leases on primaries. Guess, not measured.
- */
+/** A reserve that is not renewed expires after this time; as long as the leases on primaries. */
 export const RESERVE_LEASE_MS = 3000;
-/**
- * Fraction of the bucket that may lie with proxies. The other half lets a new leader grant for the 550 ms in which the rate
- * adds nothing for it (test/unit/tenancy.test.ts: 350 operations a second allowed, 220 used, none refused).
- */
+/** Fraction of the bucket that may be granted as reserves. A new leader grants from the rest until its bucket is refilled. */
 const RESERVE_FRACTION = 0.5;
 /**
- * Fraction of a tenant's rate that may be leased to issuers, where its reserves don't last for a lease. A successor that doesn't know
- * who has leased what gets the rest only: with 0.5 a new leader refuses a tenant that uses 220 of 350 operations a second
- * (test/unit/tenancy.test.ts).
+ * Fraction of the rate that may be leased to issuers if the reserves don't last for a whole lease. A new leader that does
+ * not know the leases yet can grant only the rest of the rate.
  */
 const LEASABLE_FRACTION = 0.3;
-/** Operations that the bound keeps for rounding: the proof ends at the tolerance less one. */
+/** Margin for rounding: the proof holds for the tolerance less one operation. */
 const ROUNDING_OPERATIONS = 1;
 
-/** How the bucket of a tenant is divided. */
+/** Division of a tenant's bucket between the leader and the proxies. */
 export interface QuotaBudget {
-  /** Operations of the leader's part and of all reserves together. */
+  /** Capacity of the leader's part and of all reserves together. */
   readonly capacity: number;
-  /** Operations of the leader's part while reserves of former leaders are unknown, and most that a successor is left. */
+  /** Capacity of the leader's part while reserves granted by former leaders are unknown; also the maximum successor reserve. */
   readonly leaderCapacity: number;
-  /** Operations that may lie with all proxies together as reserves. */
+  /** Capacity of the reserves of all proxies together. */
   readonly reserveCapacity: number;
-  /** For how long the reserves last when the tenant uses all of its rate, in milliseconds. */
+  /** How long the reserves last at the full rate of the tenant. */
   readonly reserveDurationMs: number;
-  /** Most of the rate that may be leased to all issuers together, in operations a second. */
+  /** Maximum rate that may be leased to all issuers together, in operations/s. */
   readonly leasableRate: number;
 }
 
-/** Budget of one tenant. */
 export function quotaBudget(limit: OperationLimit, rules: QuotaRules): QuotaBudget {
   const { ratePerSecond, burst } = limit;
   const perWindow = (ratePerSecond * rules.windowMs) / MILLISECONDS_PER_SECOND + burst;
@@ -102,12 +81,12 @@
   };
 }
 
-/** Whether an operation that was counted `ageMs` milliseconds ago and did not run reaches the leader in time, if it is sent now. */
+/** Whether an unused operation that was counted `ageMs` ago reaches the leader in time if it is sent now. */
 export function reachesLeaderInTime(ageMs: number): boolean {
   return ageMs <= RETURN_DEADLINE_MS - GRANT_VALIDITY_MS / 2;
 }
 
-/** Whether an operation that was counted `ageMs` milliseconds ago and did not run may be gathered to be given back. */
+/** Whether an unused operation that was counted `ageMs` ago may wait for the batch window and still be returned in time. */
 export function isReturnable(ageMs: number): boolean {
   return reachesLeaderInTime(ageMs + RETURN_BATCH_WINDOW_MS);
 }
--- a/src/appointed/tenancy/operation_ledger.ts
+++ b/src/appointed/tenancy/operation_ledger.ts
@@ -1,14 +1,12 @@
 /**
- * DECISION: the leader's account of what each tenant may run: one token bucket a tenant, a part of which lies with proxies as
- * reserves. Owns the accounts of one leadership; relies on the replicated log for the successor's reserve of each tenant,
- * which may fail to be committed: then nothing below the present one is granted.
+ * The leader's ledger of operations: one token bucket per tenant, part of which is granted to proxies as reserves. Waiting
+ * requests are granted first, down to the successor reserve. Reserves of proxies are filled from the upper part of the
+ * bucket only, so that they take nothing from waiting requests, and not at all while former leaders may have granted
+ * reserves that this leader does not know.
  *
- * Answers: the operations of all tenants through all proxies, with one answer a trip and proxy.
- * Inputs: a proxy's demands (operations), the limit and the budget of the tenant, the leader's clock (ms).
- * Rule: requests that wait are granted first, down to the successor's reserve. Proxies' reserves are filled from the upper
- * part of the bucket only, so that they take nothing from requests that wait, and not at all while former leaders may have
- * granted reserves that this one does not know.
- * Shown by: docs/design/quota.md, and 1,000 drawn schedules in test/unit/tenancy.test.ts.
+ * The successor reserve of each tenant is stored in the replicated log. If a lower value cannot be committed, nothing below
+ * the committed one is granted. docs/design/quota.md contains the proof; test/unit/tenancy.test.ts checks it with generated
+ * schedules.
  */
 import {
   LEADER_OVERLAP_MS,
@@ -21,57 +19,57 @@
 import { TenantAccount } from './tenant_account.js';
 import type { OperationLimit } from './tenant.js';
 
-/** What one proxy asks for one tenant. */
+/** Demand of one proxy for one tenant. */
 export interface AllowanceDemand {
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   readonly waiting: number;
-  /** Operations that were counted or held and will not run. */
+  /** Operations that were counted or granted and will not run. */
   readonly returned: number;
-  /** Reserve that it holds now. */
+  /** Current reserve. */
   readonly held: number;
-  /** Reserve that it would like to hold. */
+  /** Wanted reserve. */
   readonly wantedReserve: number;
-  /** Leased rate that it keeps, in operations a second. */
+  /** Leased rate that the proxy keeps, in operations/s. */
   readonly heldRate?: number;
-  /** Rate that it would like to have leased, in operations a second. */
+  /** Wanted leased rate, in operations/s. */
   readonly wantedRate?: number;
-  /** Operations up to which a leased rate that it keeps fills the reserve. */
+  /** Maximum size to which the kept leased rate refills the reserve. */
   readonly heldMost?: number;
 }
 
-/** What a proxy may do. */
+/** Reply to a demand. */
 export interface Allowance {
-  /** Waiting requests that may run. */
+  /** Number of waiting requests that may run. */
   readonly granted: number;
   /** Operations added to the reserve. */
   readonly added: number;
-  /** When those that were not granted should come back, in milliseconds; 0 when all were granted. */
+  /** When requests that were not granted should be retried; 0 if all were granted. */
   readonly retryAfterMs: number;
-  /** Rate that fills the reserve up again until it ends, in operations a second. */
+  /** Leased rate that refills the reserve until it expires, in operations/s. */
   readonly rate: number;
-  /** Operations up to which it does. */
+  /** Maximum size to which the leased rate refills the reserve. */
   readonly most: number;
 }
 
-/** A successor's reserve that the log should hold. */
+/** A successor reserve to be written to the replicated log. */
 export interface SuccessorReserveChange {
   readonly tenant: string;
   readonly operations: number;
 }
 
-/** Reads the successor's reserve of a tenant in the log; undefined while nothing was ever granted to the tenant. */
+/** Reads the committed successor reserve of a tenant; undefined if nothing was ever granted to the tenant. */
 export type SuccessorReserveReader = (tenant: string) => number | undefined;
 
-/** Fraction of the leader's bucket that proxies' reserves leave for requests that wait. Guess, not measured. */
+/** Fraction of the leader's part that is not granted as reserves, but kept for waiting requests. */
 const KEPT_FOR_WAITING_FRACTION = 0.5;
 
-/** Ledger of one leader. */
+/** Operation ledger of one leader. */
 export class OperationLedger {
   private readonly accounts = new Map<string, TenantAccount>();
   private leadershipBeganAt = 0;
-  /** From when on the rate adds to the buckets. */
+  /** Start of the refill of new accounts. */
   private refillsFrom = 0;
-  /** Whether former leaders may have granted reserves that this one does not know. */
+  /** Whether former leaders may have granted reserves that this leader does not know. */
   private hasUnknownReserves = false;
   private readonly pendingReserveChanges = new Map<string, number>();
 
@@ -81,26 +79,26 @@
   ) {}
 
   /**
-   * Begins a leadership. The successor's reserve of a tenant is read with the first answer for it; all that was committed
-   * before must be applied then.
+   * Resets the ledger for a new leadership. The successor reserve of a tenant is read on the first request for it; all
+   * entries committed before must have been applied by then.
    */
   beginLeadership(now: number): void {
     this.accounts.clear();
     this.pendingReserveChanges.clear();
     this.leadershipBeganAt = now;
-    // A former leader may go on for a moment, with what it has above the reserve and what the rate brings meanwhile.
+    // Until then a former leader may still grant what it has above the successor reserve, and its refill.
     this.refillsFrom = now + LEADER_OVERLAP_MS;
     this.hasUnknownReserves = true;
   }
 
-  /** All reserves of former leaders are known: each run that may hold some has reported it, or has ended. */
+  /** Every proxy process that may have a reserve granted by a former leader has reported it or has ended. */
   recordAllReservesKnown(): void {
     this.hasUnknownReserves = false;
   }
 
   /**
-   * Only operations that this leader granted ran since `since`: all proxies have started after that, and none was granted anything by
-   * another leader. So the rate adds from then on.
+   * Only operations granted by this leader ran after `since`: all proxies started later and were granted nothing by
+   * another leader. The refill therefore counts from `since`.
    */
   recordOnlyOwnGrantsSince(since: number): void {
     const gainedMs = Math.max(0, this.refillsFrom - since);
@@ -108,7 +106,7 @@
     for (const account of this.accounts.values()) account.extendRefill(gainedMs);
   }
 
-  /** Whether a demand has to wait until the successor's reserve of its tenant is lower. */
+  /** Whether a demand must wait until a lower successor reserve of its tenant is committed. */
   needsLowerSuccessorReserve(
     tenant: string,
     limit: OperationLimit,
@@ -122,7 +120,7 @@
     return true;
   }
 
-  /** Successors' reserves that the log should hold, since the last call. Those that rise are in force from now on. */
+  /** Successor reserves to write to the log, since the last call. Raised ones are already in force. */
   takeSuccessorReserveChanges(): readonly SuccessorReserveChange[] {
     const changes = [...this.pendingReserveChanges].map(([tenant, operations]) => ({
       tenant,
@@ -132,14 +130,14 @@
     return changes;
   }
 
-  /** The log holds these reserves. */
+  /** Applies successor reserves that were committed. */
   recordCommitted(changes: readonly SuccessorReserveChange[]): void {
     for (const { tenant, operations } of changes) {
       this.accounts.get(tenant)?.setSuccessorReserve(operations);
     }
   }
 
-  /** Answers one run of a proxy for one tenant. */
+  /** Answers the demand of one proxy process for one tenant. */
   answer(
     proxyIncarnation: string,
     tenant: string,
@@ -161,8 +159,8 @@
   }
 
   /**
-   * Answers requests that wait, and nothing else. Not an `answer` to a demand without reserves: that would record that the
-   * run holds none, and would review the successor's reserve.
+   * Grants waiting requests only. Unlike `answer` with an empty reserve, it neither records that the proxy has no reserve
+   * nor adjusts the successor reserve.
    */
   answerWaiting(tenant: string, limit: OperationLimit, waiting: number, now: number): Allowance {
     const budget = quotaBudget(limit, this.rules);
@@ -196,7 +194,7 @@
     return account;
   }
 
-  /** The part of the rate that is not leased, in operations a second; no more than that while leases are unknown. */
+  /** Rate that is not leased, in operations/s; while leases are unknown, assumes that all leasable rate is leased. */
   private unleasedRate(
     account: TenantAccount,
     { ratePerSecond }: OperationLimit,
@@ -207,7 +205,7 @@
     return Math.max(0, ratePerSecond - account.grantedExcept(undefined, now).rate);
   }
 
-  /** Once all reserves are known, the leader's part may grow into what no proxy holds. */
+  /** Once all reserves are known, the leader's part may use the capacity that no proxy uses. */
   private maxAtLeader(
     account: TenantAccount,
     { capacity, leaderCapacity }: QuotaBudget,
@@ -228,15 +226,15 @@
     { ratePerSecond }: OperationLimit,
     { leaderCapacity, leasableRate }: QuotaBudget,
   ): TenantAccount {
-    // Nothing was ever granted to a tenant without a successor's reserve, so its bucket is full; but the log must hold one
+    // Without a committed successor reserve nothing was ever granted, so the bucket is full; but one must be committed
     // before the first grant.
     const reserve = Math.min(this.committedReserve(tenant) ?? Infinity, leaderCapacity);
     return new TenantAccount(reserve, this.refillsFrom, reserve, ratePerSecond - leasableRate);
   }
 
   /**
-   * Reserves are filled from the upper part of the bucket only, so that they take nothing from requests that wait. While
-   * reserves of former leaders are unknown, those that proxies hold may be kept and none are added.
+   * Fills a reserve from the upper part of the bucket only, so that it takes nothing from waiting requests. While reserves
+   * of former leaders are unknown, proxies keep theirs and nothing is added.
    */
   private addReserve(
     account: TenantAccount,
@@ -253,7 +251,7 @@
     );
   }
 
-  /** What a run has leased is never taken away before its end; more is leased only once all leases are known. */
+  /** A leased rate is never reduced before it expires, and is raised only once all leases are known. */
   private leaseRate(
     account: TenantAccount,
     proxyIncarnation: string,
@@ -267,8 +265,8 @@
   }
 
   /**
-   * Operations up to which a run's reserve counts. A leased rate that finds no room in the reserve is lost, so there is room
-   * beside what the leader has left, also where that is nothing.
+   * Maximum size of a proxy's reserve. It leaves room for the leased rate, which is lost while the reserve is full, even if
+   * the leader has nothing to add.
    */
   private maxGranted(
     account: TenantAccount,
@@ -289,7 +287,7 @@
     return Math.max(minGranted, Math.min(demand.wantedReserve, room));
   }
 
-  /** A higher successor's reserve is in force at once, a lower one when it is committed. */
+  /** A raised successor reserve takes effect immediately, a lowered one once it is committed. */
   private adjustSuccessorReserve(
     tenant: string,
     account: TenantAccount,
--- a/src/appointed/tenancy/successor_reserve.ts
+++ b/src/appointed/tenancy/successor_reserve.ts
@@ -1,30 +1,24 @@
 /**
- * DECISION: how many operations a leader leaves in the bucket of a tenant for its successor ("floor" in the log and on the wire). Pure:
- * owns nothing, relies on nothing that may fail.
+ * Decides how many operations a leader leaves in the bucket of a tenant for its successor ("floor" in the log and on the
+ * wire). The successor reserve is stored in the replicated log. A new leader starts with it, so it can grant immediately
+ * without knowing what was granted before.
  *
- * Answers: a leader stops while tenants go on. The replicated log holds the successor's reserve of each tenant;
- * a successor begins with it, so it grants at once and needs to know nothing of what was granted before.
- * Inputs: operations in the bucket, the reserve in force, the most that may be left, half of the bucket (operations).
- * Rule: the reserve follows the operations in the bucket at a distance, in {@link STEPS} steps. It falls before requests have to
- * wait for that, only as far as they need, and rises when the bucket has filled up. So a successor of a leader that had little
- * left begins with a part of that.
- * Shown by: docs/design/quota.md; test/unit/tenancy.test.ts fails when the reserves are ignored.
+ * The reserve follows the bucket level at a distance, in {@link STEP_COUNT} steps, because each change is a log entry. It
+ * is lowered before requests have to wait for the commit, and only as far as they need; it is raised when the bucket has
+ * refilled. Pure: no I/O, no clock.
  */
 
-/** Steps in which the reserve changes (a count): each change is an entry in the log. Guess, not measured. */
 const STEP_COUNT = 5;
-/** Fraction of the most that a rising reserve leaves free. Guess, not measured. */
+/** Fraction of the maximum reserve that stays free after the reserve is raised. */
 const FREE_FRACTION_AFTER_RISE = 0.4;
-/** Fraction of the most that a falling reserve leaves free. Guess, not measured. */
+/** Fraction of the maximum reserve that becomes free when the reserve is lowered. */
 const FREE_FRACTION_AFTER_FALL = 0.3;
-/** Fraction of the most: with less than this free above the reserve, the reserve falls. Guess, not measured. */
+/** The reserve is lowered when less than this fraction of the maximum reserve is free above it. */
 const LOWERING_THRESHOLD_FRACTION = 0.1;
 
-/** State of a tenant's bucket. */
 export interface BucketState {
-  /** Operations in the bucket. */
+  /** Operations in the bucket, including the successor reserve. */
   readonly operations: number;
-  /** Operations of them that a successor will grant. */
   readonly successorReserve: number;
 }
 
@@ -34,14 +28,14 @@
   return Math.floor(Math.min(STEP_COUNT, Math.max(0, steps)) * step);
 }
 
-/** The reserve that frees operations for `waiting` requests. */
+/** Reserve that frees operations for `waiting` requests. */
 export function loweredReserve(state: BucketState, waiting: number, maxReserve: number): number {
   const { operations, successorReserve } = state;
   const remaining = operations - waiting - maxReserve * FREE_FRACTION_AFTER_FALL;
   return Math.min(successorReserve, reserveForOperations(remaining, maxReserve));
 }
 
-/** The reserve that the log should hold after an answer; undefined when the present one is right. */
+/** Reserve to write to the log after a reply; undefined if the present one is to be kept. */
 export function adjustedReserve(state: BucketState, maxReserve: number): number | undefined {
   const { operations, successorReserve } = state;
   const isNearlyEmpty = operations - successorReserve < maxReserve * LOWERING_THRESHOLD_FRACTION;
--- a/src/appointed/tenancy/tenant.ts
+++ b/src/appointed/tenancy/tenant.ts
@@ -1,42 +1,37 @@
-/**
- * Tenants: who holds which credential, and how many operations each may run over all proxies. Owns the credentials of one
- * document, which can't be read out; relies on nothing that may fail.
- */
+/** Tenants of a routing document: their credentials and operation limits. */
 import { InvalidDocumentError } from '../../errors/errors.js';
 
-/** Limit on the operations of a tenant, over all proxies. */
+/** Limit on the operations of a tenant across all proxies. */
 export interface OperationLimit {
-  /** Operations a second in the long run. */
+  /** Sustained rate, in operations/s. */
   readonly ratePerSecond: number;
-  /** Operations that may come at once after a pause. */
+  /** Operations that may arrive at once after a pause. */
   readonly burst: number;
 }
 
-/** One tenant. Holds no credential, so that it may be logged. */
+/** A tenant without its credentials, so that it can be logged safely. */
 export interface Tenant {
-  /** Name in the document; it may be logged. */
   readonly name: string;
-  /** Undefined where the tenant may run any number. */
+  /** Undefined if the tenant has no limit. */
   readonly limit: OperationLimit | undefined;
-  /** Regions to which its requests are bound; undefined where they may be served anywhere. */
+  /** Regions that may serve its requests; undefined if there is no restriction. */
   readonly allowedRegions?: ReadonlySet<string> | undefined;
 }
 
-/** A tenant with the credentials that it holds. */
 export interface TenantWithCredentials {
   readonly tenant: Tenant;
   readonly credentials: readonly string[];
 }
 
-/** Name under which the system opens connections for itself, and where there are no tenants. */
+/** Tenant name of the proxy's own connections, and of all connections in a deployment without tenants. */
 export const NO_TENANT = '';
 
-/** All tenants of one document. Immutable; credentials can be looked up but not read out. */
+/** All tenants of one document. Immutable; credentials can be looked up but not listed, so they cannot leak into logs. */
 export class TenantDirectory {
   readonly #tenantByCredential = new Map<string, Tenant>();
   readonly #tenantByName = new Map<string, Tenant>();
 
-  /** @throws InvalidDocumentError when two tenants hold one credential or have one name; names no credential */
+  /** @throws InvalidDocumentError if two tenants share a name or a credential; the message contains no credential */
   constructor(tenants: readonly TenantWithCredentials[]) {
     for (const { tenant, credentials } of tenants) {
       if (this.#tenantByName.has(tenant.name)) {
@@ -47,17 +42,14 @@
     }
   }
 
-  /** Tenant that holds a credential. */
   findByCredential(credential: string): Tenant | undefined {
     return this.#tenantByCredential.get(credential);
   }
 
-  /** Tenant of that name. */
   findByName(name: string): Tenant | undefined {
     return this.#tenantByName.get(name);
   }
 
-  /** Number of tenants. */
   get size(): number {
     return this.#tenantByName.size;
   }
--- a/src/appointed/tenancy/tenant_account.ts
+++ b/src/appointed/tenancy/tenant_account.ts
@@ -1,19 +1,16 @@
 /**
- * DECISION: the leader's part of one tenant's bucket, and the reserves and rates that lie with proxies. Owns both, in memory only; relies on
- * nothing that may fail.
- *
- * Inputs: rate (operations/s), demands (operations), the leader's clock (ms).
- * Rule: the rate adds operations up to the size of the bucket; whole operations are taken out, and none of the successor's
- * reserve. A proxy's reserve counts until {@link RESERVE_LIFE_MS} after the leader last renewed it.
+ * The leader's part of one tenant's token bucket, and the reserves and rates granted to proxies. In memory only. Whole
+ * operations are withdrawn, and never the successor reserve. A proxy's reserve counts until {@link RESERVE_LEASE_MS} after
+ * the leader last renewed it.
  */
 import { MILLISECONDS_PER_SECOND } from '../../runtime/duration.js';
 import { RESERVE_LEASE_MS } from './operation_budget.js';
 
-/** What one run of a proxy may hold. */
+/** What one proxy process may use without a request. */
 interface GrantedReserve {
-  /** Most operations in its reserve. */
+  /** Maximum size of its reserve. */
   readonly count: number;
-  /** Rate that fills the reserve up to that again, in operations a second. */
+  /** Leased rate that refills the reserve, in operations/s. */
   readonly rate: number;
 }
 
@@ -27,9 +24,9 @@
 
   /**
    * @param level - operations in the bucket
-   * @param filledAt - from when on the rate adds to them
-   * @param reserve - operations that may not be granted, since a successor will grant them
-   * @param rate - operations that are added in a second
+   * @param refilledAt - time from which the rate adds operations
+   * @param reservedForSuccessor - operations that only a successor may grant
+   * @param rate - refill rate in operations/s
    */
   constructor(
     private level: number,
@@ -38,12 +35,11 @@
     private rate: number,
   ) {}
 
-  /** Operations that must stay in the bucket for a successor. */
   get successorReserve(): number {
     return this.reservedForSuccessor;
   }
 
-  /** Operations in the bucket. */
+  /** Operations in the bucket, including the successor reserve. */
   get operations(): number {
     return this.level;
   }
@@ -53,34 +49,34 @@
     return this.level - this.reservedForSuccessor;
   }
 
-  /** Changes the successor's reserve; a lower one only once it is committed. */
+  /** Sets the successor reserve; a lower value only once it is committed. */
   setSuccessorReserve(operations: number): void {
     this.reservedForSuccessor = operations;
   }
 
-  /** Changes the rate that adds to the bucket from the last refill on. */
+  /** Sets the refill rate, effective from the last refill. */
   setRate(ratePerSecond: number): void {
     this.rate = ratePerSecond;
   }
 
-  /** Adds what the rate brought since the last call, up to `most` operations. */
+  /** Adds the operations that accrued since the last refill, up to `most` in the bucket. */
   refill(most: number, now: number): void {
     const earned = (this.rate * Math.max(0, now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
     this.add(earned, most);
     this.refilledAt = Math.max(this.refilledAt, now);
   }
 
-  /** Has the next refill add for so many milliseconds more. */
+  /** Lets the next refill add operations for `moreMs` more. */
   extendRefill(moreMs: number): void {
     this.refilledAt -= moreMs;
   }
 
-  /** Puts operations back that were taken and never ran, up to `most` in the bucket. */
+  /** Adds operations, such as returned ones, up to `most` in the bucket. */
   add(count: number, most: number): void {
     this.level = Math.max(0, Math.min(most, this.level + count));
   }
 
-  /** Takes up to `wanted` whole operations, and leaves `kept` in the bucket. */
+  /** Withdraws up to `wanted` whole operations and leaves at least `kept`, and the successor reserve, in the bucket. */
   withdraw(wanted: number, kept = 0): number {
     const most = Math.floor(this.level - Math.max(kept, this.reservedForSuccessor));
     const taken = Math.max(0, Math.min(wanted, most));
@@ -88,12 +84,12 @@
     return taken;
   }
 
-  /** Time until the rate brings a whole operation that may be granted, in milliseconds. */
+  /** Time until a whole operation can be granted. */
   nextOperationAfterMs(): number {
     return ((1 - this.free) / this.rate) * MILLISECONDS_PER_SECOND;
   }
 
-  /** What all runs of proxies may hold together, but for `run`. */
+  /** Sum of all unexpired reserves and rates, except those of one proxy process. */
   grantedExcept(excludedIncarnation: string | undefined, now: number): GrantedReserve {
     let [count, rate] = [0, 0];
     for (const [incarnation, granted] of this.reserves) {
@@ -105,7 +101,7 @@
     return { count, rate };
   }
 
-  /** Notes what a run may hold from now on. */
+  /** Replaces the reserve and rate of a proxy process, and renews its lease. */
   recordReserve(proxyIncarnation: string, granted: GrantedReserve, now: number): void {
     const until = now + RESERVE_LEASE_MS;
     if (granted.count > 0 || granted.rate > 0)
--- a/src/appointed/tenancy/tenant_allowances.ts
+++ b/src/appointed/tenancy/tenant_allowances.ts
@@ -1,19 +1,14 @@
-/** The allowances of all tenants that were used lately at one proxy. Owns them; relies on nothing that may fail. */
+/** Allowances of the tenants that recently sent operations through one proxy. */
 import { type ReserveLease, TenantAllowance } from './tenant_allowance.js';
 
-/**
- * Tenants that nobody asked for are forgotten after this time, in milliseconds: longer than any reserve lasts. Guess, not
- * measured.
- */
+/** Longer than any reserve lease, so that no valid reserve is evicted. */
 const IDLE_RETENTION_MS = 10_000;
 
-/** Allowances of one proxy. */
 export class TenantAllowances {
-  /** Until when reserves may be used; a simulation takes it away. */
+  /** Overrides the lease of new reserves; set by simulations that disable leases. */
   lease: ReserveLease | undefined;
   private readonly byTenant = new Map<string, TenantAllowance>();
 
-  /** Allowance of a tenant; a new one where the tenant was not used lately. */
   getOrCreate(tenant: string, now: number): TenantAllowance {
     let allowance = this.byTenant.get(tenant);
     if (!allowance) {
@@ -23,12 +18,12 @@
     return allowance;
   }
 
-  /** Allowance of a tenant that was used lately. */
+  /** Allowance of a tenant; undefined if it had no recent operations. */
   find(tenant: string): TenantAllowance | undefined {
     return this.byTenant.get(tenant);
   }
 
-  /** Those that the leader should be asked for; all that hold reserves too, where it has to know everything. */
+  /** Allowances to include in the next request; with `isComplete` also all that have a reserve. */
   needingRequest(now: number, isComplete: boolean): readonly TenantAllowance[] {
     return [...this.byTenant.values()].filter(
       (allowance) =>
@@ -38,17 +33,15 @@
     );
   }
 
-  /** Those for which requests of callers wait. */
+  /** Allowances with waiting callers. */
   get waiting(): readonly TenantAllowance[] {
     return [...this.byTenant.values()].filter(({ waiting }) => waiting.size > 0);
   }
 
-  /** All of them. */
   get all(): Iterable<TenantAllowance> {
     return this.byTenant.values();
   }
 
-  /** Drops those that nobody asked for lately. */
   evictIdle(now: number): void {
     for (const [tenant, { lastRequestedAt }] of this.byTenant) {
       if (now - lastRequestedAt >= IDLE_RETENTION_MS) this.byTenant.delete(tenant);
