--- a/src/appointed/proxy/appointed_proxy.ts
+++ b/src/appointed/proxy/appointed_proxy.ts
@@ -1,6 +1,6 @@
 /**
- * A proxy in front of groups whose primary is appointed by control: composes the parts, starts and stops them, and opens
- * sessions. Owns nothing but the parts. Control and instances may fail; the parts say what then happens.
+ * A proxy in front of groups whose primary is appointed by the control service. Creates and connects the parts of the
+ * proxy, starts and stops them, runs their periodic maintenance, and opens the sessions of callers.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import {
@@ -35,62 +35,54 @@
 import { ProxyInstances } from './proxy_instances.js';
 import { RequestForwarder } from './request_forwarder.js';
 
-/** Identity and surroundings of a proxy. */
+/** Identity, settings and dependencies of a proxy. */
 export interface AppointedProxyOptions {
   readonly id: string;
   readonly zone: string;
-  /** Address for messages of other processes. */
+  /** Address at which the proxy receives messages of other processes. */
   readonly address: string;
-  /** Addresses of control machines to begin with. */
+  /** Initial addresses of control machines. */
   readonly seeds: readonly string[];
   readonly connector: InstanceConnector;
   readonly reader: RoutingDocumentReader;
   readonly log: DecisionLog;
   readonly counters: RequestCounters;
-  /** How long a document counts that control confirmed, in milliseconds, where callers need credentials. */
+  /** How long a document confirmed by control is valid for checking credentials. */
   readonly credentialFreshnessMs: number;
   readonly quotaRules: QuotaRules;
-  /** Bounds on where requests go. */
+  /** Rules for the placement of requests. */
   readonly placementRules: PlacementRules;
 }
 
-/**
- * Time between two rounds of upkeep, in milliseconds: the shortest time that upkeep must tell apart is that from a suspect
- * primary (200 ms) to a silent one (350 ms).
- */
+/** Shorter than the 150 ms between suspecting a primary (200 ms) and reporting it as unresponsive (350 ms). */
 const MAINTENANCE_INTERVAL_MS = 100;
 
 /** Core of one proxy. */
 export class AppointedProxy implements ProxyContext {
-  /** Clock of this process. */
   readonly clock: Clock;
-  /** Zone of this process. */
   readonly zone: string;
-  /** Region of each zone that the settings name. */
+  /** Region of each zone listed in the settings. */
   readonly regionByZone: ReadonlyMap<string, string>;
-  /** Log of decisions. */
   readonly log: DecisionLog;
-  /** Counters of requests. */
   readonly counters: RequestCounters;
-  /** Identity of this run. */
+  /** Identity of this proxy process. */
   readonly self: whinyoke.IProxyEntry;
-  /** Leases on primaries. */
   readonly leases = new PrimaryLeases();
-  /** Health of primaries, as statements of this proxy show it. */
+  /** Health of primaries, as observed by statements of this proxy. */
   readonly primaryHealth = new PrimaryHealthTrackers(this.leases);
-  /** Positions of primaries. */
+  /** Log positions of primaries. */
   readonly positions: PrimaryPositions;
   /** Instances of the catalog in force. */
   readonly instances: ProxyInstances;
-  /** Extends leases while control is out of reach. */
+  /** Extends leases through replicas while control is unreachable. */
   readonly leaseConfirmer: ReplicaLeaseConfirmer;
-  /** Decides what a credential allows. */
+  /** Checks credentials. */
   readonly admission: Admission;
-  /** Limits on the operations of tenants. */
+  /** Operation limits of tenants. */
   readonly allowances: AllowanceClient;
-  /** Evacuated zones, as far as control told of them. */
+  /** Zones that control reported as evacuated. */
   readonly evacuatedZones: EvacuatedZones;
-  /** Bounds what cold instances get. */
+  /** Limits requests to instances that are warming up. */
   readonly slowStarts: SlowStartGate;
   private readonly document: DocumentInForce;
   private readonly contact: ControlContact;
@@ -143,14 +135,14 @@
     });
   }
 
-  /** Starts to synchronise with the control machines. */
+  /** Starts to serve messages and to synchronise with control. */
   start(): void {
     this.runtime.messenger.serve((body) => this.handle(body));
     this.synchronisation.start();
     this.maintain();
   }
 
-  /** Ends all connections. */
+  /** Stops all parts and closes all connections. */
   stop(): void {
     this.maintenance?.cancel();
     this.synchronisation.stop();
@@ -158,34 +150,34 @@
     this.instances.close();
   }
 
-  /** Tells control that this proxy takes no new callers. */
+  /** Reports to control that this proxy accepts no new callers, and returns its operation reserves. */
   startLeaving(): void {
     this.synchronisation.startLeaving();
     this.allowances.returnReserves();
   }
 
-  /** Takes over control machines of changed settings. */
+  /** Updates the addresses of control machines after a change of settings. */
   updateSeeds(seeds: readonly string[]): void {
     this.synchronisation.updateSeeds(seeds);
   }
 
-  /** Whether callers can be served: control was in touch lately and a configuration is in force. */
+  /** Whether new callers can be served: a document is in force and control answered recently. */
   get isReady(): boolean {
     return this.table !== undefined && !this.isLeaving && this.contact.isRecent;
   }
 
-  /** Whether control has been out of reach for so long that callers are better served by another proxy. */
+  /** Whether idle callers should move to another proxy: control is unreachable and no lease is valid. */
   get isIsolated(): boolean {
     const isCutOff = this.table !== undefined && this.contact.isCutOff;
     return isCutOff && !this.leases.hasLease(this.clock.now());
   }
 
-  /** Whether this proxy takes no new callers. */
+  /** Whether this proxy is shutting down and accepts no new callers. */
   get isLeaving(): boolean {
     return this.synchronisation.isLeaving;
   }
 
-  /** Milliseconds since the newest accepted reply of control. */
+  /** Time since the newest accepted reply of control. */
   get syncAgeMs(): number {
     return this.contact.replyAgeMs;
   }
@@ -200,27 +192,27 @@
     return this.document.table;
   }
 
-  /** Statements that other proxies sent to this connection owner since the start, by outcome. */
+  /** Statements relayed by other proxies to this connection owner since the start, by outcome. */
   get relayCounts(): ReadonlyMap<string, number> {
     return this.relayServer.counts;
   }
 
-  /** Statements and transactions of other proxies that are under way here. */
+  /** Relayed statements and transactions in flight. */
   get relayedCount(): number {
     return this.relayServer.openCount;
   }
 
-  /** All pools, for metrics. */
+  /** All connection pools, for metrics. */
   get allPools(): readonly InstancePool[] {
     return this.instances.pools;
   }
 
-  /** Resolves with whether a configuration is in force, after `timeoutMs` at the latest. */
+  /** Waits at most `timeoutMs` for the first document; resolves with whether one is in force. */
   awaitTable(timeoutMs: number): Promise<boolean> {
     return this.document.awaitFirst(timeoutMs);
   }
 
-  /** Whether a credential may be held by a tenant; each operation checks again. */
+  /** Returns false if a credential certainly belongs to no tenant. Each operation checks again. */
   async isCredentialKnown(database: string, credential: string): Promise<boolean> {
     const route = this.table?.routeByDatabase.get(database);
     if (!route) return true;
@@ -228,7 +220,7 @@
     return outcome !== 'unknown';
   }
 
-  /** Opens the session of a caller; undefined when no route has that database. */
+  /** Opens the session of a caller; undefined if no route has that database. */
   openSession(database: string, credential = ''): RoutedSession | undefined {
     if (!this.table?.routeByDatabase.has(database)) return undefined;
     return new RoutedSession(this, database, credential);
@@ -301,7 +293,6 @@
     });
   }
 
-  /** One round of upkeep. */
   private maintain(): void {
     const now = this.clock.now();
     for (const primary of this.primaryHealth.suspects(now)) this.instances.probe(primary);
@@ -315,8 +306,8 @@
   }
 
   /**
-   * Runs a statement of another proxy, grants it operations, or forwards a request of one that is cut off from control to the
-   * leader.
+   * Handles a message of another proxy: runs a relayed statement, grants operations as issuer, or forwards a sync request
+   * to the leader for a proxy that cannot reach it.
    */
   private async handle(body: MessageBody): Promise<MessageBody> {
     const { syncRequest, relayRequest, allowanceRequest } = body;
--- a/src/appointed/proxy/control_addresses.ts
+++ b/src/appointed/proxy/control_addresses.ts
@@ -1,10 +1,6 @@
-/**
- * Addresses of control machines: those that the settings name, and those that control last listed. Owns both lists and
- * whose turn it is to be asked; relies on nothing that may fail.
- */
+/** Addresses of control machines: those in the settings and those that control last listed, tried round robin. */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
-/** Control machines that one proxy knows. */
 export class ControlAddresses {
   private listed: readonly string[];
   private nextIndex = 0;
@@ -13,18 +9,18 @@
     this.listed = seeds;
   }
 
-  /** Takes over control machines of changed settings. */
+  /** Updates the addresses in the settings. */
   updateSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** Takes over the list of a reply. */
+  /** Updates the addresses listed by control. */
   recordListed(reply: whinyoke.ISyncReply): void {
     const listed = reply.directory?.controlAddresses ?? reply.controlAddresses ?? [];
     if (listed.length > 0) this.listed = listed;
   }
 
-  /** Next machine, in turn, that is not in `excluded`; undefined when none is left. */
+  /** Next address, round robin, that is not in `excluded`; undefined if there is none. */
   next(excluded: ReadonlySet<string>): string | undefined {
     const all = new Set([...this.listed, ...this.seeds]);
     const candidates = [...all].filter((address) => !excluded.has(address));
--- a/src/appointed/proxy/control_client.ts
+++ b/src/appointed/proxy/control_client.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a proxy in step with the leading control machine: configuration, instances, epochs and leases come
- * with the reply to one held request; opinions on primaries and confirmed revocations go with the next. Owns the order
- * of requests; relies on control, which may be out of reach: then the leader is searched.
+ * Keeps a proxy synchronised with the control leader. One long-poll request is always in flight; its reply carries changes
+ * of the configuration, instances, epochs and leases. Updates of the proxy that cannot wait for the next long poll are sent
+ * with an immediate request in parallel. While no leader is known, a search runs instead.
  */
 import type { Runtime } from '../../runtime/runtime.js';
 import { ControlAddresses } from './control_addresses.js';
@@ -9,15 +9,9 @@
 import { type ExchangeOptions, SyncExchange } from './sync_exchange.js';
 import type { SyncParticipant } from './sync_participant.js';
 
-/**
- * Time for the leader to answer beyond the time for which it holds a request, in milliseconds: a trip and the work of the leader.
- * Guess, not measured.
- */
+/** Timeout of a request beyond the time for which the leader may delay its reply. */
 const RESPONSE_TIMEOUT_MS = 300;
-/**
- * How long the leader may hold a request, in milliseconds. A lease counts from the begin of the request, so this is a small
- * part of a lease (3 s). Guess, not measured.
- */
+/** How long the leader may delay its reply. A small part of a lease (3 s), because leases start when the request is sent. */
 const LONG_POLL_MS = 300;
 const LONG_POLL_OPTIONS: ExchangeOptions = {
   longPollMs: LONG_POLL_MS,
@@ -26,7 +20,7 @@
 const IMMEDIATE_OPTIONS: ExchangeOptions = { longPollMs: 0, timeoutMs: RESPONSE_TIMEOUT_MS };
 const NONE_EXCLUDED: ReadonlySet<string> = new Set();
 
-/** Client of one proxy. */
+/** Control client of one proxy. */
 export class ControlClient {
   private readonly controls: ControlAddresses;
   private readonly exchange: SyncExchange;
@@ -38,7 +32,7 @@
   constructor(
     runtime: Runtime,
     participant: SyncParticipant,
-    /** Addresses of control machines as of the settings. */
+    /** Addresses of control machines in the settings. */
     seeds: readonly string[],
   ) {
     this.controls = new ControlAddresses(seeds);
@@ -46,33 +40,31 @@
     this.search = new LeaderSearch(runtime, participant, this.controls, this.exchange);
   }
 
-  /** Starts to synchronise. */
   start(): void {
     void this.loop();
   }
 
-  /** Stops. */
   stop(): void {
     this.isStopped = true;
     this.search.stop();
   }
 
-  /** Takes over control machines of changed settings. */
+  /** Updates the addresses of control machines after a change of settings. */
   updateSeeds(seeds: readonly string[]): void {
     this.controls.updateSeeds(seeds);
   }
 
-  /** Failed requests in a row; 0 while in touch. */
+  /** Number of consecutive failed requests. */
   get failedRequests(): number {
     return this.exchange.consecutiveFailures;
   }
 
-  /** Address of the leader as last heard of; empty when unknown. */
+  /** Last known address of the leader; empty if unknown. */
   get leaderAddress(): string {
     return this.exchange.leader;
   }
 
-  /** Sends what is new at once, beside the held request. */
+  /** Sends all updates immediately, in parallel with the long poll. Calls during such a request cause one more. */
   async syncNow(): Promise<void> {
     if (this.isImmediateSyncInFlight) {
       this.isImmediateSyncPending = true;
--- a/src/appointed/proxy/control_contact.ts
+++ b/src/appointed/proxy/control_contact.ts
@@ -1,34 +1,20 @@
 /**
- * DECISION: how long control has been silent, and what follows for callers. Owns the times of the newest answers; relies on the clock
- * of this process only.
- *
- * Answers: control, or the network to it, is gone while callers go on. A proxy without control serves for as
- * long as its leases hold, but new callers are better served by a proxy that is in touch.
- * Inputs: age of the newest accepted answer (ms), whether a routing document is in force, whether any lease holds.
- * Rule: control counts as lost after {@link CONTROL_LOST_MS}; the proxy is not ready after {@link READY_SYNC_AGE_MS}, and
- * isolated, so that idle callers are disconnected too, after {@link ISOLATED_SYNC_AGE_MS} without any lease.
+ * Tracks how long control has not answered, and what follows for callers. A proxy without control serves requests as long
+ * as its leases are valid, but new callers are better served by a proxy that reaches control. Control counts as lost after
+ * {@link CONTROL_LOST_MS}; the proxy is not ready after {@link MAX_READY_SYNC_AGE_MS}; and it disconnects idle callers,
+ * too, after {@link MAX_CONNECTED_SYNC_AGE_MS} without any valid lease.
  */
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
 import type { Clock } from '../../runtime/runtime.js';
 
-/**
- * Age of the newest answer of control beyond which it counts as lost, in milliseconds: longer than a held request with its
- * time-out. Guess, not measured.
- */
+/** Reply age after which control counts as lost; longer than a long poll with its timeout. */
 const CONTROL_LOST_MS = 800;
-/**
- * Age of the newest answer of control beyond which the ready probe fails and new callers are sent elsewhere, in
- * milliseconds. Guess, not measured.
- */
+/** Reply age beyond which the readiness probe fails, so that new callers use another proxy. */
 const MAX_READY_SYNC_AGE_MS = 1200;
-/**
- * Age beyond which idle callers are sent elsewhere too, in milliseconds; the ready probe has turned new ones away by then.
- * Guess, not measured.
- */
+/** Reply age beyond which idle callers are disconnected. By then the readiness probe has diverted new callers. */
 const MAX_CONNECTED_SYNC_AGE_MS = 3300;
 
-/** Contact of one proxy with control. */
 export class ControlContact {
   private lastReplyAt = -Infinity;
   private newestConfirmationAt = -Infinity;
@@ -39,27 +25,27 @@
     private readonly log: DecisionLog,
   ) {}
 
-  /** Milliseconds since the newest accepted reply of control arrived. */
+  /** Time since the newest accepted reply of control arrived. */
   get replyAgeMs(): number {
     return this.clock.now() - this.lastReplyAt;
   }
 
-  /** When the newest request was sent that control answered: what is known of the catalog is that old. */
+  /** Send time of the newest answered request: the known catalog was current then. */
   get confirmedAt(): number {
     return this.newestConfirmationAt;
   }
 
-  /** Whether control was in touch lately. */
+  /** Whether control answered recently enough for new callers. */
   get isRecent(): boolean {
     return this.replyAgeMs < MAX_READY_SYNC_AGE_MS;
   }
 
-  /** Whether control has been silent for so long that callers are better served by another proxy. */
+  /** Whether control has not answered for so long that all callers are better served by another proxy. */
   get isCutOff(): boolean {
     return this.replyAgeMs > MAX_CONNECTED_SYNC_AGE_MS;
   }
 
-  /** Notes that an accepted reply arrived at `now`. */
+  /** Records that an accepted reply arrived at `now`. */
   recordReply(now: number): void {
     if (this.isLost) {
       this.log(Events.controlRegained, { after_ms: Math.round(this.replyAgeMs) });
@@ -68,12 +54,12 @@
     this.lastReplyAt = now;
   }
 
-  /** Notes that the content of a reply to a request that was sent at `sentAt` is in force. */
+  /** Records that the reply to a request sent at `sentAt` has been applied. */
   recordConfirmation(sentAt: number): void {
     this.newestConfirmationAt = Math.max(this.newestConfirmationAt, sentAt);
   }
 
-  /** Logs once that control is lost; called often, as soon as a document is in force. */
+  /** Logs once that control is lost. Called periodically once a document is in force. */
   logIfLost(leader: string, failedRequests: number): void {
     if (this.replyAgeMs <= CONTROL_LOST_MS || this.isLost) return;
     this.isLost = true;
--- a/src/appointed/proxy/control_synchronisation.ts
+++ b/src/appointed/proxy/control_synchronisation.ts
@@ -1,6 +1,7 @@
 /**
- * Synchronisation with control: what a request of this proxy carries, and what a reply changes. Owns the version of the
- * catalog in force and the client that exchanges the messages; relies on control, which may be out of reach or slow.
+ * Synchronisation with control: builds the content of the proxy's requests, and applies replies to the parts of the proxy.
+ * Leases and shared positions are applied only if the reply has the catalog version in force, because a reply that was
+ * overtaken may grant leases on epochs that have ended.
  */
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
@@ -21,7 +22,7 @@
 
 const NO_BYTES = new Uint8Array(0);
 
-/** Parts of the proxy that requests are made from and replies change. */
+/** Parts of the proxy that provide the content of requests and that replies are applied to. */
 interface ControlSynchronisationDependencies {
   readonly self: whinyoke.IProxyEntry;
   readonly log: DecisionLog;
@@ -37,7 +38,6 @@
   readonly issuers: IssuerSelector;
 }
 
-/** Synchronisation of one proxy. */
 export class ControlSynchronisation implements SyncParticipant {
   private readonly client: ControlClient;
   private catalogVersion = 0;
@@ -46,61 +46,59 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly dependencies: ControlSynchronisationDependencies,
-    /** Addresses of control machines to begin with. */
+    /** Initial addresses of control machines. */
     seeds: readonly string[],
   ) {
     this.client = new ControlClient(runtime, this, seeds);
   }
 
-  /** Starts to synchronise. */
   start(): void {
     this.client.start();
   }
 
-  /** Stops. */
   stop(): void {
     this.client.stop();
   }
 
-  /** Sends what is new at once. */
+  /** Sends all updates immediately. */
   syncNow(): Promise<void> {
     return this.client.syncNow();
   }
 
-  /** Takes over control machines of changed settings. */
+  /** Updates the addresses of control machines after a change of settings. */
   updateSeeds(seeds: readonly string[]): void {
     this.client.updateSeeds(seeds);
   }
 
-  /** Tells control that this proxy takes no new callers. */
+  /** Reports to control that this proxy accepts no new callers. */
   startLeaving(): void {
     this.hasStartedLeaving = true;
     void this.client.syncNow();
   }
 
-  /** Sends changed opinions on primaries and due revocations at once; called often. */
+  /** Sends changed health reports and due revocations immediately. Called periodically. */
   sendUpdates(now: number): void {
     if (this.dependencies.primaryHealth.hasUpdates(now)) void this.client.syncNow();
     if (this.dependencies.leases.hasDueRevocation(now)) void this.client.syncNow();
   }
 
-  /** Logs when control is silent though a document is in force. */
+  /** Logs the loss of control if a document is in force. */
   logIfControlLost(): void {
     if (this.dependencies.document.table === undefined) return;
     this.dependencies.contact.logIfLost(this.client.leaderAddress, this.client.failedRequests);
   }
 
-  /** Address of the leader as last heard of; empty when unknown. */
+  /** Last known address of the leader; empty if unknown. */
   get leaderAddress(): string {
     return this.client.leaderAddress;
   }
 
-  /** Identity of this proxy. */
+  /** Identity of this proxy process. */
   get self(): whinyoke.IProxyEntry {
     return this.dependencies.self;
   }
 
-  /** Whether this proxy takes no new callers. */
+  /** Whether this proxy is shutting down and accepts no new callers. */
   get isLeaving(): boolean {
     return this.hasStartedLeaving;
   }
@@ -110,12 +108,12 @@
     return this.catalogVersion;
   }
 
-  /** Addresses of proxies that forward a request to the leader. */
+  /** Addresses of proxies that forward requests to the leader. */
   get forwarders(): readonly string[] {
     return this.dependencies.fleet.forwarders;
   }
 
-  /** Content of a request that is sent now. Leases whose revocation is due end here. */
+  /** Content of a request that is sent now. Ends the leases whose revocation is due, so that it can confirm them. */
   syncContent(): SyncContent {
     const { leases, primaryHealth, positions, document, fleet, instances } = this.dependencies;
     const now = this.runtime.clock.now();
@@ -137,7 +135,7 @@
     };
   }
 
-  /** Takes over a reply to a request that was sent at `sentAt`. */
+  /** Applies the reply to a request that was sent at `sentAt`. */
   onSync(reply: whinyoke.ISyncReply, content: SyncContent, sentAt: number): void {
     const { contact, document, leases, positions, slowStarts } = this.dependencies;
     const now = this.runtime.clock.now();
@@ -153,7 +151,7 @@
     contact.recordConfirmation(sentAt);
     leases.update(update.groups, now);
     if (version > this.catalogVersion) this.adoptCatalog(version, update, previouslyConfirmedAt);
-    // A reply that was overtaken grants leases on epochs that may be over.
+    // A reply that was overtaken may grant leases on epochs that have ended.
     if (version === this.catalogVersion) {
       leases.extendAll(sentAt + (reply.leaseMs ?? 0));
       slowStarts.extendLease(sentAt + (reply.slowStartLeaseMs ?? 0));
@@ -162,7 +160,7 @@
     if (leases.hasDueRevocation(now)) void this.client.syncNow();
   }
 
-  /** Logs that a request to a control machine, or through another proxy, failed. */
+  /** Logs a failed request to a control machine or through another proxy. */
   onControlFailure(address: string, reason: string): void {
     this.dependencies.log(Events.controlRequestFailed, { address, reason });
   }
--- a/src/appointed/proxy/document_in_force.ts
+++ b/src/appointed/proxy/document_in_force.ts
@@ -1,6 +1,6 @@
 /**
- * The routing document in force. Owns the newest document that control sent and those who wait for the first one. Relies
- * on the reader of documents, which may refuse a document: the one before then stays in force.
+ * The routing document in force: the newest one received from control that the reader accepts. If the reader rejects a
+ * document, the previous one stays in force.
  */
 import { Events } from '../../observability/events.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
@@ -9,7 +9,6 @@
 import { inflateSource } from '../catalog/document_source.js';
 import type { RouteTable, RoutingDocumentReader } from '../catalog/route_table.js';
 
-/** Document of one proxy. */
 export class DocumentInForce {
   private current: RouteTable | undefined;
   private readonly waiters: (() => void)[] = [];
@@ -20,17 +19,17 @@
     private readonly reader: RoutingDocumentReader,
   ) {}
 
-  /** Routes, limits and tenants of the document; undefined before the first one. */
+  /** Routes, limits and tenants of the document; undefined before the first document. */
   get table(): RouteTable | undefined {
     return this.current;
   }
 
-  /** Version of the document; 0 before the first one. */
+  /** Version of the document; 0 before the first document. */
   get version(): number {
     return this.current?.version ?? 0;
   }
 
-  /** Puts a document in force if it is newer than the present one. */
+  /** Puts a document in force if it is newer than the current one. */
   adopt(document: whinyoke.IRoutingDocument): void {
     if ((document.version ?? 0) <= this.version) return;
     const table = this.reader.read(inflateSource(document));
@@ -42,7 +41,7 @@
     });
   }
 
-  /** Resolves with whether a document is in force, after `timeoutMs` at the latest. */
+  /** Waits at most `timeoutMs` for the first document; resolves with whether one is in force. */
   awaitFirst(timeoutMs: number): Promise<boolean> {
     if (this.current) return Promise.resolve(true);
     return new Promise((resolve) => {
--- a/src/appointed/proxy/fleet_directory.ts
+++ b/src/appointed/proxy/fleet_directory.ts
@@ -1,38 +1,33 @@
-/**
- * The fleet as control last described it: how many proxies live, and which of them forward requests to the leader. Owns
- * the newest description; relies on nothing that may fail.
- */
+/** The proxies of the fleet as last described by control: their number, their zones and those that forward requests. */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { ZoneProxies } from '../relay/connection_owners.js';
 
-/** Directory of one proxy. */
 export class FleetDirectory {
   private knownVersion = 0;
   private knownForwarders: readonly string[] = [];
   private knownLiveProxies = 1;
   private knownZones: readonly ZoneProxies[] = [];
 
-  /** Version of the description; 0 before the first one. */
+  /** Version of the description; 0 before the first. */
   get version(): number {
     return this.knownVersion;
   }
 
-  /** Addresses of proxies that forward a request to the leader. */
+  /** Addresses of proxies that forward requests to the leader. */
   get forwarders(): readonly string[] {
     return this.knownForwarders;
   }
 
-  /** Number of live proxies, this one included. */
+  /** Number of live proxies, including this one. */
   get liveProxies(): number {
     return this.knownLiveProxies;
   }
 
-  /** Live proxies by zone. */
   get zones(): readonly ZoneProxies[] {
     return this.knownZones;
   }
 
-  /** Takes over a newer description. */
+  /** Replaces the description with a newer one. */
   adopt(directory: whinyoke.IProxyDirectory): void {
     this.knownVersion = directory.version ?? 0;
     this.knownForwarders = directory.relays ?? [];
--- a/src/appointed/proxy/leader_search.ts
+++ b/src/appointed/proxy/leader_search.ts
@@ -1,12 +1,9 @@
 /**
- * DECISION: how the leading control machine is searched. Owns which machines are being asked; relies on control machines and on other
- * proxies, any of which may not answer.
- *
- * Answers: the leader stopped, or can't be reached, and leases run out.
- * Inputs: addresses of control machines; failures in a row; whether the proxy has a catalog already.
- * Rule: {@link SEARCH_WIDTH} machines are asked at once and a further one every {@link SEARCH_STEP_MS}; each names the
- * leader, answers as the leader, or is asked again after a pause. After {@link FAILURES_BEFORE_FORWARDING} failures in a
- * row requests go through other proxies too. A search ends when the leader answered, or after {@link SEARCH_MS}.
+ * Searches the control leader when it is unknown, for example because it failed or is unreachable while leases expire.
+ * Initially {@link SEARCH_CONCURRENCY} control machines are asked at once, and another one every
+ * {@link SEARCH_STEP_INTERVAL_MS}. Each one answers as the leader, names the leader, or is asked again after a pause. After
+ * {@link FAILURES_BEFORE_FORWARDING} consecutive failures, requests are also sent through other proxies. A search ends when
+ * the leader answers, or after {@link SEARCH_DURATION_MS}.
  */
 import { type Runtime, delay } from '../../runtime/runtime.js';
 import type { ControlAddresses } from './control_addresses.js';
@@ -14,29 +11,24 @@
 import type { SyncParticipant } from './sync_participant.js';
 
 /**
- * A search keeps its request at a machine that answers nothing: it may hold the request until it knows a leader, or be
- * the leader and have many to answer first. Asking again would only lengthen that queue. A machine without power is known
- * by its connection, which does not open. Guess, not measured.
+ * The timeout is long, because the machine may delay its reply until it knows a leader, or be a leader with many requests
+ * queued; repeating the request would only lengthen the queue. A machine that is down is detected by the failing connect.
  */
 const SEARCH_OPTIONS: ExchangeOptions = { longPollMs: 300, timeoutMs: 600 };
-/** A request through another proxy; that proxy's own request to the leader takes most of the time. Guess, not measured. */
+/** Options of a request through another proxy. Most of the time is taken by that proxy's own request to the leader. */
 const FORWARDED_OPTIONS: ExchangeOptions = { longPollMs: 0, timeoutMs: 300, isForwarded: true };
-/** Pause between requests that other proxies forward, in milliseconds: a small part of a lease. Guess, not measured. */
+/** Pause between forwarded requests; a small part of a lease. */
 const FORWARD_PAUSE_MS = 250;
-/** Failures in a row after which requests go through another proxy too. Guess, not measured. */
 const FAILURES_BEFORE_FORWARDING = 3;
-/** Control machines that are asked at the same time while the leader is unknown. Guess, not measured. */
 const SEARCH_CONCURRENCY = 3;
-/** For how long a search goes on before other proxies are asked too, in milliseconds. Guess, not measured. */
 const SEARCH_DURATION_MS = 600;
-/** Time for an answer before a further control machine is asked, in milliseconds. Guess, not measured. */
 const SEARCH_STEP_INTERVAL_MS = 120;
-/** Pause before a machine that knew no leader is asked again, in milliseconds. Guess, not measured. */
+/** Pause before a machine that knew no leader is asked again. */
 const RETRY_PAUSE_MS = 60;
-/** Pause of a process that starts, in milliseconds: callers wait for its first catalog. Guess, not measured. */
+/** Same while the proxy starts: shorter, because callers wait for its first catalog. */
 const START_RETRY_PAUSE_MS = 15;
 
-/** State of one search; several requests are under way at the same time. */
+/** State of one search, shared by its concurrent requests. */
 class SearchState {
   isFinished = false;
   private resolveFound: () => void = () => undefined;
@@ -45,16 +37,15 @@
     this.resolveFound = resolve;
   });
 
-  /** The leader has answered. */
   finish(): void {
     this.isFinished = true;
     this.resolveFound();
   }
 }
 
-/** Searches of one proxy. */
+/** Leader searches of one proxy. */
 export class LeaderSearch {
-  /** Machines at which a request of a search waits. */
+  /** Addresses with a search request in flight. */
   private readonly requestsPendingAt = new Set<string>();
   private isStopped = false;
 
@@ -65,12 +56,12 @@
     private readonly exchange: SyncExchange,
   ) {}
 
-  /** Ends all searches. */
+  /** Ends a running search. */
   stop(): void {
     this.isStopped = true;
   }
 
-  /** Searches once; resolves when the leader answered, or after {@link SEARCH_MS}. */
+  /** Searches once; resolves when the leader answers, or after {@link SEARCH_DURATION_MS}. */
   async run(): Promise<void> {
     const { clock } = this.runtime;
     const search = new SearchState();
@@ -85,13 +76,13 @@
     search.isFinished = true;
   }
 
-  /** Asks the next control machine at which no request waits. */
+  /** Asks the next control machine that has no request in flight. */
   private askNext(search: SearchState): void {
     const address = this.controls.next(this.requestsPendingAt);
     if (address !== undefined) void this.searchAt(address, search);
   }
 
-  /** Asks one control machine, and the leader that it names, until the search is over. */
+  /** Asks one control machine, and then the leader that it names, until the search ends. */
   private async searchAt(address: string, search: SearchState): Promise<void> {
     let target = address;
     while (!search.isFinished && !this.isStopped) {
@@ -116,7 +107,7 @@
     }
   }
 
-  /** Asks other proxies to forward a request: they may reach a leader that this one can't reach. */
+  /** Sends requests through other proxies, which may reach a leader that this proxy cannot reach. */
   private async searchThroughForwarders(search: SearchState): Promise<void> {
     while (!search.isFinished && !this.isStopped) {
       const { forwarders } = this.participant;
--- a/src/appointed/proxy/proxy_instances.ts
+++ b/src/appointed/proxy/proxy_instances.ts
@@ -1,6 +1,6 @@
 /**
- * The instances of the catalog in force as this proxy uses them. Owns the ways to them; tells the health trackers and the
- * position floors what opening a connection showed. Instances may refuse connections or not answer.
+ * The instances of the catalog in force, as used by this proxy. Creates their connection pools, and reports the outcome of
+ * opening connections to the health trackers and the minimum positions.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import type { Position } from '../../positions/position.js';
@@ -29,12 +29,11 @@
 
 const { PrimaryHealth } = whinyoke;
 
-/** Parts of the proxy that its instances depend on. */
 interface ProxyInstancesDependencies {
   readonly runtime: Runtime;
-  /** Address for messages of other processes. */
+  /** Address at which this proxy receives messages of other processes. */
   readonly ownAddress: string;
-  /** Region of each zone that the settings name. */
+  /** Region of each zone listed in the settings. */
   readonly regionByZone: ReadonlyMap<string, string>;
   readonly connector: InstanceConnector;
   readonly log: DecisionLog;
@@ -47,10 +46,9 @@
   readonly slowStarts: SlowStartGate;
 }
 
-/** Instances of one proxy. */
 export class ProxyInstances implements SessionInstances {
   private readonly directory: InstanceDirectory;
-  /** Whether a zone was evacuated at the last look, so that pools may have to serve again. */
+  /** Whether a zone was evacuated at the last check: its pools must resume service after the evacuation ends. */
   private wasEvacuating = false;
 
   constructor(private readonly dependencies: ProxyInstancesDependencies) {
@@ -68,7 +66,7 @@
       table: () => document.table,
       hasTenants: () => document.table === undefined || document.table.tenants.size > 0,
       tenantRate: (tenant) => document.table?.tenants.findByName(tenant)?.limit?.ratePerSecond,
-      // Asked for each instance of each read: the clock is read only where it decides.
+      // Called for each instance of each read, so the clock is read only if a zone is evacuated.
       zoneEvacuationStage: (zone) =>
         evacuatedZones.hasAny ? evacuatedZones.stageOf(zone, runtime.clock.now()) : undefined,
       liveProxies: () => fleet.liveProxies,
@@ -84,12 +82,12 @@
     return this.directory.count;
   }
 
-  /** Pools of connections of this process, for metrics. */
+  /** Connection pools of this process, for metrics. */
   get pools(): readonly InstancePool[] {
     return this.directory.pools;
   }
 
-  /** Source of connections to an instance, here or through the owner of its connections. */
+  /** Source of connections to an instance, either local or through the connection owner. */
   connectionsTo(instance: string): ConnectionSource | undefined {
     return this.directory.access(instance);
   }
@@ -99,74 +97,73 @@
     return this.directory.access(instance)?.localPool;
   }
 
-  /** When this process last took a connection to an instance of a zone for a caller's statement; -Infinity: never. */
+  /** When this process last used a connection to a zone for a caller's statement; -Infinity if never. */
   lastStatementIn(zone: string): number {
     return this.directory.lastStatementIn(zone);
   }
 
-  /** How far the evacuation of an instance's zone has come; undefined when it is not evacuated. */
+  /** Stage of the evacuation of an instance's zone; undefined if the zone is not being evacuated. */
   evacuationStageOf(instance: string): EvacuationStage | undefined {
     return this.directory.evacuationStageOf(instance);
   }
 
-  /** Instances of a group that may be sent a read now. */
+  /** Instances of a group that may serve a read now. */
   readCandidates(group: string): readonly ReadCandidate[] {
     return this.directory.readCandidates(group, this.primaryOf(group));
   }
 
-  /** Instances of a group that take new work, cold ones without room for more included. */
+  /** Instances of a group that accept new work, including warming-up ones that are at their limit. */
   instancesAcceptingWork(group: string): readonly string[] {
     return this.directory.instancesAcceptingWork(group);
   }
 
-  /** Zone of an instance; undefined when the catalog does not list it. */
+  /** Zone of an instance; undefined if the catalog does not list it. */
   zoneOf(instance: string): string | undefined {
     return this.directory.zoneOf(instance);
   }
 
-  /** Begins the wait of a request for a connection to an instance; undefined when that is cold and has no room for it. */
+  /** Starts the wait of a request for a connection; undefined if the instance is warming up and at its limit. */
   enter(instance: string, isUrgent: boolean): CancelReservation | undefined {
     return this.directory.beginWait(instance, isUrgent);
   }
 
-  /** Counts a request that this process sends to an instance now; false when the instance is cold and must not get it. */
+  /** Counts a request about to be sent to an instance; false if the instance is warming up and must not get it. */
   admit(instance: string, isUrgent: boolean): boolean {
     return this.directory.admit(instance, isUrgent);
   }
 
-  /** All instances of a group but its primary, whatever their state. */
+  /** All instances of a group except its primary, in any state. */
   replicasOf(group: string): readonly ConfirmingReplica[] {
     return this.directory.replicasOf(group, this.primaryOf(group));
   }
 
-  /** Takes over what changed in the catalog. */
+  /** Applies changes of the catalog. */
   adopt(update: whinyoke.ICatalogUpdate): void {
     this.directory.applyUpdate(update);
     this.updateEvacuations();
   }
 
-  /** Takes over which proxies may own connections, by zone. */
+  /** Updates the proxies that may own connections, by zone. */
   adoptOwners(zones: readonly ZoneProxies[]): void {
     this.directory.owners.updateProxies(zones);
   }
 
-  /** Ends the wait of all statements for an answer of the old primary of a group that changes its primary. */
+  /** Ends the wait of all statements for the old primary of a group whose primary is being replaced. */
   abandonPrimary(group: string): void {
     this.directory.access(this.primaryOf(group))?.closeInUse();
   }
 
-  /** Opens another connection to an instance that leaves statements unanswered. */
+  /** Opens another connection to an instance that does not answer statements. */
   probe(instance: string): void {
     this.localPool(instance)?.probeByConnecting();
   }
 
-  /** Looks after all pools; called often. */
+  /** Maintains all pools. Called periodically. */
   maintain(): void {
     this.updateEvacuations();
     this.directory.maintain();
   }
 
-  /** Ends all connections. */
   close(): void {
     this.directory.close();
   }
@@ -182,7 +179,7 @@
     return this.dependencies.leases.entryOf(group)?.primary ?? '';
   }
 
-  /** The position that a leased primary sends when a connection opens is as good as that of an answer. */
+  /** The position that a leased primary sends when a connection opens counts like that of a reply. */
   private onOpened(
     { id: instance, group }: InstanceTarget,
     position: Position,
@@ -204,7 +201,7 @@
     const entry = leases.entryOf(group);
     if (entry?.primary !== instance) return;
     const tracker = primaryHealth.of(group, entry.epoch ?? 0);
-    // A primary that turns connections away because it is full is alive.
+    // A primary that rejects connections because it is at its limit is alive.
     if (error.failure === 'connectionLimit' || error.failure === 'busy') {
       tracker.onConnectionOpened(runtime.clock.now());
       return;
--- a/src/appointed/proxy/request_forwarder.ts
+++ b/src/appointed/proxy/request_forwarder.ts
@@ -1,17 +1,13 @@
 /**
- * Forwards synchronisation requests of other proxies to the leading control machine: a proxy may be cut off from it while
- * this one is not. Owns nothing; the leader, and the network to it, may fail, which fails the request.
+ * Forwards synchronisation requests of other proxies to the control leader: a proxy may be partitioned from the leader while
+ * this one reaches it. A failed request to the leader fails the forwarded request.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { MessageBody, Messenger } from '../../runtime/runtime.js';
 
-/**
- * Time for the leader to answer a forwarded request, in milliseconds. The leader does not hold it, so this is a trip and the
- * work on it. Guess, not measured.
- */
+/** Covers a round trip and the work of the leader, which answers forwarded requests without delay. */
 const FORWARD_TIMEOUT_MS = 400;
 
-/** Forwarder of one proxy. */
 export class RequestForwarder {
   constructor(
     private readonly messenger: Messenger,
@@ -19,7 +15,7 @@
     private readonly leaderAddress: () => string,
   ) {}
 
-  /** Answers a request: with the leader's answer, or a refusal. A request is forwarded once. */
+  /** Answers with the reply of the leader, or refuses. A request that was already forwarded is refused. */
   forward(request: whinyoke.ISyncRequest | null | undefined): Promise<MessageBody> | MessageBody {
     if (!request || request.relayed) return { refusal: { reason: 'not for a proxy' } };
     const address = this.leaderAddress();
--- a/src/appointed/proxy/shared_positions.ts
+++ b/src/appointed/proxy/shared_positions.ts
@@ -1,40 +1,39 @@
 /**
- * Positions of primaries that proxies share through control. A proxy that hears from a primary reports what it told; one
- * that reads from replicas without hearing from their primary takes what others reported.
+ * Positions of primaries that proxies share through control. A proxy that gets replies from a primary reports its position;
+ * one that reads from replicas without such replies uses positions reported by other proxies.
  *
- * Times travel without comparing two clocks. A reply of the leader carries the leader's clock: whatever happened on this
- * process after the reply arrived is later than that reading by at least as much as passed here. The other way round, a
- * position whose age the leader tells was asked no earlier than that age before the request was sent. Both err towards
- * positions that seem older than they are. See docs/design/reads-at-scale.md.
+ * Times are exchanged without assuming synchronised clocks. A reply of the leader contains the leader's clock, so an event
+ * on this process after the reply is later than that reading by at least the time that passed here. Conversely, a position
+ * whose age the leader reports was requested no earlier than that age before the sync request was sent. Both errors make
+ * positions seem older than they are, which is safe. See docs/design/reads-at-scale.md.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { Position, PrimaryPosition } from '../../positions/position.js';
 
-/** Positions that are older are not reported, in milliseconds: others need young ones. */
+/** Older positions are not reported, because other proxies need recent ones. */
 const MAX_REPORTED_AGE_MS = 1000;
-/** Positions are wanted for groups with a read within this time, in milliseconds. */
+/** Positions are requested for groups with a read within this time. */
 const RECENT_READ_MS = 3000;
-/** A group whose primary was heard within this time needs nothing of others, in milliseconds. */
+/** No positions are requested for a group whose primary answered this proxy within this time. */
 const OWN_POSITION_FRESHNESS_MS = 400;
 
-/** A position that control told, with its time on this process's clock. */
+/** A position received from control, with its request time on this process's clock. */
 interface SharedPosition {
   readonly group: string;
   readonly position: Position;
   readonly askedAt: number;
 }
 
-/** Part of one proxy. */
 export class SharedPositions {
   private readonly own = new Map<string, PrimaryPosition>();
   private readonly unreported = new Set<string>();
   private readonly readAt = new Map<string, number>();
-  /** Term of the leader whose clock is known; 0 when none is. */
+  /** Term of the leader whose clock is known; 0 if none is. */
   private term = 0;
   private leaderClockMs = 0;
   private leaderClockReadAt = 0;
 
-  /** Notes what a trusted primary told to a request that was sent at `askedAt`. */
+  /** Records the position in the reply of a trusted primary to a request that was sent at `askedAt`. */
   recordOwn(group: string, epoch: number, askedAt: number, position: Position): void {
     const known = this.own.get(group);
     if (known && known.epoch === epoch && known.askedAt >= askedAt) return;
@@ -42,12 +41,12 @@
     this.unreported.add(group);
   }
 
-  /** Notes a read that replicas may serve. */
+  /** Records a read that replicas may serve. */
   recordRead(group: string, now: number): void {
     this.readAt.set(group, now);
   }
 
-  /** Whether positions of other proxies are wanted now. */
+  /** Whether positions of other proxies are needed now. */
   needsSharedPositions(now: number): boolean {
     for (const [group, readAt] of this.readAt) {
       if (now - readAt > RECENT_READ_MS) this.readAt.delete(group);
@@ -57,12 +56,12 @@
     return false;
   }
 
-  /** Term of the leader on whose clock reports are told. */
+  /** Term of the leader whose clock the times in reports refer to. */
   get clockTerm(): number {
     return this.term;
   }
 
-  /** Positions that were not reported yet; empty before a reply told the leader's clock. */
+  /** Positions that were not reported yet; empty until the leader's clock is known. */
   takeReports(now: number): readonly whinyoke.IPositionReport[] {
     if (this.term === 0) return [];
     const reports: whinyoke.IPositionReport[] = [];
@@ -77,7 +76,7 @@
     return reports;
   }
 
-  /** Takes over the leader's clock from a reply that arrived at `now`. */
+  /** Records the leader's clock from a reply that arrived at `now`. */
   recordLeaderClock(reply: whinyoke.ISyncReply, now: number): void {
     this.term = reply.term ?? 0;
     this.leaderClockMs = reply.clockMs ?? 0;
@@ -85,7 +84,7 @@
   }
 }
 
-/** Positions of a reply to a request that was sent at `sentAt`; `groups` are those of the reply's catalog, by name. */
+/** Positions in the reply to a request that was sent at `sentAt`; `groups` are the groups of its catalog, ordered by name. */
 export function sharedPositionsOf(
   reply: whinyoke.ISyncReply,
   groups: readonly string[],
--- a/src/appointed/proxy/sync_exchange.ts
+++ b/src/appointed/proxy/sync_exchange.ts
@@ -1,6 +1,6 @@
 /**
- * One synchronisation request and its reply. Owns the address of the leader, as the replies show it, and the count of
- * failures in a row. Control machines and the network to them may fail; a failure is an outcome, never an error.
+ * Sends one synchronisation request and handles its reply. Tracks the address of the leader, as shown by the replies, and
+ * the number of consecutive failures. A failure is returned as an outcome and never thrown.
  */
 import { messageOf } from '../../errors/errors.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
@@ -8,30 +8,25 @@
 import type { ControlAddresses } from './control_addresses.js';
 import type { SyncContent, SyncParticipant } from './sync_participant.js';
 
-/** What became of one request. */
+/** Outcome of one request. */
 export type ExchangeOutcome = 'accepted' | 'redirected' | 'failed';
 
-/** How one request is sent. */
+/** Options of one request. */
 export interface ExchangeOptions {
-  /** How long the receiver may hold it, in milliseconds. */
+  /** How long the receiver may delay its reply. */
   readonly longPollMs: number;
-  /** How long to wait for the reply, in milliseconds. */
   readonly timeoutMs: number;
-  /** Whether it goes to another proxy, which forwards it to the leader. */
+  /** Whether the request goes to another proxy, which forwards it to the leader. */
   readonly isForwarded?: boolean;
 }
 
-/**
- * Failures of one address within this time are reported once, in milliseconds: a search asks again every few. One line a
- * second and machine can be read; guess, not measured.
- */
+/** Minimum time between two reported failures of one address: a search retries in quick succession. */
 const FAILURE_REPORT_INTERVAL_MS = 1000;
 
-/** Exchange of one proxy. */
 export class SyncExchange {
   private leaderAddress = '';
   private failureCount = 0;
-  /** When a failure was reported last, by address. */
+  /** When a failure was last reported, by address. */
   private readonly failureReportedAt = new Map<string, number>();
 
   constructor(
@@ -40,17 +35,17 @@
     private readonly controls: ControlAddresses,
   ) {}
 
-  /** Failed requests in a row; 0 while in touch. */
+  /** Number of consecutive failed requests. */
   get consecutiveFailures(): number {
     return this.failureCount;
   }
 
-  /** Address of the leader as last heard of; empty when unknown. */
+  /** Last known address of the leader; empty if unknown. */
   get leader(): string {
     return this.leaderAddress;
   }
 
-  /** Sends one request and takes over its reply. Never rejects. */
+  /** Sends one request and applies its reply. Never rejects. */
   async exchange(address: string, options: ExchangeOptions): Promise<ExchangeOutcome> {
     const content = this.participant.syncContent();
     const sentAt = this.runtime.clock.now();
@@ -92,7 +87,7 @@
     try {
       const answer = await this.runtime.messenger.request(address, body, timeoutMs);
       if (!answer.syncReply) {
-        const reason = answer.refusal?.reason ?? 'an answer of another kind';
+        const reason = answer.refusal?.reason ?? 'expected a sync reply, got another message';
         this.reportFailure(address, reason);
       }
       return answer.syncReply ?? undefined;
@@ -108,13 +103,13 @@
     return 'failed';
   }
 
-  /** The machine does not lead; it may name the one that does. */
+  /** The machine is not the leader; it may name the leader. */
   private onRefused(address: string, namedLeader: string): ExchangeOutcome {
     if (namedLeader === '' || namedLeader === address) {
-      this.reportFailure(address, 'it knows no leader');
+      this.reportFailure(address, 'not the leader, and it knows no other leader');
       return this.onFailed(address);
     }
-    // An answer that comes late may name a leader of the past.
+    // A late reply may name a former leader, so it must not replace a known one.
     if (this.leaderAddress === '' || this.leaderAddress === address)
       this.leaderAddress = namedLeader;
     return 'redirected';
--- a/src/appointed/proxy/sync_participant.ts
+++ b/src/appointed/proxy/sync_participant.ts
@@ -1,37 +1,37 @@
-/** The two sides of synchronisation with control: what a request carries, and who makes requests and takes replies. */
+/** Interface between the control client and the proxy: the content of sync requests, and the receiver of replies. */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
-/** What a sync request carries, as of now. */
+/** Content of a sync request. */
 export interface SyncContent {
   /** Version of the routing document in force. */
   readonly knownDocument: number;
-  /** Version of the description of the fleet. */
+  /** Version of the fleet directory. */
   readonly knownDirectory: number;
-  /** Epochs in which this proxy uses no earlier primary any more. */
+  /** Epochs for which this proxy has stopped using earlier primaries. */
   readonly revocations: readonly whinyoke.IRevocation[];
-  /** Health of primaries. */
+  /** Health reports on primaries. */
   readonly reports: readonly whinyoke.IPrimaryReport[];
-  /** Whether positions of primaries are wanted with the reply. */
+  /** Whether the reply should contain positions of primaries. */
   readonly wantsPositions: boolean;
-  /** Term of the leader on whose clock `positions` give their times. */
+  /** Term of the leader whose clock the times in `positions` refer to. */
   readonly clockTerm: number;
-  /** Positions with which primaries answered this proxy. */
+  /** Positions received from primaries. */
   readonly positions: readonly whinyoke.IPositionReport[];
 }
 
-/** The proxy's side. */
+/** The proxy, as seen by the control client. */
 export interface SyncParticipant {
-  /** Identity of the proxy. */
+  /** Identity of the proxy process. */
   readonly self: whinyoke.IProxyEntry;
-  /** Whether the proxy takes no new callers. */
+  /** Whether the proxy accepts no new callers. */
   readonly isLeaving: boolean;
-  /** Version of the catalog that is known; 0 before the first reply. */
+  /** Version of the catalog in force; 0 before the first reply. */
   readonly knownVersion: number;
-  /** Addresses of proxies that forward a request to the leader. */
+  /** Addresses of proxies that forward requests to the leader. */
   readonly forwarders: readonly string[];
   /** Content of a request that is sent now. */
   syncContent(): SyncContent;
-  /** Takes over a reply to a request that was sent at `sentAt`. */
+  /** Applies the reply to a request that was sent at `sentAt`. */
   onSync(reply: whinyoke.ISyncReply, content: SyncContent, sentAt: number): void;
   /** A request to a control machine, or through another proxy, failed. */
   onControlFailure(address: string, reason: string): void;
