--- a/test/simulation/tenancy.test.ts
+++ b/test/simulation/tenancy.test.ts
@@ -1,21 +1,4 @@
-/**
- * Tenants over a simulated fleet: bindings, credentials that are taken away, limits; with and without each
- * protection.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - mixed faults, changes of credentials among them: a statement under another tenant, a tenant over its limit, a
- *   credential in a log line; needs the generator with all kinds of faults and those of tenants.
- * - a credential that was taken away ends on a proxy that nobody reaches: a credential used for longer than its
- *   bound; needs the world, cuts, the rule tenant and the switches fleet-quota and credential-freshness, no
- *   callers.
- * - connections that fall silent cost no more than a patience, each once: primaries replaced for connections that
- *   fell silent; needs the generator with mute-connections alone.
- * - an issuer that is cut off uses its reserve and its leased rate no longer than its lease: a tenant that runs
- *   more than its limit; needs the world, a cut, the rule quota and the switches issuer-lease and
- *   credential-freshness, no callers.
- * - without a protection the checks report it: a judge that cannot fail; needs the switches tenant-binding and
- *   fleet-quota with the generator.
- */
+/** Tenants in a simulated fleet: credentials, revocation and operation limits, with and without each protection. */
 import t from 'tap';
 import { APPOINTED_TENANTS } from '../../lab/appointed/appointed_deployment.js';
 import { runAppointed } from '../../lab/appointed/appointed_simulation.js';
@@ -26,32 +9,32 @@
 const SEED_COUNT = 8;
 const SETTLED_MS = 2000;
 const STATEMENT_INTERVAL_MS = 250;
-/** Longer than the bound on revoked credentials, less than the time for which replicas confirm leases. */
+/** Longer than the bound on revoked credentials, shorter than the time for which replicas confirm leases. */
 const CUT_OFF_MS = 9000;
 const MAX_SEEDS_TO_DETECT = 10;
-/** Number of the tenant whose limit is the least, 15 operations a second. */
+/** Index of the tenant with the lowest limit, 15 operations/s. */
 const SMALLEST_LIMIT_TENANT = 3;
 const USUAL_INTERVAL_MS = 80;
 const RUSH_INTERVAL_MS = 10;
 const RUSH_MS = 4600;
-/** The lease of 3 s, and the time in which the leader's part of the bucket is full again. */
+/** A reserve lease of 3 s, and the time until the leader's part of the bucket is full again. */
 const LEASE_OVER_MS = 4400;
 
-void t.test('mixed faults, changes of credentials among them', async (t) => {
-  for (let seed = 1; seed <= SEED_COUNT; seed++) {
-    const report = await runAppointed({ deployment: APPOINTED_TENANTS, seed });
-    t.same(report.violations, [], `seed ${seed}: ${report.faults.join('; ')}`);
-    t.same(report.unwritable, [], `seed ${seed}: ${report.faults.join('; ')}`);
-    t.ok(report.counts['acknowledged']! > 500, 'callers were served');
-    const lines = JSON.stringify(report.lines);
-    t.notMatch(lines, /key-\d/, 'no credential in any log line');
-  }
-});
+void t.test(
+  'mixed faults and credential changes never break a rule of tenants or log a credential',
+  async (t) => {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
+      const report = await runAppointed({ deployment: APPOINTED_TENANTS, seed });
+      t.same(report.violations, [], `seed ${seed}: ${report.faults.join('; ')}`);
+      t.same(report.unwritable, [], `seed ${seed}: ${report.faults.join('; ')}`);
+      t.ok(report.counts['acknowledged']! > 500, 'callers were served');
+      const lines = JSON.stringify(report.lines);
+      t.notMatch(lines, /key-\d/, 'no credential in any log line');
+    }
+  },
+);
 
-/**
- * A proxy that nobody of the system reaches goes on asking for statements with a credential that was taken away; resolves
- * with the kinds of violations.
- */
+/** Runs statements with a revoked credential on a proxy that is partitioned from all others; resolves with the violations. */
 async function runRevocationScenario(
   seed: number,
   disabled: readonly AppointedProtection[],
@@ -86,34 +69,43 @@
   return { violations: violations.map(({ kind }) => kind), ran: counts.runs };
 }
 
-void t.test('a credential that was taken away ends on a proxy that nobody reaches', async (t) => {
-  for (let seed = 1; seed <= SEED_COUNT; seed++) {
-    const guarded = await runRevocationScenario(seed, ['fleet-quota']);
-    t.same(guarded.violations, [], `seed ${seed}`);
-    t.ok(guarded.ran > 5, 'it is used on for a while');
-    const { violations } = await runRevocationScenario(seed, [
-      'fleet-quota',
-      'credential-freshness',
-    ]);
-    t.ok(violations.includes('tenant'), `seed ${seed}: without the protection it runs`);
-  }
-});
+void t.test(
+  'a revoked credential is refused within its bound, even by a partitioned proxy',
+  async (t) => {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
+      const guarded = await runRevocationScenario(seed, ['fleet-quota']);
+      t.same(guarded.violations, [], `seed ${seed}`);
+      t.ok(guarded.ran > 5, 'statements still run before the bound');
+      const { violations } = await runRevocationScenario(seed, [
+        'fleet-quota',
+        'credential-freshness',
+      ]);
+      t.ok(
+        violations.includes('tenant'),
+        `seed ${seed}: without the protection the credential keeps working`,
+      );
+    }
+  },
+);
 
-void t.test('connections that fall silent cost no more than a patience, each once', async (t) => {
-  let changes = 0;
-  for (let seed = 1; seed <= SEED_COUNT; seed++) {
-    const options = { seed, faults: ['mute-connections'] as const, faultCount: 2 };
-    const report = await runAppointed({ deployment: APPOINTED_TENANTS, ...options });
-    t.same(report.violations, [], `seed ${seed}`);
-    t.same(report.unwritable, [], `seed ${seed}`);
-    changes += report.counts['appointments']!;
-    t.ok(report.counts['acknowledged']! > 1500, 'callers were served');
-  }
-  // Commits that hang on silent connections of most proxies look like those of a primary without replicas.
-  t.ok(changes <= SEED_COUNT, `${changes} primaries replaced in ${2 * SEED_COUNT} such moments`);
-});
+void t.test(
+  'unresponsive connections leave all groups writable and rarely replace a primary',
+  async (t) => {
+    let changes = 0;
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
+      const options = { seed, faults: ['mute-connections'] as const, faultCount: 2 };
+      const report = await runAppointed({ deployment: APPOINTED_TENANTS, ...options });
+      t.same(report.violations, [], `seed ${seed}`);
+      t.same(report.unwritable, [], `seed ${seed}`);
+      changes += report.counts['appointments']!;
+      t.ok(report.counts['acknowledged']! > 1500, 'callers were served');
+    }
+    // Commits that hang on unresponsive connections of most proxies look like those of a primary without replicas.
+    t.ok(changes <= SEED_COUNT, `${changes} primaries replaced by ${2 * SEED_COUNT} faults`);
+  },
+);
 
-/** Reads of the tenant with the least limit through some proxies, at a pace, whatever becomes of them. */
+/** Sends reads of the tenant with the lowest limit through some proxies at a fixed interval, without awaiting replies. */
 async function readThrough(
   world: AppointedWorld,
   routers: readonly SimulatedRouter[],
@@ -136,14 +128,14 @@
   }
 }
 
-/** A zone is cut off from control with what its issuer holds, waits until the lease is over, and then asks for all that it may get. */
+/** Partitions a zone from control, waits until the lease of its issuer expires, and then requests as much as possible. */
 async function runCutZoneScenario(
   seed: number,
   disabled: readonly AppointedProtection[],
 ): Promise<readonly string[]> {
   const world = new AppointedWorld(APPOINTED_TENANTS, seed, new Set(disabled));
   await world.start();
-  // The owners of the primary's connections are in its zone.
+  // The owners of connections to the primary are in its zone.
   const { zone: primaryZone } = world.groups[0]!.leader!.options;
   const inside = world.routers.filter(({ zone }) => zone === primaryZone);
   const outside = world.routers.filter((router) => !inside.includes(router));
@@ -159,15 +151,18 @@
   return world.judge.violations.map(({ kind }) => kind);
 }
 
-void t.test('an issuer that is cut off grants nothing after its lease', async (t) => {
-  for (let seed = 1; seed <= SEED_COUNT; seed++) {
-    t.same(await runCutZoneScenario(seed, ['credential-freshness']), [], `seed ${seed}`);
-    const violations = await runCutZoneScenario(seed, ['credential-freshness', 'issuer-lease']);
-    t.ok(violations.includes('quota'), `seed ${seed}: without the protection it goes on`);
-  }
-});
+void t.test(
+  'an issuer that is partitioned from control grants nothing after its lease expired',
+  async (t) => {
+    for (let seed = 1; seed <= SEED_COUNT; seed++) {
+      t.same(await runCutZoneScenario(seed, ['credential-freshness']), [], `seed ${seed}`);
+      const violations = await runCutZoneScenario(seed, ['credential-freshness', 'issuer-lease']);
+      t.ok(violations.includes('quota'), `seed ${seed}: without the protection it keeps granting`);
+    }
+  },
+);
 
-void t.test('without a protection the checks report it', async (t) => {
+void t.test('the checks detect a disabled protection', async (t) => {
   const find = async (disabled: AppointedProtection): Promise<string> => {
     for (let seed = 1; seed <= MAX_SEEDS_TO_DETECT; seed++) {
       const options = { deployment: APPOINTED_TENANTS, seed, disabled: [disabled] };
--- a/test/tools/local_fleet.ts
+++ b/test/tools/local_fleet.ts
@@ -1,4 +1,4 @@
-/** A small deployment as real processes, for integration tests. */
+/** A small deployment of real processes for integration tests. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,28 +11,27 @@
 const FIRST_NETWORK = 20;
 const NETWORK_COUNT = 200;
 /**
- * An emulated instance does everything on one thread: while it parses a statement of 10,000 rows, or answers
- * with 100,000, it sends no heartbeat. That took up to 1.4 s beside a busy machine's other work, so the
- * groups of these tests, of which none is about a change of primary, wait longer before they elect another.
+ * Longer than in production: an emulated instance has one thread and sends no heartbeat while it processes a statement
+ * with many rows. No test that uses this fleet is about a change of primary.
  */
 const ELECTION_TIMEOUT_MS = 3000;
 
 const LAB_PROGRAM = fileURLToPath(new URL('../../lab/cli/main.js', import.meta.url));
 export const PROXY_PROGRAM = fileURLToPath(new URL('../../src/cli/main.js', import.meta.url));
 
-/** One group of three instances, one control machine, three proxies of which one is the gateway. */
+/** One group of three instances, one control machine, and three proxies, one of which is a gateway. */
 const SMALL: Deployment = { ...QUETZAL, groups: ['payments'], controls: 1 };
 
 /** A running deployment. */
 export interface LocalFleet {
   readonly fleet: Fleet;
   readonly folder: string;
-  /** Opens a client connection to a proxy by number, from 0. */
+  /** Opens a client connection to a proxy by index. */
   connect(proxy: number, options?: ConnectionOptions): Promise<Connection>;
   stop(): Promise<void>;
 }
 
-/** Starts the deployment and waits until it serves. */
+/** Starts the deployment and waits until its groups are available. */
 export async function startLocalFleet(lagMs = 30): Promise<LocalFleet> {
   const folder = mkdtempSync(join(tmpdir(), 'whinyoke-test-'));
   const layout = layoutOf(SMALL, FIRST_NETWORK + (process.pid % NETWORK_COUNT));
--- a/test/tools/quota_fleet.ts
+++ b/test/tools/quota_fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A leader's ledger, the log that holds its floors, and issuers that use what they were granted as badly as they may: for
- * tests of the bound on the operations of one tenant.
+ * Model of a leader's ledger, its replicated log, and issuers that use grants as unfavourably as the protocol permits. Used
+ * to test the bound on the operations of one tenant.
  */
 import {
   LEADER_OVERLAP_MS,
@@ -14,16 +14,16 @@
 } from '../../src/appointed/tenancy/operation_ledger.js';
 import type { OperationLimit } from '../../src/appointed/tenancy/tenant.js';
 
-/** Rules of the played deployment. */
+/** Rules of the modelled deployment. */
 export const RULES = { windowMs: 5000, overage: 0.1, tolerance: 20 };
-/** Issuers of one played fleet. */
+/** Number of issuers. */
 export const PROXY_COUNT = 5;
 
-/** The replicated floor of one tenant, and a leader that writes it. */
+/** A leader that writes the successor reserve of one tenant to the replicated log. */
 export class QuotaLeader {
   /** The ledger under test. */
   readonly ledger: OperationLedger;
-  /** Runs that told what they hold. */
+  /** Proxies that have reported their reserves. */
   readonly reportedProxies = new Set<number>();
 
   constructor(
@@ -34,7 +34,7 @@
     this.ledger.beginLeadership(begunAt);
   }
 
-  /** Answers as the service does; a change of the floor that is not committed is as if it had not been tried. */
+  /** Answers as the service does. A change of the successor reserve that is not committed has no effect. */
   answer(
     proxy: number,
     limit: OperationLimit,
@@ -49,7 +49,7 @@
     return allowance;
   }
 
-  /** A run told what it holds. */
+  /** Records that a proxy has reported its reserves. */
   recordReport(proxy: number): void {
     this.reportedProxies.add(proxy);
     if (this.reportedProxies.size === PROXY_COUNT) this.ledger.recordAllReservesKnown();
@@ -63,7 +63,7 @@
   }
 }
 
-/** What one issuer may hold. */
+/** Reserve and leased rate of one issuer. */
 interface ModelReserve {
   readonly count: number;
   readonly most: number;
@@ -74,24 +74,24 @@
 
 const NOTHING_HELD: ModelReserve = { count: 0, most: 0, rate: 0, at: 0, until: 0 };
 
-/** One request of an issuer, and how it uses what it has. */
+/** One request of an issuer, and how it uses its reserve. */
 export interface QuotaStep {
   readonly proxy: number;
   readonly waiting: number;
   readonly wantedReserve: number;
   readonly wantedRate: number;
-  /** All that it holds after the answer is used at once. */
+  /** The whole reserve is used immediately after the reply. */
   readonly usesWholeReserve: boolean;
-  /** All that its leased rate brought since its last request was used as it came. */
+  /** All operations that accrued from the leased rate since the last request were used as they accrued. */
   readonly usesLeasedRate: boolean;
   readonly asksFormerLeader: boolean;
   readonly isReplyLost: boolean;
   readonly commits: boolean;
 }
 
-/** Issuers, leaders, and when operations ran. */
+/** Issuers, leaders and the times at which operations ran. */
 export class QuotaFleet {
-  /** Time of the fleet, in milliseconds. */
+  /** Current time in milliseconds. */
   now = 10_000;
   private runs: number[] = [];
   private readonly reserves = new Map<number, ModelReserve>();
@@ -101,13 +101,13 @@
 
   constructor(private readonly limit: OperationLimit) {}
 
-  /** Another machine leads; the former one goes on for a moment. */
+  /** Elects another leader. The former one may still answer for a while. */
   elect(): void {
     this.former = this.leader;
     this.leader = new QuotaLeader(this.log, this.now);
   }
 
-  /** All processes end, and start anew at once; a leader is there some time later. */
+  /** Restarts all processes; a leader is elected `forMs` later. */
   losePower(forMs: number): void {
     const lostAt = this.now;
     this.now += forMs;
@@ -119,7 +119,7 @@
     this.leader.ledger.recordOnlyOwnGrantsSince(lostAt);
   }
 
-  /** An issuer asks, and uses what it has. */
+  /** Sends a request of an issuer, and uses its reserve. */
   ask(step: QuotaStep): void {
     const { now, limit, leader } = this;
     const { proxy, waiting, wantedReserve, wantedRate } = step;
@@ -147,7 +147,7 @@
     this.reserves.set(proxy, { count: count - spent, most: answer.most, ...lease });
   }
 
-  /** An issuer that reaches no leader uses all that it has. */
+  /** Lets an issuer that reaches no leader use its whole reserve. */
   useAll(proxy: number): void {
     const own = this.useRate(proxy, true);
     const count = Math.floor(availableOf(own, this.now));
@@ -155,7 +155,7 @@
     this.reserves.set(proxy, { ...own, count: own.count - count, at: this.now });
   }
 
-  /** Whether some window holds more operations than it may. */
+  /** Whether any window contains more operations than allowed. */
   get exceedsLimit(): boolean {
     const { ratePerSecond, burst } = this.limit;
     const perWindow = (ratePerSecond * RULES.windowMs) / 1000 + burst;
@@ -167,7 +167,7 @@
     });
   }
 
-  /** A former leader goes on for a moment, but commits nothing, and nobody who told the new one asks it. */
+  /** A former leader may still answer for a while, but cannot commit, and proxies that reported to the new one never ask it. */
   private leaderAskedBy({ proxy, asksFormerLeader }: QuotaStep): QuotaLeader {
     const { leader, former, now } = this;
     const mayAskFormer =
@@ -175,7 +175,7 @@
     return asksFormerLeader && mayAskFormer && former ? former : leader;
   }
 
-  /** Operations run at once, or as late as those may that were granted to requests that wait. */
+  /** Operations run immediately, or at the latest time at which a grant to a waiting request is valid. */
   private recordRuns(count: number): void {
     for (let index = 0; index < count; index++) {
       this.runs.push(this.now + (index % 2) * GRANT_VALIDITY_MS);
--- a/test/unit/allowance_client.test.ts
+++ b/test/unit/allowance_client.test.ts
@@ -1,4 +1,4 @@
-/** A proxy asks for operations of tenants: answers that are late, leaders that change or know no such tenant. */
+/** Requests of a proxy for operations: late replies, leader changes, and leaders that do not know the tenant. */
 import t from 'tap';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
 import { VirtualProcess } from '../../lab/simulation/virtual_process.js';
@@ -13,13 +13,13 @@
 const TENANT = { name: 'ana', limit: { ratePerSecond: 100, burst: 100 } };
 const MAX_WAIT_MS = 60;
 
-/** A request as a leader saw it. */
+/** A request as received by a leader. */
 interface ReceivedRequest extends whinyoke.IAllowanceRequest {
   readonly address: string;
   readonly lane: number;
 }
 
-/** What a leader answers, and after how many milliseconds; undefined for never. */
+/** Reply of a leader and its delay; undefined for no reply. */
 type Leader = (
   asked: ReceivedRequest,
 ) => { readonly afterMs: number; readonly reply: whinyoke.IAllowanceReply } | undefined;
@@ -57,7 +57,7 @@
     });
   }
 
-  /** Asks for one operation, and runs for a while. */
+  /** Requests one operation and runs for `forMs`; returns the result if there is one by then. */
   async acquire(forMs: number): Promise<GrantResult | undefined> {
     let result: GrantResult | undefined;
     void Promise.resolve(this.client.acquire(TENANT, MAX_WAIT_MS)).then(
@@ -72,7 +72,7 @@
   return { accepted: true, term, allowances: [{ tenant: 'ana', granted, added }] };
 }
 
-void t.test('a request whose answer is late goes a second way', async (t) => {
+void t.test('a request without a timely reply is repeated on another connection', async (t) => {
   const proxy = new TestProxy(({ lane }) => ({
     afterMs: lane === 0 ? 180 : 3,
     reply: granting(1),
@@ -89,7 +89,7 @@
   proxy.client.stop();
 });
 
-void t.test('a leader that does not know the tenant yet is asked at a pace', async (t) => {
+void t.test('a leader that does not know the tenant yet is not flooded with retries', async (t) => {
   const reply = { accepted: true, term: 1, allowances: [] };
   const proxy = new TestProxy(() => ({ afterMs: 1, reply }));
   t.match(await proxy.acquire(MAX_WAIT_MS + 5), { isGranted: false });
@@ -97,56 +97,69 @@
   proxy.client.stop();
 });
 
-void t.test('a new leader is told all that is held; a former one adds nothing more', async (t) => {
-  let isSilent = false;
-  const proxy = new TestProxy(({ address }) => {
-    if (address === 'control-2')
-      return isSilent ? undefined : { afterMs: 1, reply: granting(1, 0, 2) };
-    return { afterMs: 1, reply: granting(1, 5) };
-  });
-  await proxy.acquire(20);
-  proxy.address = 'control-2';
-  isSilent = true;
-  await proxy.acquire(250);
-  const [told] = proxy.received.filter(({ address }) => address === 'control-2');
-  t.match(told, { complete: true, demands: [{ tenant: 'ana' }] });
-  // The proxy hears of the former leader again; the other one may count on what it was told.
-  proxy.address = 'control-1';
-  const before = proxy.received.length;
-  for (let count = 0; count < 8; count++) await proxy.acquire(20);
-  const direct = proxy.received.slice(before).filter(({ address }) => address === 'control-1');
-  t.ok(direct.length >= 4, 'no reserve was added, so operations are asked for one by one');
-  proxy.client.stop();
-});
+void t.test(
+  'a new leader receives a full report; a former one adds no reserve afterwards',
+  async (t) => {
+    let isSilent = false;
+    const proxy = new TestProxy(({ address }) => {
+      if (address === 'control-2')
+        return isSilent ? undefined : { afterMs: 1, reply: granting(1, 0, 2) };
+      return { afterMs: 1, reply: granting(1, 5) };
+    });
+    await proxy.acquire(20);
+    proxy.address = 'control-2';
+    isSilent = true;
+    await proxy.acquire(250);
+    const [told] = proxy.received.filter(({ address }) => address === 'control-2');
+    t.match(told, { complete: true, demands: [{ tenant: 'ana' }] });
+    // The former leader is the leader again; the other one may count on the report it received.
+    proxy.address = 'control-1';
+    const before = proxy.received.length;
+    for (let count = 0; count < 8; count++) await proxy.acquire(20);
+    const direct = proxy.received.slice(before).filter(({ address }) => address === 'control-1');
+    t.ok(direct.length >= 4, 'no reserve was added, so operations are requested one by one');
+    proxy.client.stop();
+  },
+);
 
-void t.test('a run tells its age for as long as one leader has answered it', async (t) => {
-  const proxy = new TestProxy(({ address, freshTerm }) => {
-    const term = address === 'control-1' ? 1 : 2;
-    return { afterMs: 1, reply: { ...granting(1, 0, term), needsAll: freshTerm === 0 } };
-  });
-  await proxy.acquire(100);
-  proxy.address = 'control-2';
-  await proxy.acquire(100);
-  const complete = proxy.received.filter((asked) => asked.complete);
-  t.same(
-    complete.map(({ address, freshMs, freshTerm }) => [address, freshMs, freshTerm]),
-    [
-      ['control-1', 1, 0],
-      ['control-1', 42, 1],
-      ['control-2', 101, 1],
-    ],
-    'at its start, again when it drops what former leaders answer, and to another leader the former term',
-  );
-  proxy.client.stop();
-});
+void t.test(
+  'a proxy process reports its age only while a single leader has answered it',
+  async (t) => {
+    const proxy = new TestProxy(({ address, freshTerm }) => {
+      const term = address === 'control-1' ? 1 : 2;
+      return { afterMs: 1, reply: { ...granting(1, 0, term), needsAll: freshTerm === 0 } };
+    });
+    await proxy.acquire(100);
+    proxy.address = 'control-2';
+    await proxy.acquire(100);
+    const complete = proxy.received.filter((asked) => asked.complete);
+    t.same(
+      complete.map(({ address, freshMs, freshTerm }) => [address, freshMs, freshTerm]),
+      [
+        ['control-1', 1, 0],
+        ['control-1', 42, 1],
+        ['control-2', 101, 1],
+      ],
+      'at its start, again once it drops replies of former leaders, and with the former term to another leader',
+    );
+    proxy.client.stop();
+  },
+);
 
-void t.test('who waits for an answer of a former leader is served by the new one', async (t) => {
-  const proxy = new TestProxy(({ address }) =>
-    address === 'control-2' ? { afterMs: 2, reply: granting(2, 0, 2) } : undefined,
-  );
-  const first = proxy.acquire(20);
-  await first;
-  proxy.address = 'control-2';
-  t.match(await proxy.acquire(10), { isGranted: true }, 'within 10 ms, not after 200');
-  proxy.client.stop();
-});
+void t.test(
+  'a caller that waits for an unresponsive former leader is served by the new one',
+  async (t) => {
+    const proxy = new TestProxy(({ address }) =>
+      address === 'control-2' ? { afterMs: 2, reply: granting(2, 0, 2) } : undefined,
+    );
+    const first = proxy.acquire(20);
+    await first;
+    proxy.address = 'control-2';
+    t.match(
+      await proxy.acquire(10),
+      { isGranted: true },
+      'within 10 ms, not after the timeout of 200 ms',
+    );
+    proxy.client.stop();
+  },
+);
--- a/test/unit/issuers.test.ts
+++ b/test/unit/issuers.test.ts
@@ -1,6 +1,6 @@
 /**
- * Issuers of operations: proxies of one zone, a leader that answers or doesn't, one failure each. What no schedule may run too much is
- * tested in tenancy.test.ts.
+ * Issuers of operations in one zone, with one failure per test. That no schedule exceeds the limit is tested in
+ * tenancy.test.ts.
  */
 import t from 'tap';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
@@ -36,12 +36,12 @@
   readonly clock = new VirtualProcess('p', this.scheduler, new SeededRandom(1), 0).clock;
   readonly leader = new QuotaLeader(new Map(), 0);
   readonly proxies: TestProxy[];
-  /** Who answers nothing; `leader` for the leader. */
+  /** Addresses that do not answer; `leader` is the leader's. */
   readonly unresponsive = new Set<string>();
   limit: OperationLimit | undefined = { ratePerSecond: 4, burst: 4 };
-  /** Time of an answer of an issuer, in milliseconds. */
+  /** Delay of the replies of issuers. */
   answerMs = NETWORK_DELAY_MS;
-  /** Operations that proxies gave back to the leader. */
+  /** Operations that proxies returned to the leader. */
   returned = 0;
   private operationCount = 0;
 
@@ -63,20 +63,20 @@
     return this.proxies.find(({ issuers }) => !issuers.isOwnProxyIssuer('ana'))!;
   }
 
-  /** Operations that the issuer would grant now, all at once. */
+  /** Takes all operations that the issuer can grant now, and returns their number. */
   get operationsInReserve(): number {
     const demands = [{ tenant: 'ana', waiting: 50 }];
     return this.issuer.client.issuer.answer({ demands }).allowances?.[0]?.granted ?? 0;
   }
 
-  /** Another run of a proxy, at the same address. */
+  /** Replaces a proxy by a new process at the same address. */
   replace(index: number): void {
     this.proxies[index]!.client.stop();
     this.proxies[index] = this.createProxy(`p${index}`);
     this.proxies[index].issuers.update(this.zones);
   }
 
-  /** Asks for one operation through a proxy, and lets time pass. */
+  /** Requests one operation through a proxy and runs for `forMs`; returns whether it was granted. */
   async acquire({ client }: TestProxy, forMs = MAX_WAIT_MS + 5): Promise<boolean> {
     let result: GrantResult | undefined;
     void Promise.resolve(client.acquire(this.tenant, MAX_WAIT_MS)).then(
@@ -86,7 +86,7 @@
     return result?.isGranted ?? false;
   }
 
-  /** An operation each 400 ms through the proxies in turn; returns how many were refused. */
+  /** Sends an operation every 400 ms through the proxies, round robin; returns how many were refused. */
   async runOperations(forMs: number): Promise<number> {
     let refused = 0;
     for (let elapsed = 0; elapsed < forMs; elapsed += 400) {
@@ -170,33 +170,36 @@
 
 const NO_DEMAND = { waiting: 0, returned: 0, held: 0, wantedReserve: 0, heldMost: 0 };
 
-void t.test('the issuer of a zone serves a small tenant while nobody leads', async (t) => {
+void t.test('the issuer of a zone serves a small tenant while there is no leader', async (t) => {
   const zone = new TestZone(20);
   t.equal(await zone.runOperations(10_000), 0);
   zone.unresponsive.add('leader');
-  t.equal(await zone.runOperations(2000), 0, 'an operation each 400 ms through 20 proxies');
+  t.equal(await zone.runOperations(2000), 0, 'one operation per 400 ms through 20 proxies');
   const counts = zone.proxies.map(({ client }) => client.counts);
   const [byIssuer, granted, fromReserve] = (['byIssuer', 'granted', 'fromReserve'] as const).map(
     (way) => counts.reduce((sum, each) => sum + each[way], 0),
   );
-  t.equal(byIssuer! + granted! + fromReserve!, 30, 'told apart in the counts');
-  t.ok(byIssuer! > 20, `${byIssuer} of 30 by the issuer`);
+  t.equal(byIssuer! + granted! + fromReserve!, 30, 'each operation is counted once');
+  t.ok(byIssuer! > 20, `${byIssuer} of 30 granted by the issuer`);
   zone.stop();
 });
 
-void t.test('an issuer that dies without a word costs one late answer', async (t) => {
+void t.test('an issuer that crashes costs a proxy only one timeout', async (t) => {
   const zone = new TestZone(4);
   await zone.runOperations(4000);
   const { otherProxy, issuer } = zone;
   zone.unresponsive.add(issuer.address);
-  t.ok(await zone.acquire(otherProxy), 'the leader is asked when the issuer is late');
+  t.ok(await zone.acquire(otherProxy), 'granted by the leader after the timeout of the issuer');
   t.equal(otherProxy.client.counts.issuerLate, 1);
-  t.ok(await zone.acquire(otherProxy, 20), 'the next of the zone, or the leader, within 20 ms');
+  t.ok(
+    await zone.acquire(otherProxy, 20),
+    'granted by the second issuer or the leader within 20 ms',
+  );
   t.equal(otherProxy.client.counts.issuerLate, 1);
   zone.stop();
 });
 
-void t.test('an issuer that wakes after its lease grants nothing', async (t) => {
+void t.test('an issuer that resumes after its lease expired grants nothing', async (t) => {
   const zone = new TestZone(4);
   await zone.runOperations(4000);
   zone.unresponsive.add('leader');
@@ -206,26 +209,32 @@
   zone.stop();
 });
 
-void t.test('what an issuer granted before it froze comes too late to count', async (t) => {
-  const zone = new TestZone(8);
-  await zone.runOperations(4000);
-  zone.unresponsive.add('leader');
-  const { otherProxy } = zone;
-  const { byIssuer } = otherProxy.client.counts;
-  zone.answerMs = GRANT_VALIDITY_MS + 1;
-  t.notOk(await zone.acquire(otherProxy, 500));
-  t.equal(otherProxy.client.counts.byIssuer, byIssuer);
-  zone.stop();
-});
+void t.test(
+  'a grant of an issuer that stalled before replying arrives too late to be used',
+  async (t) => {
+    const zone = new TestZone(8);
+    await zone.runOperations(4000);
+    zone.unresponsive.add('leader');
+    const { otherProxy } = zone;
+    const { byIssuer } = otherProxy.client.counts;
+    zone.answerMs = GRANT_VALIDITY_MS + 1;
+    t.notOk(await zone.acquire(otherProxy, 500));
+    t.equal(otherProxy.client.counts.byIssuer, byIssuer);
+    zone.stop();
+  },
+);
 
-void t.test('an issuer that is to stop hands its reserve over', async (t) => {
+void t.test('an issuer returns its reserve before it stops', async (t) => {
   const zone = new TestZone(4);
   await zone.runOperations(4000);
   const { issuer } = zone;
   t.ok(issuer.client.allowances.find('ana')?.hasReserve(zone.clock.now()));
   issuer.client.returnReserves();
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
-  t.notOk(issuer.client.allowances.find('ana')?.hasReserve(zone.clock.now()), 'the leader has it');
+  t.notOk(
+    issuer.client.allowances.find('ana')?.hasReserve(zone.clock.now()),
+    'returned to the leader',
+  );
   t.equal(await zone.runOperations(4000), 0);
   const successors = zone.proxies.filter(
     ({ client }) => client !== issuer.client && client.counts.issued > 0,
@@ -234,30 +243,37 @@
   zone.stop();
 });
 
-void t.test('a lower limit takes reserves back', async (t) => {
+void t.test('a lowered limit reduces the reserves', async (t) => {
   const zone = new TestZone(4);
   zone.limit = { ratePerSecond: 50, burst: 50 };
   for (let count = 0; count < 200; count++) await zone.acquire(zone.otherProxy, 40);
   zone.limit = { ratePerSecond: 1, burst: 1 };
   await zone.runOperations(RESERVE_LEASE_MS);
-  t.ok(zone.operationsInReserve <= 11, 'half of the bucket of the lower limit at most');
+  t.ok(zone.operationsInReserve <= 11, 'at most half of the bucket of the lower limit');
   zone.stop();
 });
 
-void t.test('a tenant that the issuer does not know is granted by the leader', async (t) => {
-  const zone = new TestZone(4);
-  zone.limit = undefined;
-  t.ok(await zone.acquire(zone.otherProxy), 'a tenant that was just added');
-  const { byIssuer, granted } = zone.otherProxy.client.counts;
-  t.same([byIssuer, granted], [0, 1]);
-  zone.limit = { ratePerSecond: 4, burst: 4 };
-  t.equal(await zone.runOperations(4000), 0);
-  zone.limit = undefined;
-  t.equal(zone.operationsInReserve, 0, 'one that was removed gets nothing of what is left');
-  zone.stop();
-});
+void t.test(
+  'operations of a tenant that the issuer does not know are granted by the leader',
+  async (t) => {
+    const zone = new TestZone(4);
+    zone.limit = undefined;
+    t.ok(await zone.acquire(zone.otherProxy), 'the tenant was just added');
+    const { byIssuer, granted } = zone.otherProxy.client.counts;
+    t.same([byIssuer, granted], [0, 1]);
+    zone.limit = { ratePerSecond: 4, burst: 4 };
+    t.equal(await zone.runOperations(4000), 0);
+    zone.limit = undefined;
+    t.equal(
+      zone.operationsInReserve,
+      0,
+      'a removed tenant gets nothing from the remaining reserve',
+    );
+    zone.stop();
+  },
+);
 
-void t.test('proxies that are replaced in turn refuse nothing', async (t) => {
+void t.test('a rolling replacement of the proxies refuses nothing', async (t) => {
   const zone = new TestZone(4);
   let refused = await zone.runOperations(4000);
   for (let index = 0; index < 4; index++) {
@@ -268,7 +284,7 @@
   zone.stop();
 });
 
-void t.test('an operation that waited in vain for 200 ms comes back in time', async (t) => {
+void t.test('an operation that did not run after waiting 200 ms is returned in time', async (t) => {
   const zone = new TestZone(1);
   const [{ client }] = zone.proxies as [TestProxy];
   await zone.acquire(zone.proxies[0]!);
@@ -277,64 +293,70 @@
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
   client.returnUnused(operation);
   await zone.scheduler.runUntil(zone.scheduler.now + 60);
-  t.equal(zone.returned - before, 1, '260 ms after it was counted; 350 ms are allowed');
+  t.equal(zone.returned - before, 1, 'returned 260 ms after it was counted, within 350 ms');
   const late = new AdmittedOperation(zone.tenant, zone.clock.now());
   await zone.scheduler.runUntil(zone.scheduler.now + 250);
   client.returnUnused(late);
   await zone.scheduler.runUntil(zone.scheduler.now + 200);
-  t.equal(zone.returned - before, 1, 'one that would be late is not given back');
+  t.equal(zone.returned - before, 1, 'an operation that would arrive too late is not returned');
   zone.unresponsive.add('leader');
   client.returnUnused(new AdmittedOperation(zone.tenant, zone.clock.now()));
   void zone.acquire(zone.proxies[0]!, 0);
   await zone.scheduler.runUntil(zone.scheduler.now + 600);
   zone.unresponsive.clear();
   await zone.runOperations(800);
-  t.equal(zone.returned - before, 1, 'nor is one that no leader took in time');
+  t.equal(zone.returned - before, 1, 'nor is an operation that no leader received in time');
   zone.stop();
 });
 
-void t.test('rates leased to all issuers stay within their part of the limit', (t) => {
+void t.test('the rates leased to all issuers stay within the leasable part of the limit', (t) => {
   const leader = new QuotaLeader(new Map(), 0);
   leader.ledger.recordAllReservesKnown();
   const limit = { ratePerSecond: 100, burst: 100 };
   const asking = { waiting: 0, returned: 0, held: 0, wantedReserve: 20, wantedRate: 20 };
   const rates = [1, 2, 3].map((run) => leader.answer(run, limit, asking, 5000, true).rate);
-  t.same(rates, [20, 10, 0], '30 of 100 operations a second');
+  t.same(rates, [20, 10, 0], '30 of 100 operations/s');
   const keeping = { ...asking, heldRate: 20, heldMost: 20 };
-  t.equal(leader.answer(1, limit, keeping, 6000, true).rate, 20, 'kept');
+  t.equal(leader.answer(1, limit, keeping, 6000, true).rate, 20, 'a leased rate is kept');
   const later = 6000 + RESERVE_LEASE_MS;
   t.equal(
     leader.answer(3, limit, asking, later, true).rate,
     20,
-    'those that were not renewed ended',
+    'leases that were not renewed have expired',
   );
   t.end();
 });
 
-void t.test('after a loss of all power the first second is not dry', (t) => {
-  const log = new Map<string, number>();
-  const limit = { ratePerSecond: 100, burst: 100 };
-  const calm = { waiting: 0, returned: 0, held: 0, wantedReserve: 0 };
-  const before = new QuotaLeader(log, 0);
-  before.recordReport(0);
-  before.ledger.recordAllReservesKnown();
-  for (let now = 600; now < 9000; now += 100) {
-    before.answer(1, limit, { ...calm, waiting: 6 }, now, true);
-  }
-  const refusedBy = (isFresh: boolean): number => {
-    const leader = new QuotaLeader(new Map(log), 10_000);
-    // All proxies started 300 ms before the leader was elected.
-    if (isFresh) leader.ledger.recordOnlyOwnGrantsSince(9700);
-    if (isFresh) leader.ledger.recordAllReservesKnown();
-    let refused = 0;
-    for (let now = 10_050; now < 11_050; now += 50) {
-      // Twice the usual, since callers return.
-      const { granted } = leader.answer(1, limit, { ...calm, waiting: 6 }, now, true);
-      refused += 6 - granted;
+void t.test(
+  'a leader elected after a power loss of all machines refuses nothing in its first second',
+  (t) => {
+    const log = new Map<string, number>();
+    const limit = { ratePerSecond: 100, burst: 100 };
+    const calm = { waiting: 0, returned: 0, held: 0, wantedReserve: 0 };
+    const before = new QuotaLeader(log, 0);
+    before.recordReport(0);
+    before.ledger.recordAllReservesKnown();
+    for (let now = 600; now < 9000; now += 100) {
+      before.answer(1, limit, { ...calm, waiting: 6 }, now, true);
     }
-    return refused;
-  };
-  t.equal(refusedBy(true), 0);
-  t.ok(refusedBy(false) > 0, 'where proxies may use what former leaders granted, it must wait');
-  t.end();
-});
+    const refusedBy = (isFresh: boolean): number => {
+      const leader = new QuotaLeader(new Map(log), 10_000);
+      // All proxies started 300 ms before the leader was elected.
+      if (isFresh) leader.ledger.recordOnlyOwnGrantsSince(9700);
+      if (isFresh) leader.ledger.recordAllReservesKnown();
+      let refused = 0;
+      for (let now = 10_050; now < 11_050; now += 50) {
+        // Twice the usual load, because all callers return.
+        const { granted } = leader.answer(1, limit, { ...calm, waiting: 6 }, now, true);
+        refused += 6 - granted;
+      }
+      return refused;
+    };
+    t.equal(refusedBy(true), 0);
+    t.ok(
+      refusedBy(false) > 0,
+      'while proxies may use grants of former leaders, refusals are necessary',
+    );
+    t.end();
+  },
+);
