--- a/src/appointed/tenancy/allowance_exchange.ts
+++ b/src/appointed/tenancy/allowance_exchange.ts
@@ -70,7 +70,7 @@
   async send(content: whinyoke.IAllowanceRequest, askedAt: number): Promise<boolean> {
     const { runtime, proxy, incarnation, log } = this.dependencies;
     const address = this.leader;
-    const freshnessFields = content.complete ? this.freshness : {};
+    const freshnessFields = content.complete ? this.freshnessFields : {};
     const identity = { proxy, incarnation, sequence: ++this.sequence };
     const allowanceRequest = { ...content, ...identity, ...freshnessFields };
     const lane = content.waitingOnly ? ALTERNATE_LANE : DEFAULT_LANE;
@@ -95,7 +95,7 @@
    * Age of this process and the term of its replies, as long as it has applied replies of at most one term. The leader
    * may then assume that nothing granted by earlier leaders is in use here, because replies of earlier terms are dropped.
    */
-  private get freshness(): Pick<whinyoke.IAllowanceRequest, 'freshMs' | 'freshTerm'> {
+  private get freshnessFields(): Pick<whinyoke.IAllowanceRequest, 'freshMs' | 'freshTerm'> {
     if (this.hasSeenSeveralTerms) return {};
     const ageMs = Math.floor(this.dependencies.runtime.clock.now() - this.startedAt);
     return { freshMs: ageMs + 1, freshTerm: this.term };
--- a/src/appointed/tenancy/operation_budget.ts
+++ b/src/appointed/tenancy/operation_budget.ts
@@ -69,8 +69,8 @@
   const headroom = Math.max(0, allowedExcess - inFlight - ROUNDING_OPERATIONS);
   const capacity = Math.floor(burst + headroom);
   const reserveCapacity = Math.floor(capacity * RESERVE_FRACTION);
-  const lastsMs = (reserveCapacity / ratePerSecond) * MILLISECONDS_PER_SECOND;
-  const reserveDurationMs = Math.min(RESERVE_LEASE_MS, lastsMs);
+  const fullRateDurationMs = (reserveCapacity / ratePerSecond) * MILLISECONDS_PER_SECOND;
+  const reserveDurationMs = Math.min(RESERVE_LEASE_MS, fullRateDurationMs);
   const leasableRate = reserveDurationMs < RESERVE_LEASE_MS ? ratePerSecond * LEASABLE_FRACTION : 0;
   return {
     capacity,
--- a/src/appointed/tenancy/operation_ledger.ts
+++ b/src/appointed/tenancy/operation_ledger.ts
@@ -244,9 +244,9 @@
     now: number,
   ): number {
     if (!this.knowsAllReserves(now)) return 0;
-    const most = reserveCapacity - account.grantedExcept(proxyIncarnation, now).count - held;
+    const maxAdded = reserveCapacity - account.grantedExcept(proxyIncarnation, now).count - held;
     return account.withdraw(
-      Math.min(wantedReserve - held, most),
+      Math.min(wantedReserve - held, maxAdded),
       leaderCapacity * KEPT_FOR_WAITING_FRACTION,
     );
   }
@@ -260,8 +260,8 @@
     now: number,
   ): number {
     if (!this.knowsAllReserves(now)) return heldRate;
-    const most = leasableRate - account.grantedExcept(proxyIncarnation, now).rate;
-    return Math.max(heldRate, Math.min(wantedRate, most));
+    const maxLeased = leasableRate - account.grantedExcept(proxyIncarnation, now).rate;
+    return Math.max(heldRate, Math.min(wantedRate, maxLeased));
   }
 
   /**
--- a/src/appointed/tenancy/tenant_account.ts
+++ b/src/appointed/tenancy/tenant_account.ts
@@ -59,10 +59,10 @@
     this.rate = ratePerSecond;
   }
 
-  /** Adds the operations that accrued since the last refill, up to `most` in the bucket. */
-  refill(most: number, now: number): void {
-    const earned = (this.rate * Math.max(0, now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
-    this.add(earned, most);
+  /** Adds the operations that accrued since the last refill, up to `maxOperations` in the bucket. */
+  refill(maxOperations: number, now: number): void {
+    const accrued = (this.rate * Math.max(0, now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
+    this.add(accrued, maxOperations);
     this.refilledAt = Math.max(this.refilledAt, now);
   }
 
@@ -71,15 +71,15 @@
     this.refilledAt -= moreMs;
   }
 
-  /** Adds operations, such as returned ones, up to `most` in the bucket. */
-  add(count: number, most: number): void {
-    this.level = Math.max(0, Math.min(most, this.level + count));
+  /** Adds operations, such as returned ones, up to `maxOperations` in the bucket. */
+  add(count: number, maxOperations: number): void {
+    this.level = Math.max(0, Math.min(maxOperations, this.level + count));
   }
 
   /** Withdraws up to `wanted` whole operations and leaves at least `kept`, and the successor reserve, in the bucket. */
   withdraw(wanted: number, kept = 0): number {
-    const most = Math.floor(this.level - Math.max(kept, this.reservedForSuccessor));
-    const taken = Math.max(0, Math.min(wanted, most));
+    const available = Math.floor(this.level - Math.max(kept, this.reservedForSuccessor));
+    const taken = Math.max(0, Math.min(wanted, available));
     this.level -= taken;
     return taken;
   }
--- a/src/appointed/tenancy/tenant_allowance.ts
+++ b/src/appointed/tenancy/tenant_allowance.ts
@@ -137,7 +137,7 @@
 
   /** Whether there is an unexpired reserve or leased rate. */
   hasReserve(now: number): boolean {
-    return this.grantedReserve(now) > 0 || this.heldRate(now) > 0;
+    return this.grantedReserve(now) > 0 || this.grantedRate(now) > 0;
   }
 
   /** Records an operation that did not run. It must be returned before reuse, because the leader counts it as used. */
@@ -175,7 +175,7 @@
     const returned = this.takeUnused(now) + Math.max(0, Math.floor(available - held));
     this.reserve = Math.min(available, held);
     const wantedRate = this.wantedRate;
-    const heldRate = Math.min(this.heldRate(now), wantedRate);
+    const heldRate = Math.min(this.grantedRate(now), wantedRate);
     this.leasedRate = heldRate;
     // Without a leased rate the reserve cannot grow.
     const heldMost = heldRate > 0 ? Math.max(held, Math.min(this.maxReserve, wantedReserve)) : held;
@@ -209,7 +209,7 @@
   /** Renews the lease without adding operations: another leader may count on the reserve reported to it. */
   renewReserve(askedAt: number, now: number): void {
     const { maxReserve: most } = this;
-    this.addReserve({ added: 0, rate: this.heldRate(now), most }, askedAt, now);
+    this.addReserve({ added: 0, rate: this.grantedRate(now), most }, askedAt, now);
   }
 
   /** Records that the leader has no operations for this tenant until `until`. */
@@ -228,14 +228,14 @@
 
   /** Current reserve, including what the leased rate added. */
   private grantedReserve(now: number): number {
-    const earned = (this.leasedRate * (now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
+    const accrued = (this.leasedRate * (now - this.refilledAt)) / MILLISECONDS_PER_SECOND;
     this.refilledAt = now;
     if (now >= this.reserveExpiresAt) this.maxReserve = 0;
-    this.reserve = Math.min(this.maxReserve, this.reserve + earned);
+    this.reserve = Math.min(this.maxReserve, this.reserve + accrued);
     return this.reserve;
   }
 
-  private heldRate(now: number): number {
+  private grantedRate(now: number): number {
     return now < this.reserveExpiresAt ? this.leasedRate : 0;
   }
 
--- a/test/simulation/tenancy.test.ts
+++ b/test/simulation/tenancy.test.ts
@@ -73,9 +73,9 @@
   'a revoked credential is refused within its bound, even by a partitioned proxy',
   async (t) => {
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
-      const guarded = await runRevocationScenario(seed, ['fleet-quota']);
-      t.same(guarded.violations, [], `seed ${seed}`);
-      t.ok(guarded.ran > 5, 'statements still run before the bound');
+      const withProtection = await runRevocationScenario(seed, ['fleet-quota']);
+      t.same(withProtection.violations, [], `seed ${seed}`);
+      t.ok(withProtection.ran > 5, 'statements still run before the bound');
       const { violations } = await runRevocationScenario(seed, [
         'fleet-quota',
         'credential-freshness',
--- a/test/tools/quota_fleet.ts
+++ b/test/tools/quota_fleet.ts
@@ -28,10 +28,10 @@
 
   constructor(
     private readonly log: Map<string, number>,
-    readonly begunAt: number,
+    readonly beganAt: number,
   ) {
     this.ledger = new OperationLedger(RULES, (tenant) => log.get(tenant));
-    this.ledger.beginLeadership(begunAt);
+    this.ledger.beginLeadership(beganAt);
   }
 
   /** Answers as the service does. A change of the successor reserve that is not committed has no effect. */
@@ -97,13 +97,13 @@
   private readonly reserves = new Map<number, ModelReserve>();
   private readonly log = new Map<string, number>();
   private leader = new QuotaLeader(this.log, this.now);
-  private former: QuotaLeader | undefined;
+  private formerLeader: QuotaLeader | undefined;
 
   constructor(private readonly limit: OperationLimit) {}
 
   /** Elects another leader. The former one may still answer for a while. */
   elect(): void {
-    this.former = this.leader;
+    this.formerLeader = this.leader;
     this.leader = new QuotaLeader(this.log, this.now);
   }
 
@@ -112,7 +112,7 @@
     const lostAt = this.now;
     this.now += forMs;
     this.elect();
-    this.former = undefined;
+    this.formerLeader = undefined;
     this.reserves.clear();
     this.runs = this.runs.map((ranAt) => Math.min(ranAt, lostAt));
     for (let each = 0; each < PROXY_COUNT; each++) this.leader.recordReport(each);
@@ -134,7 +134,12 @@
     const asked = this.leaderAskedBy(step);
     if (asked === leader) leader.recordReport(proxy);
     const answer = asked.answer(proxy, limit, demand, now, step.commits && asked === leader);
-    const kept = { count: Math.min(available, held), most: heldMost, rate: heldRate, at: now };
+    const kept = {
+      count: Math.min(available, held),
+      most: heldMost,
+      rate: heldRate,
+      at: now,
+    };
     if (step.isReplyLost) {
       this.reserves.set(proxy, { ...kept, until: own.until });
       return;
@@ -159,20 +164,20 @@
   get exceedsLimit(): boolean {
     const { ratePerSecond, burst } = this.limit;
     const perWindow = (ratePerSecond * RULES.windowMs) / 1000 + burst;
-    const most = perWindow * (1 + RULES.overage) + RULES.tolerance;
+    const maxOperations = perWindow * (1 + RULES.overage) + RULES.tolerance;
     const times = this.runs.sort((left, right) => left - right);
     return times.some((begin, index) => {
       const end = times.findLastIndex((time) => time < begin + RULES.windowMs);
-      return end - index + 1 > most;
+      return end - index + 1 > maxOperations;
     });
   }
 
   /** A former leader may still answer for a while, but cannot commit, and proxies that reported to the new one never ask it. */
   private leaderAskedBy({ proxy, asksFormerLeader }: QuotaStep): QuotaLeader {
-    const { leader, former, now } = this;
+    const { leader, formerLeader, now } = this;
     const mayAskFormer =
-      now - leader.begunAt < LEADER_OVERLAP_MS && !leader.reportedProxies.has(proxy);
-    return asksFormerLeader && mayAskFormer && former ? former : leader;
+      now - leader.beganAt < LEADER_OVERLAP_MS && !leader.reportedProxies.has(proxy);
+    return asksFormerLeader && mayAskFormer && formerLeader ? formerLeader : leader;
   }
 
   /** Operations run immediately, or at the latest time at which a grant to a waiting request is valid. */
--- a/test/unit/allowance_client.test.ts
+++ b/test/unit/allowance_client.test.ts
@@ -110,8 +110,8 @@
     proxy.address = 'control-2';
     isSilent = true;
     await proxy.acquire(250);
-    const [told] = proxy.received.filter(({ address }) => address === 'control-2');
-    t.match(told, { complete: true, demands: [{ tenant: 'ana' }] });
+    const [fullReport] = proxy.received.filter(({ address }) => address === 'control-2');
+    t.match(fullReport, { complete: true, demands: [{ tenant: 'ana' }] });
     // The former leader is the leader again; the other one may count on the report it received.
     proxy.address = 'control-1';
     const before = proxy.received.length;
