--- a/src/appointed/proxy/leader_search.ts
+++ b/src/appointed/proxy/leader_search.ts
@@ -1,5 +1,5 @@
 /**
- * Searches the control leader when it is unknown, for example because it failed or is unreachable while leases expire.
+ * Searches for the control leader when it is unknown, for example because it failed or is unreachable while leases expire.
  * Initially {@link SEARCH_CONCURRENCY} control machines are asked at once, and another one every
  * {@link SEARCH_STEP_INTERVAL_MS}. Each one answers as the leader, names the leader, or is asked again after a pause. After
  * {@link FAILURES_BEFORE_FORWARDING} consecutive failures, requests are also sent through other proxies. A search ends when
