--- a/src/consensus/cluster_joiner.ts
+++ b/src/consensus/cluster_joiner.ts
@@ -1,12 +1,12 @@
 /**
- * How a control machine finds its place in the cluster.
+ * Lets a control machine find or found its cluster, and maintains the membership on the leader.
  *
- * A machine is known by a name that lives on its disk. One whose disk was lost makes a new name, joins as
- * a learner, and votes only when the leader made it a voter in place of the lost one: an old name with
- * an empty disk could forget what it had confirmed. See docs/design/control-membership.md.
+ * Each machine has an identity stored on its disk. A machine that lost its disk generates a new
+ * identity and joins as a learner; it becomes a voter only when the leader promotes it in place of
+ * the lost member. Reusing the old identity with an empty disk could lose votes and entries that
+ * the old member had confirmed. See docs/design/control-membership.md.
  *
- * Owns the timer of the search and whether a change of membership is under way. Relies on the other control machines, which may
- * be out of reach, and on the disk: each tick tries again what failed.
+ * Requests that fail and writes that the disk refuses are repeated at the next tick.
  */
 import { type Member, Membership } from './membership.js';
 import { nextMembership } from './elastic_membership.js';
@@ -15,12 +15,10 @@
 import { type Runtime, type Timer } from '../runtime/runtime.js';
 
 const IDENTITY_FILE = 'identity';
-/** Time between two looks at the place of this machine, in milliseconds. A guess, not measured. */
 const MEMBERSHIP_CHECK_INTERVAL_MS = 300;
-/** Time for a machine to answer, in milliseconds. A guess, not measured. */
 const REQUEST_TIMEOUT_MS = 500;
 
-/** Name of this machine from its disk, made when there is none. */
+/** Reads the identity of this machine from its disk, or generates and stores one. */
 export async function loadIdentity(runtime: Runtime, forced?: string): Promise<string> {
   if (forced !== undefined) return forced;
   const stored = await runtime.folder.read(IDENTITY_FILE);
@@ -30,25 +28,29 @@
   return identity;
 }
 
-/** Rules of a cluster whose machines come and go at any address. */
+/** Options of a cluster whose machines can join and leave at any address. */
 interface ElasticOptions {
-  /** Whether this machine may found a cluster with the others of its list. */
+  /** Whether this machine may found a new cluster together with the other configured machines. */
   readonly mayBootstrap: boolean;
-  /** Number of voters to keep; other machines stand by as learners. */
+  /** Number of voters to maintain; all other machines stay learners. */
   readonly voterCount: number;
 }
 
-/** How to begin. */
+/** How a machine starts. */
 export interface JoinerOptions {
-  /** Begin a new cluster of one from the state on this disk, after a majority of the disks was lost for good. */
+  /**
+   * Founds a cluster of one from the local state, after a majority of the disks was lost
+   * permanently.
+   */
   readonly recoversAsSingleMember: boolean;
-  /** Take addresses for names and begin at once. Unsafe; only for the lab. */
+  /**
+   * Uses addresses as identities and bootstraps at once. Unsafe with lost disks; only for the lab.
+   */
   readonly usesAddressesAsIds: boolean;
   /** Without it, the list of control machines is fixed. */
   readonly elastic?: ElasticOptions;
 }
 
-/** Joiner of one control machine. */
 export class ClusterJoiner {
   private timer: Timer | undefined;
   private stopped = false;
@@ -61,7 +63,7 @@
     private readonly options: JoinerOptions,
   ) {}
 
-  /** Settles what can be settled without other machines. */
+  /** Bootstraps where the options allow it without contacting other machines. */
   async prepare(): Promise<void> {
     const self = this.self();
     if (this.options.recoversAsSingleMember && this.hasMembership()) {
@@ -76,18 +78,20 @@
     }
   }
 
-  /** Looks for a cluster when this machine has none, and repairs the membership when it leads. */
+  /**
+   * Starts the periodic check: joins a cluster if this machine has none, repairs the membership if
+   * it leads.
+   */
   start(): void {
     void this.tick();
   }
 
-  /** Stops. */
   stop(): void {
     this.stopped = true;
     this.timer?.cancel();
   }
 
-  /** Answers a machine that looks for a cluster. */
+  /** Handles a join request of another machine. */
   async onJoin(request: whinyoke.IJoinRequest): Promise<whinyoke.IJoinReply> {
     const { id, address } = request.member ?? {};
     const member: Member = { id: id ?? '', address: address ?? '', isLearner: true };
@@ -119,7 +123,7 @@
     try {
       await this.checkMembership();
     } catch {
-      // The disk refused a write, so this machine founded nothing; the next tick tries again.
+      // A disk write failed, so no cluster was founded; the next tick retries.
     }
     if (this.stopped) return;
     this.timer = this.runtime.clock.setTimer(MEMBERSHIP_CHECK_INTERVAL_MS, () => void this.tick());
@@ -151,7 +155,7 @@
     return elastic.mayBootstrap && this.controlAddresses().includes(this.node.address);
   }
 
-  /** Asks all machines of the list, and the leader that they name, to be taken in. */
+  /** Sends a join request to all configured machines and to the leaders that their replies name. */
   private async requestJoinFromAll(): Promise<(whinyoke.IJoinReply | undefined)[]> {
     const others = this.controlAddresses().filter((address) => address !== this.node.address);
     const replies = await Promise.all(others.map((address) => this.requestJoin(address)));
@@ -171,7 +175,7 @@
       const body = await messenger.request(address, request, REQUEST_TIMEOUT_MS);
       return body.joinReply ?? undefined;
     } catch {
-      // Counts as a machine that is not there; the next tick asks it again.
+      // Treated as unreachable; the next tick sends the request again.
       return undefined;
     }
   }
@@ -197,7 +201,7 @@
     if (next) await this.proposeMembership(next);
   }
 
-  /** Makes learners that have caught up voters, then removes the machines they replace. */
+  /** Promotes a learner that has caught up; without learners, removes a voter that was replaced. */
   private async promoteLearners(): Promise<void> {
     const { membership } = this.node;
     const learner = membership.members.find((member) => member.isLearner);
@@ -210,7 +214,10 @@
     if (replaced) await this.proposeMembership(membership.without(replaced.id));
   }
 
-  /** Members are appended in the order they joined: a later one at the same address replaces. */
+  /**
+   * Members are listed in the order in which they joined; the newest one at an address replaces the
+   * others.
+   */
   private isReplaced(member: Member): boolean {
     const { voters } = this.node.membership;
     const sameAddress = voters.filter((voter) => voter.address === member.address);
@@ -223,7 +230,8 @@
     try {
       await this.node.changeMembership(next);
     } catch {
-      // The leadership was lost or a change is under way. The next tick compares again, on the machine that leads then.
+      // Leadership was lost or another change is in progress. The next tick of the leader compares
+      // again.
     } finally {
       this.isChangingMembership = false;
     }
--- a/src/consensus/elastic_membership.ts
+++ b/src/consensus/elastic_membership.ts
@@ -1,38 +1,39 @@
 /**
- * DECISION: which machines vote, in a cluster whose machines come and go.
+ * Decides which machines vote in a cluster whose machines come and go.
  *
- * Answers: control machines that are lost for good, that lost their disk, or that come back.
- * Inputs: the membership, milliseconds since each member answered, entries that each member lacks, voters to keep.
- * Rule: keeps a fixed number of voters and replaces those that are lost by learners that have caught up. One member changes
- *   at a time; a voter is removed only after its successor votes. A later member at an address replaces an earlier one there.
- * Constants: below. See docs/design/control-membership.md. Pure.
+ * The leader keeps a fixed number of voters. It replaces voters that are unreachable, or that lost
+ * their disk, by learners that have caught up. One member changes at a time, and a voter is removed
+ * only after its replacement votes. A newer member at an address supersedes the older ones there.
+ * See docs/design/control-membership.md. Pure: no I/O, no clock.
  */
 import type { Member, Membership } from './membership.js';
 
-/** A voter that is silent for longer is replaced when a learner is ready, in milliseconds. A guess, not measured. */
+/** A voter without contact for longer is replaced once a learner is ready. */
 const VOTER_TIMEOUT_MS = 1500;
-/** A learner that is silent for longer is removed, in milliseconds: it holds up nothing. A guess, not measured. */
+/**
+ * A learner without contact for longer is removed. It is not part of any quorum, so this is not
+ * urgent.
+ */
 const LEARNER_TIMEOUT_MS = 10_000;
 
-/** What the leader knows of the members. */
+/** What the leader knows about the members. */
 export interface MembershipFacts {
-  /** Identity of the leader. */
   readonly leaderId: string;
-  /** Number of voters to keep. */
+  /** Number of voters to maintain. */
   readonly voterCount: number;
-  /** Milliseconds since a member answered. */
+  /** Milliseconds since the newest reply of a member. */
   readonly contactAgeMs: (id: string) => number;
-  /** Entries that a member lacks. */
+  /** Number of log entries that a member lacks. */
   readonly missingEntries: (id: string) => number;
 }
 
-/** Whether a later member has the same address: this one's disk was lost. */
+/** Whether a newer member has the same address, which means that this one's disk was lost. */
 function isSuperseded(member: Member, membership: Membership): boolean {
   const sameAddress = membership.members.filter((other) => other.address === member.address);
   return sameAddress.at(-1)?.id !== member.id;
 }
 
-/** The next single change, or undefined when nothing is to do. */
+/** Next change of a single member, or undefined if none is needed. */
 export function nextMembership(
   membership: Membership,
   facts: MembershipFacts,
--- a/src/consensus/election_timer.ts
+++ b/src/consensus/election_timer.ts
@@ -1,39 +1,34 @@
 /**
- * DECISION: when a member that hears of no leader tries to become one.
+ * Decides when a member that receives no messages of a leader starts an election.
  *
- * Answers: a leader that is lost; a start of all members at once; candidates that collide, also in regions far apart.
- * Inputs: election timeouts of the options (milliseconds), whether a leader was seen since the start, the place of this
- *   member among the voters, votes lost since a leader was known, and a random draw for each wait.
- * Rule: with a leader seen, one to two election timeouts after its newest message. Before that, with early elections: the
- *   first try after a ninth of the early timeout and a third more for each voter with a lesser name; later ones between a
- *   third of it and a multiple that grows with each lost vote. A vote for another member adds the time that it needs to win.
- * Constants: below; docs/design/control-over-regions.md shows the ways weighed.
- *
- * Owns one timer. Relies on the clock and on random numbers, neither of which fails.
+ * Once it has seen a leader, a member waits one to two election timeouts after the leader's newest
+ * message. Before that, with `initialElectionTimeoutMs`, it starts earlier: the first attempt is
+ * staggered by the member's rank among the voters, so that members that start together do not split
+ * the vote, and later attempts are spread over a range that grows with each lost election. A vote
+ * for another member adds the time that the candidate needs to win. See
+ * docs/design/control-over-regions.md.
  */
 import type { Clock, RandomSource, Timer } from '../runtime/runtime.js';
 import type { RaftOptions } from './raft_options.js';
 
 /**
- * Most of the first wait that is left to chance, as a part of its length: equal ranks must not collide for ever. A guess, not
- * measured.
+ * Random part of the first wait, relative to its length, so that members with equal ranks do not
+ * collide forever.
  */
 const FIRST_WAIT_JITTER = 0.25;
 
 /**
- * Each lost vote spreads the tries over so many times the usual time more. With 2 the longest of 200 returns of power to
- * two regions 30 ms apart took 903 ms until a leader stayed, with 1 and 3 1,007 and 1,204 ms (elections.test.ts).
+ * Each lost election widens the range of waits by this multiple of the initial election timeout.
  */
 const BACKOFF_PER_LOST_ELECTION = 2;
-/** Beyond so many lost votes the tries are not spread over more time. A guess, not measured. */
+/** Further lost elections do not widen the range. */
 const MAX_COUNTED_LOST_ELECTIONS = 3;
 
-/** Timer of one member. */
 export class ElectionTimer {
   private timer: Timer | undefined;
   private hasSeenLeader = false;
   private hasFired = false;
-  /** Votes that this member lost since it knew a leader. */
+  /** Elections lost since a leader was last known. */
   private lostElections = 0;
   private isStopped = false;
 
@@ -42,11 +37,11 @@
     private readonly random: RandomSource,
     private readonly options: RaftOptions,
     private readonly onTimeout: () => void,
-    /** Position of this member among the voters, from 0; undefined while no voters are known. */
+    /** Rank of this member among the voters, from 0; undefined while no voters are known. */
     private readonly voterRank: () => number | undefined,
   ) {}
 
-  /** Begins to wait anew, for `moreMs` longer than usual. */
+  /** Restarts the wait, extended by `extraDelayMs`. */
   restart(extraDelayMs = 0): void {
     this.timer?.cancel();
     if (this.isStopped) return;
@@ -58,21 +53,22 @@
     });
   }
 
-  /** There is a leader: from now on this member tries only after whole election timeouts, until it restarts. */
+  /** Records that there is a leader: full election timeouts apply until the process restarts. */
   recordLeader(): void {
     this.hasSeenLeader = true;
     this.lostElections = 0;
   }
 
   /**
-   * This member got too few votes: others wanted them at the same time. Candidates that collided once are a
-   * trip apart at most, so their next tries are spread over more than that.
+   * Records that this member got too few votes because other candidates ran at the same time.
+   * Colliding candidates are at most one network delay apart, so spreading the next attempts over a
+   * longer range separates them.
    */
   recordLostElection(): void {
     this.lostElections = Math.min(this.lostElections + 1, MAX_COUNTED_LOST_ELECTIONS);
   }
 
-  /** Stops to wait, for good. */
+  /** Stops permanently. */
   stop(): void {
     this.isStopped = true;
     this.timer?.cancel();
@@ -92,7 +88,7 @@
       ];
     const rank = this.voterRank();
     if (rank === undefined) return [Math.ceil(third / 3), third];
-    // After a start of all members the first tries follow one another, so that they don't collide.
+    // The first attempts are staggered by rank so that they do not collide.
     const first = Math.ceil(third / 3) + rank * third;
     return [first, Math.ceil(first * (1 + FIRST_WAIT_JITTER))];
   }
--- a/src/consensus/leader_election.ts
+++ b/src/consensus/leader_election.ts
@@ -1,18 +1,16 @@
 /**
- * DECISION: who wins an election, and whom a member votes for. When one begins: `election_timer.ts`.
+ * Decides whom a member votes for and which candidate wins. `election_timer.ts` decides when an
+ * election starts.
  *
- * Answers: the leader crashed or was cut off, or all members start at once, also in regions that are far apart.
- * Inputs: the log's newest index and term, the stored vote (term and member), milliseconds since a leader was heard of,
- *   and how long the pre-vote and the sync of the own vote just took (milliseconds).
- * Rule: a member tries with a pre-vote, which changes nothing, and asks for votes in a new term only when a majority
- *   granted it. A voter grants one vote a term, to a candidate whose log is not behind its own, and no pre-vote while it
- *   hears of a leader or waits for one that it voted for. The candidate with the votes of a majority of voters leads.
- *   A candidate waits for its votes for twice the time of its pre-vote; a voter gives the winner the time that the
- *   candidate named in its request, at most an election timeout. No constants of its own. Both holds were measured over 200 returns
- *   of power: docs/design/control-over-regions.md, test/simulation/elections.test.ts.
+ * A member first runs a pre-vote, which changes no state, and starts a new term only if a majority
+ * grants it. A voter grants one vote per term, to a candidate whose log is at least as up to date
+ * as its own. It grants no pre-vote while it receives messages of a leader or waits for a candidate
+ * that it voted for. A candidate with the votes of a majority of the voters becomes leader.
  *
- * Owns when a leader was heard of last, and until when one is waited for. Relies on the disk (a vote counts once it is
- * synced; a disk that fails makes this member no candidate) and on the other voters' answers (any of them may be missing).
+ * Between distant regions votes arrive late. A candidate therefore waits for its votes for twice
+ * the duration of its pre-vote, and a voter gives the candidate the time that the request asks for,
+ * at most one election timeout. A vote counts once it is synced to disk; a member whose disk fails
+ * does not become a candidate.
  */
 import { whinyoke } from '../protocol/generated/messages.js';
 import type { MessageBody } from '../runtime/runtime.js';
@@ -21,22 +19,25 @@
 import type { RaftOptions } from './raft_options.js';
 import { collectVotes } from './vote_collector.js';
 
-/** The leader's side of a member, as far as elections need it. */
+/** Leader functions of a member, as far as elections need them. */
 export interface Leadership {
   /** Whether this leader is in contact with a majority. */
   readonly hasQuorum: boolean;
-  /** Begins to lead in the present term. */
+  /** Starts to lead in the current term. */
   startLeading(): void;
 }
 
-/** Elections as one member takes part in them. */
 export class LeaderElection {
   private readonly timer: ElectionTimer;
   /** Clock reading of the newest message of a leader, in milliseconds. */
   private lastLeaderMessageAt = -Infinity;
-  /** Until when a member that this one voted for may take to send its first message as a leader. */
+  /**
+   * Until when a candidate that this member voted for may take to send its first message as leader.
+   */
   private awaitsWinnerUntil = -Infinity;
-  /** Until when the votes of this candidate may be on their way: twice the time that its pre-vote took. */
+  /**
+   * Until when votes for this candidate may still be in flight: twice the duration of its pre-vote.
+   */
   private awaitsVotesUntil = -Infinity;
   private isStopped = false;
 
@@ -55,18 +56,18 @@
     );
   }
 
-  /** Waits one more election timeout before this member acts. */
+  /** Restarts the wait for an election. */
   restartTimer(): void {
     this.timer.restart();
   }
 
-  /** Ends for good. */
+  /** Stops permanently. */
   stop(): void {
     this.isStopped = true;
     this.timer.stop();
   }
 
-  /** Whether a leader was heard of within an election timeout. */
+  /** Whether a leader's message arrived within an election timeout. */
   get heardLeaderRecently(): boolean {
     return this.runtime.clock.now() - this.lastLeaderMessageAt < this.options.electionTimeoutMs;
   }
@@ -83,7 +84,7 @@
     this.timer.restart();
   }
 
-  /** Answers a candidate. */
+  /** Handles a vote or pre-vote request of a candidate. */
   async onVoteRequest(request: whinyoke.IVoteRequest): Promise<MessageBody> {
     const { state } = this;
     const term = request.term ?? 0;
@@ -101,20 +102,23 @@
     return this.voteReply(state.term === term);
   }
 
-  /** Whether the vote of a term is not given to another candidate. */
+  /** Whether this member has not voted for another candidate in the term. */
   private mayVoteFor(candidate: string, term: number): boolean {
     const { vote } = this.state.log;
     return vote.term < term || vote.votedFor === '' || vote.votedFor === candidate;
   }
 
-  /** Leaves the candidate that gets this member's vote the time that it needs to win. */
+  /** Delays this member's own election by the time that the candidate needs to win. */
   private deferToCandidate(requestedMs: number): void {
     const winningMs = Math.min(requestedMs, this.options.electionTimeoutMs);
     this.awaitsWinnerUntil = this.runtime.clock.now() + winningMs;
     this.timer.restart(winningMs);
   }
 
-  /** Answer to a pre-vote: a cluster that has a leader, or a member that has voted, is not disturbed. */
+  /**
+   * Refuses while the cluster has a leader, or after this member has voted, so that elections do
+   * not disturb it.
+   */
   private grantsPreVote(request: whinyoke.IVoteRequest): boolean {
     const { state } = this;
     const term = request.term ?? 0;
@@ -123,7 +127,9 @@
     return isVoteAvailable && !this.expectsLeader && state.log.isCandidateUpToDate(request);
   }
 
-  /** Whether a leader was heard of lately, or is about to be: this member has just voted for somebody. */
+  /**
+   * Whether a leader's message arrived recently, or is expected because this member has just voted.
+   */
   private get expectsLeader(): boolean {
     return this.heardLeaderRecently || this.runtime.clock.now() < this.awaitsWinnerUntil;
   }
@@ -136,11 +142,11 @@
     const { state } = this;
     this.timer.restart();
     if (state.role === 'leader') {
-      // Check-quorum: a leader that was cut off stops accepting.
+      // Check-quorum: a leader that was partitioned from the majority stops accepting.
       if (!this.leadership.hasQuorum) state.stepDown(state.term);
       return;
     }
-    // The votes of a candidate are still on their way: another term would only make them worthless.
+    // Votes for this candidate are still in flight; another term would make them worthless.
     if (state.role === 'candidate' && this.runtime.clock.now() < this.awaitsVotesUntil) return;
     if (state.membership.isVoter(state.id)) void this.campaign();
   }
@@ -151,15 +157,17 @@
     const term = state.term + 1;
     const startedAt = clock.now();
     state.leader = '';
-    // Pre-vote: a member that can't win must not disturb the cluster with a higher term. Several may be under way, where
-    // a trip takes longer than the time between two tries; the first that is granted counts.
+    // Pre-vote: a member that can't win must not disturb the cluster with a higher term. Several
+    // can be in flight if a round trip takes longer than the wait between attempts; the first one
+    // granted counts.
     const isPreVoteGranted = await this.collectVotes(term, true, 0);
     const preVoteMs = clock.now() - startedAt;
-    // In a term that began meanwhile another member is about to win, or this one is, or has won.
+    // If a term began in the meantime, its candidate is about to win, possibly this member.
     if (!isPreVoteGranted || state.role === 'leader' || state.term !== term - 1) return;
     if (this.isStopped || this.expectsLeader) return;
     const hasWon = await this.requestVotes(term, preVoteMs);
-    // A member that stepped down meanwhile, or is in another term, is a candidate no more.
+    // This member stepped down or entered another term in the meantime, so it is no longer a
+    // candidate.
     if (state.term !== term || state.role !== 'candidate') return;
     if (hasWon) {
       this.becomeLeader();
@@ -169,25 +177,27 @@
     this.timer.recordLostElection();
   }
 
-  /** Stands in a new term; resolves with whether a majority voted for this member. */
+  /** Becomes a candidate in a new term; resolves with whether a majority voted for this member. */
   private async requestVotes(term: number, preVoteMs: number): Promise<boolean> {
     const { clock } = this.runtime;
     const candidateSince = clock.now();
     this.awaitsVotesUntil = candidateSince + 2 * preVoteMs;
     this.state.becomeCandidate(term);
     const isSaved = await this.saveOwnVote(term);
-    // A round trip and a sync at the voter, as the pre-vote and the own vote took, then the way of the first message.
+    // A round trip and a sync at the voter, estimated from the pre-vote and this member's own vote,
+    // plus the network delay of the first leader message.
     const winningMs = 2 * preVoteMs + (clock.now() - candidateSince);
     return isSaved && (await this.collectVotes(term, false, winningMs));
   }
 
-  /** Stores the vote of this member for itself; resolves with whether that succeeded. */
+  /** Stores this member's vote for itself; resolves with whether that succeeded. */
   private async saveOwnVote(term: number): Promise<boolean> {
     try {
       await this.state.log.saveVote({ term, votedFor: this.state.id });
       return true;
     } catch {
-      // Nobody knows of this vote, so nothing is lost; the next election timeout tries again.
+      // The vote was not sent to any other member, so it has no effect; the next election timeout
+      // retries.
       return false;
     }
   }
--- a/src/consensus/log_applier.ts
+++ b/src/consensus/log_applier.ts
@@ -1,39 +1,34 @@
 /**
- * Applies committed entries to the state machine in order, and replaces old ones by snapshots.
+ * Applies committed entries to the state machine in order and replaces old entries by snapshots.
  *
- * Owns how far entries are committed and applied. Relies on the disk for snapshots only: without one the log grows, and the
- * next commit tries again.
+ * If a snapshot cannot be written, the log keeps growing and the next commit tries again.
  */
 import { whinyoke } from '../protocol/generated/messages.js';
 import type { LogEntry, RaftLog } from './raft_log.js';
 
-/** The replicated state machine. */
 export interface StateMachine {
-  /** Applies a committed command and returns its result. Must depend on nothing else. */
+  /** Applies a committed command and returns its result. Must be deterministic. */
   apply(index: number, command: Uint8Array): Uint8Array;
-  /** Whole state, for a snapshot. */
+  /** Serializes the whole state for a snapshot. */
   serialize(): Uint8Array;
   /** Replaces the state by that of a snapshot. */
   restore(lastIndex: number, state: Uint8Array): void;
 }
 
-/** Is called as entries are applied. */
+/** Callbacks for applied entries. */
 export interface ApplierListener {
-  /** One entry was applied, with this result of the state machine. */
+  /** An entry was applied, with this result of the state machine. */
   onEntry(entry: LogEntry, result: Uint8Array): void;
-  /** Everything up to an index is applied. */
+  /** All entries up to an index are applied. */
   onApplied(index: number): void;
 }
 
-/** Applier of one member. */
 export class LogApplier {
   private committed: number;
   private applied: number;
   private isCompacting = false;
 
-  /**
-   * @param snapshotEntries - applied entries after which a snapshot replaces them
-   */
+  /** @param snapshotEntries - number of applied entries after which a snapshot replaces them */
   constructor(
     private readonly log: RaftLog,
     private readonly machine: StateMachine,
@@ -46,35 +41,35 @@
     if (snapshot) machine.restore(snapshot.lastIndex, snapshot.state);
   }
 
-  /** Newest index known to be committed. */
   get commitIndex(): number {
     return this.committed;
   }
 
-  /** Newest applied index. */
   get appliedIndex(): number {
     return this.applied;
   }
 
-  /** State of the machine, for a snapshot. */
+  /** Serializes the state machine for a snapshot. */
   serialize(): Uint8Array {
     return this.machine.serialize();
   }
 
-  /** Replaces the state by that of a snapshot of the leader. */
+  /** Replaces the state by that of a snapshot received from the leader. */
   restore(lastIndex: number, state: Uint8Array): void {
     this.machine.restore(lastIndex, state);
     this.markApplied(lastIndex);
   }
 
-  /** Counts everything up to an index as applied: a snapshot holds it. */
+  /**
+   * Marks all entries up to an index as committed and applied, because a snapshot contains them.
+   */
   markApplied(lastIndex: number): void {
     this.committed = Math.max(this.committed, lastIndex);
     this.applied = Math.max(this.applied, lastIndex);
     this.listener.onApplied(this.applied);
   }
 
-  /** Applies everything up to an index that is now known to be committed. */
+  /** Marks all entries up to an index as committed and applies them. */
   commitTo(index: number): void {
     if (index <= this.committed) return;
     this.committed = index;
@@ -105,8 +100,9 @@
       membership: this.log.membershipAt(this.applied) ?? {},
       state: this.machine.serialize(),
     };
-    // A snapshot that could not be stored is lost, and nothing else: the log grows, and the next commit tries again. The disk's
-    // fault shows at the next entry, which is not confirmed.
+    // A snapshot that could not be stored has no other effect: the log grows, and the next commit
+    // tries again. If the disk fails, the next entry is not confirmed, which makes the failure
+    // visible.
     const onCompacted = (): void => {
       this.isCompacting = false;
     };
--- a/src/consensus/log_receiver.ts
+++ b/src/consensus/log_receiver.ts
@@ -1,7 +1,6 @@
 /**
- * The follower's side of the log: takes entries and snapshots of the leader and confirms them once they are on disk.
- *
- * Owns nothing of its own. Relies on the disk: where it refuses a write, the leader gets no confirmation and sends again.
+ * The follower's side of the log: receives entries and snapshots of the leader and confirms them
+ * once they are on disk. If a write fails, the leader gets no confirmation and sends again.
  */
 import type { whinyoke } from '../protocol/generated/messages.js';
 import type { MessageBody } from '../runtime/runtime.js';
@@ -11,7 +10,6 @@
 import { NotDurableError } from './raft_errors.js';
 import { type LogEntry, type Snapshot, entryFromMessage } from './raft_log.js';
 
-/** Receiver of one member. */
 export class LogReceiver {
   constructor(
     private readonly state: MemberState,
@@ -20,8 +18,8 @@
   ) {}
 
   /**
-   * Takes entries of a leader.
-   * @throws NotDurableError when the disk did not take them
+   * Stores entries of a leader.
+   * @throws NotDurableError if they could not be written to disk
    */
   async onAppendRequest(request: whinyoke.IAppendRequest): Promise<MessageBody> {
     const { state } = this;
@@ -39,13 +37,15 @@
     await Promise.all([this.persistTerm(), durable]);
     if (state.term !== term) return this.appendReply(false, 0);
     if (state.log.durableIndex < matchIndex) {
-      throw new NotDurableError(`entries up to ${matchIndex} are not on disk`);
+      throw new NotDurableError(
+        `cannot confirm entries up to ${matchIndex}: not all of them are on disk`,
+      );
     }
     this.applier.commitTo(Math.min(request.commitIndex ?? 0, matchIndex));
     return this.appendReply(true, matchIndex);
   }
 
-  /** Takes a snapshot of a leader, in place of entries that the leader no longer has. */
+  /** Installs a snapshot of a leader, in place of entries that the leader has compacted. */
   async onSnapshotRequest(request: whinyoke.ISnapshotRequest): Promise<MessageBody> {
     const { state } = this;
     const term = request.term ?? 0;
@@ -78,11 +78,14 @@
       this.state.reloadMembership();
       await stored;
     }
-    // An earlier try may have left the snapshot in memory only.
+    // An earlier attempt may have left the snapshot in memory only.
     await log.persistSnapshot();
   }
 
-  /** Whether the log holds the entry before the new ones. Entries that a snapshot replaced are committed, so they match. */
+  /**
+   * Whether the log contains the entry before the new ones. Entries in a snapshot are committed, so
+   * they match.
+   */
   private hasPreviousEntry(previousIndex: number, previousTerm: number): boolean {
     const { log } = this.state;
     const snapshotIndex = log.snapshot?.lastIndex ?? 0;
@@ -90,7 +93,10 @@
     return log.termAt(previousIndex) === previousTerm;
   }
 
-  /** Appends what the log lacks, in place of entries of other terms; resolves once everything is on disk. */
+  /**
+   * Appends missing entries, overwriting entries of other terms; resolves once all of them are on
+   * disk.
+   */
   private storeEntries(entries: readonly LogEntry[]): Promise<void> {
     const { state } = this;
     const { log } = state;
@@ -109,7 +115,7 @@
     });
   }
 
-  /** A term must be durable before any answer in it. */
+  /** A term must be durable before any reply is sent in it. */
   private persistTerm(): Promise<void> {
     const { state } = this;
     if (state.log.durableTerm >= state.term) return Promise.resolve();
--- a/src/consensus/log_replication.ts
+++ b/src/consensus/log_replication.ts
@@ -1,15 +1,12 @@
 /**
- * The leader's side of the log: appends entries, sends them to the other members, and commits what a majority holds.
+ * The leader's side of the log: appends entries, sends them to the other members, and commits
+ * entries that a majority has stored. A leader whose own disk write fails steps down.
  *
- * DECISION: when a leader may answer callers (`leadsWithState`).
- * Answers: a leader that was cut off or stood still, and may have a successor that it does not know.
- * Inputs: clock readings of the newest answers and of the requests that they answer (milliseconds), the applied index.
- * Rule: it leads, has applied its first entry and so all that was committed before, was in contact with a majority
- *   within an election timeout, and a majority answered requests that it sent within the last LEADERSHIP_PROOF_MS.
- * Constants: LEADERSHIP_PROOF_MS in `raft_options.ts`, with unit and reason.
- *
- * Owns one replicator for each other member while this one leads. Relies on the own disk (a leader whose write fails steps
- * down) and on the members' answers (any of them may be missing).
+ * `isReadyLeader` decides whether the leader may serve requests from its state. It guards against a
+ * leader that was partitioned or stalled and has a successor that it does not know of. The leader
+ * must have applied the first entry of its term, and with it all entries committed before; a
+ * majority must have replied within an election timeout; and a majority must have replied to
+ * requests that were sent within the last `LEADERSHIP_PROOF_MAX_AGE_MS`.
  */
 import { whinyoke } from '../protocol/generated/messages.js';
 import type { LogApplier } from './log_applier.js';
@@ -18,10 +15,9 @@
 import type { LogEntry } from './raft_log.js';
 import { LEADERSHIP_PROOF_MAX_AGE_MS, type RaftOptions } from './raft_options.js';
 
-/** Replication by one member. */
 export class LogReplication implements AppendSource {
   private readonly replicators = new Map<string, PeerReplicator>();
-  /** Index of the entry that began this member's newest leadership. */
+  /** Index of the first entry of this member's newest leadership. */
   private leadershipIndex = Infinity;
 
   constructor(
@@ -31,25 +27,25 @@
     private readonly applier: LogApplier,
   ) {}
 
-  /** Begins to lead: an entry of the new term commits what former leaders left. */
+  /** Starts to lead. The first entry of the new term commits the entries of earlier leaders. */
   startLeading(): void {
     this.updateReplicators();
     this.leadershipIndex = this.state.log.lastIndex + 1;
     this.append(whinyoke.EntryKind.NO_OPERATION, new Uint8Array(0));
   }
 
-  /** Ends all replicators: this member leads no longer. */
+  /** Stops all replicators. */
   stopLeading(): void {
     for (const replicator of this.replicators.values()) replicator.stop();
     this.replicators.clear();
   }
 
-  /** Index that the next appended entry will have. */
+  /** Index of the next entry to be appended. */
   get nextIndex(): number {
     return this.state.log.lastIndex + 1;
   }
 
-  /** Appends an entry of the present term and sends it to all members. */
+  /** Appends an entry in the current term and sends it to all members. */
   append(kind: whinyoke.EntryKind, command: Uint8Array, membership?: whinyoke.IMembership): void {
     const { state } = this;
     const { term } = state;
@@ -61,7 +57,8 @@
       () => {
         if (state.term === term) this.advanceCommit();
       },
-      // A leader whose disk fails must not stay leader; what it could not write has left the log again.
+      // A leader whose disk fails must step down; the entries that were not written have left the
+      // log again.
       () => {
         state.stepDown(state.term);
         state.reloadMembership();
@@ -69,12 +66,12 @@
     );
   }
 
-  /** Commits the newest entry that a majority holds. */
+  /** Commits the newest entry that a majority has stored. */
   advanceCommit(): void {
     const { state } = this;
     if (state.role !== 'leader') return;
     for (let index = state.log.lastIndex; index > this.applier.commitIndex; index--) {
-      // Only entries of the current term are committed by counting (Raft, section 5.4.2).
+      // Only entries of the current term are committed by counting replicas (Raft, section 5.4.2).
       if (state.log.termAt(index) !== state.term) return;
       if (!state.membership.isQuorum(this.membersWithEntry(index))) continue;
       this.applier.commitTo(index);
@@ -83,7 +80,10 @@
     }
   }
 
-  /** Content of an append message for a member whose next index is `nextIndex`; undefined when only a snapshot helps. */
+  /**
+   * Builds an append request for a member whose next index is `nextIndex`; undefined if the member
+   * needs a snapshot.
+   */
   appendRequestFrom(nextIndex: number, limit: number): whinyoke.IAppendRequest | undefined {
     const { log, term, id } = this.state;
     const previousTerm = log.termAt(nextIndex - 1);
@@ -99,7 +99,7 @@
     };
   }
 
-  /** Starts and ends replicators so that each other member of the present membership has one; while this member leads. */
+  /** Starts and stops replicators so that each other member of the current membership has one. */
   updateReplicators(): void {
     const { state } = this;
     if (state.role !== 'leader') return;
@@ -117,33 +117,35 @@
     }
   }
 
-  /** Whether a majority of voters answered within an election timeout. */
+  /** Whether a majority of the voters replied within an election timeout. */
   get hasQuorum(): boolean {
     const oldest = this.runtime.clock.now() - this.options.electionTimeoutMs;
     return this.isQuorumOf((peer) => peer.lastContactAt >= oldest);
   }
 
   /**
-   * Whether this member leads, is in contact with a majority, and has applied all that was committed before. No other
-   * member led {@link LEADERSHIP_PROOF_MS} ago.
+   * Whether this member leads, is in contact with a majority, and has applied all entries that were
+   * committed before. No other member led {@link LEADERSHIP_PROOF_MAX_AGE_MS} ago.
    */
   get isReadyLeader(): boolean {
     const isCurrent = this.applier.appliedIndex >= this.leadershipIndex && this.isLeadershipProven;
     return this.state.role === 'leader' && isCurrent && this.hasQuorum;
   }
 
-  /** Whether an applied index includes the entry that began this member's newest leadership. */
+  /** Whether the first entry of this member's newest leadership is applied at an index. */
   hasAppliedLeadershipEntry(appliedIndex: number): boolean {
     return this.state.role === 'leader' && appliedIndex >= this.leadershipIndex;
   }
 
-  /** Milliseconds since another member answered; infinite when this member does not lead. */
+  /**
+   * Milliseconds since the newest reply of another member; infinite if this member does not lead.
+   */
   contactAgeMs(id: string): number {
     const lastContactAt = this.replicators.get(id)?.lastContactAt ?? -Infinity;
     return this.runtime.clock.now() - lastContactAt;
   }
 
-  /** How far a member's log is known to match; 0 when this member does not lead. */
+  /** Newest index at which a member's log is known to match; 0 if this member does not lead. */
   matchIndexOf(id: string): number {
     return this.replicators.get(id)?.matchIndex ?? 0;
   }
@@ -161,13 +163,13 @@
     return members;
   }
 
-  /** Whether a majority answered messages that were sent a short time ago. */
+  /** Whether a majority replied to requests that were sent recently enough. */
   private get isLeadershipProven(): boolean {
     const oldest = this.runtime.clock.now() - LEADERSHIP_PROOF_MAX_AGE_MS;
     return this.isQuorumOf((peer) => peer.lastAnsweredRequestAt >= oldest);
   }
 
-  /** Whether this member and the members whose replicators fit are a majority of the voters. */
+  /** Whether this member and the members with matching replicators are a majority of the voters. */
   private isQuorumOf(matches: (replicator: PeerReplicator) => boolean): boolean {
     const members = new Set([this.state.id]);
     for (const [id, replicator] of this.replicators) if (matches(replicator)) members.add(id);
--- a/src/consensus/member_state.ts
+++ b/src/consensus/member_state.ts
@@ -1,55 +1,49 @@
 /**
- * What all parts of one member share: its role, term, leader and membership.
+ * Role, term, leader and membership of one member, shared by the parts of a `RaftNode`.
  *
- * Owns these four in memory. Relies on the log for what must outlive the process (the vote and the membership entries);
- * nothing here waits for a disk or another machine, so nothing here can fail.
+ * This is in-memory state. The vote and the membership entries, which must survive a restart, are
+ * in the log.
  */
 import type { Clock, Messenger, RandomSource } from '../runtime/runtime.js';
 import { Membership } from './membership.js';
 import type { RaftLog } from './raft_log.js';
 
-/** Role of a member. */
 export type RaftRole = 'follower' | 'candidate' | 'leader';
 
 /** What a member needs of its process. */
 export interface RaftRuntime {
-  /** Time and timers of this process. */
   readonly clock: Clock;
-  /** Random draws of this process. */
   readonly random: RandomSource;
-  /** The way to other processes. */
+  /** Sends messages to other processes. */
   readonly messenger: Messenger;
 }
 
-/** Is called on changes of a member. */
+/** Callbacks for changes of a member. */
 export interface RaftObserver {
   /** The member changed its role, in this term. */
   onRole?(role: RaftRole, term: number): void;
-  /** Another leader is known, or this member now leads and has applied all that was committed before. */
+  /** Another leader is known, or this member leads and has applied all entries committed before. */
   onLeadership?(): void;
-  /** Everything up to this index is applied. */
+  /** All entries up to this index are applied. */
   onApplied?(index: number): void;
 }
 
-/** Parts of the member that follow a change of the state; called before the change returns. */
+/** Parts of the member that depend on its state; called before the change returns. */
 export interface MemberStateListener {
-  /** This member leads no longer. */
+  /** This member no longer leads. */
   onLeadershipEnded(): void;
-  /** The members were read again from the log. */
+  /** The membership was read again from the log. */
   onMembershipReloaded(): void;
 }
 
-/** State of one member. */
 export class MemberState {
   private currentRole: RaftRole = 'follower';
   private currentTerm: number;
   private currentMembership: Membership;
-  /** Identity of the leader of the current term; empty while unknown. */
+  /** Identity of the leader of the current term; empty if unknown. */
   leader = '';
 
-  /**
-   * @param id - identity of this member
-   */
+  /** @param id - identity of this member */
   constructor(
     readonly id: string,
     readonly log: RaftLog,
@@ -60,33 +54,31 @@
     this.currentMembership = Membership.fromMessage(log.membership);
   }
 
-  /** Present role. */
   get role(): RaftRole {
     return this.currentRole;
   }
 
-  /** Present term. */
   get term(): number {
     return this.currentTerm;
   }
 
-  /** Members as of the newest entry, committed or not. */
+  /** Membership as of the newest entry, committed or not. */
   get membership(): Membership {
     return this.currentMembership;
   }
 
-  /** Address of the leader; empty while unknown. */
+  /** Address of the leader; empty if unknown. */
   get leaderAddress(): string {
     return this.membership.find(this.leader)?.address ?? '';
   }
 
-  /** Member that this one voted for in the present term; empty when it did not vote. */
+  /** Member that this one voted for in the current term; empty if it has not voted. */
   get votedFor(): string {
     const { vote } = this.log;
     return vote.term === this.term ? vote.votedFor : '';
   }
 
-  /** Reads the members again after the log changed. */
+  /** Reads the membership again after the log changed. */
   reloadMembership(): void {
     this.currentMembership = Membership.fromMessage(this.log.membership);
     this.listener.onMembershipReloaded();
@@ -98,13 +90,13 @@
     this.setRole('candidate');
   }
 
-  /** Becomes the leader of the present term. */
+  /** Becomes the leader of the current term. */
   becomeLeader(): void {
     this.setRole('leader');
     this.leader = this.id;
   }
 
-  /** Becomes a follower, in a later term if `term` is one. */
+  /** Becomes a follower, and enters `term` if it is later than the current one. */
   stepDown(term: number): void {
     const wasLeader = this.role === 'leader';
     if (term > this.term) {
@@ -117,7 +109,7 @@
     this.listener.onLeadershipEnded();
   }
 
-  /** Steps down when a message shows a later term. */
+  /** Steps down if a message has a later term. */
   observeTerm(term: number): void {
     if (term > this.term) this.stepDown(term);
   }
--- a/src/consensus/peer_replicator.ts
+++ b/src/consensus/peer_replicator.ts
@@ -1,8 +1,6 @@
 /**
- * Brings one member's log up to the leader's: appends entries, or sends a snapshot when entries are gone.
- *
- * Owns what the leader knows of this member's log. Relies on the member's answers, which may be missing: each heartbeat
- * tries again.
+ * Brings one member's log up to date with the leader's: sends entries, or a snapshot if the entries
+ * were compacted. Requests that fail are repeated with the next heartbeat.
  */
 import type { whinyoke } from '../protocol/generated/messages.js';
 import type { Timer } from '../runtime/runtime.js';
@@ -11,34 +9,34 @@
 import type { RaftLog } from './raft_log.js';
 import type { RaftOptions } from './raft_options.js';
 
-/** Most entries of one message, so that no message grows without bound. A guess, not measured. */
+/** Bounds the size of an append request. */
 const MAX_BATCH_ENTRIES = 64;
-/** Time for an answer to a snapshot, in election timeouts: it is longer than other messages. A guess, not measured. */
+/**
+ * Timeout of a snapshot request, in election timeouts; a snapshot takes longer than other requests.
+ */
 const SNAPSHOT_TIMEOUT_FACTOR = 5;
 
-/** The leader that a replicator works for. */
+/** The leader on whose behalf a replicator sends. */
 export interface AppendSource {
-  /** Shared state of the member, with its log. */
+  /** State of the leading member, with its log. */
   readonly state: MemberState;
-  /** Clock and messenger. */
   readonly runtime: RaftRuntime;
-  /** Times of heartbeats and answers. */
   readonly options: RaftOptions;
-  /** Content of an append message from an index on; undefined when only a snapshot helps. */
+  /** Builds an append request that starts at an index; undefined if the member needs a snapshot. */
   appendRequestFrom(nextIndex: number, limit: number): whinyoke.IAppendRequest | undefined;
-  /** Commits what a majority holds, after a member confirmed entries. */
+  /** Commits entries that a majority has stored, after a member confirmed some. */
   advanceCommit(): void;
 }
 
-/** Replicator of one peer during one term of leadership. */
+/** Replicator for one peer during one term of leadership. */
 export class PeerReplicator {
-  /** Newest index up to which the member's log is known to match. */
+  /** Newest index at which the peer's log is known to match. */
   matchIndex = 0;
-  /** Clock reading of the latest answer, in milliseconds. */
+  /** Clock reading of the newest reply, in milliseconds. */
   lastContactAt: number;
   /**
-   * When the newest message was sent that the peer answered, in milliseconds. An answer that waited unread while this
-   * process stood still is new, but what it proves is as old as its request.
+   * Clock reading when the newest request with a reply was sent, in milliseconds. If this process
+   * stalled, a reply may be read long after it arrived; it proves contact only as of its request.
    */
   lastAnsweredRequestAt: number;
   private nextIndex: number;
@@ -53,22 +51,23 @@
   ) {
     this.nextIndex = source.state.log.lastIndex + 1;
     this.lastContactAt = source.runtime.clock.now();
-    // Votes of this term were collected at most an election timeout ago; the first answers come at once.
+    // The votes of this term were collected at most an election timeout ago, and the first replies
+    // follow immediately.
     this.lastAnsweredRequestAt = this.lastContactAt;
   }
 
-  /** Starts heartbeats. */
+  /** Starts sending heartbeats. */
   start(): void {
     this.trigger();
   }
 
-  /** Stops for good. */
+  /** Stops permanently. */
   stop(): void {
     this.isStopped = true;
     this.timer?.cancel();
   }
 
-  /** Sends what the peer lacks, or a heartbeat, unless a message is under way. */
+  /** Sends missing entries or a heartbeat, unless a request is in flight. */
   trigger(): void {
     if (this.isSending || this.isStopped) return;
     this.timer?.cancel();
@@ -111,7 +110,8 @@
       else this.nextIndex = Math.max(1, Math.min(this.nextIndex - 1, (reply.matchIndex ?? 0) + 1));
       return true;
     } catch {
-      // The member is not reached; the next heartbeat tries again, and its silence is seen in `lastContact`.
+      // The peer is unreachable. The next heartbeat tries again; `lastContactAt` shows for how
+      // long.
       return false;
     }
   }
--- a/src/consensus/pending_proposals.ts
+++ b/src/consensus/pending_proposals.ts
@@ -1,7 +1,6 @@
 /**
- * Proposals of this member that wait until their entries are committed and applied.
- *
- * Owns the waiting proposals. Relies on the leadership: when it ends, the outcome of those that wait is unknown.
+ * Proposals of this member that wait until their entries are committed and applied. When the
+ * leadership ends, the outcome of pending proposals is unknown.
  */
 import { LeadershipLostError } from './raft_errors.js';
 import type { LogEntry } from './raft_log.js';
@@ -12,29 +11,36 @@
   reject(error: Error): void;
 }
 
-/** Waiting proposals of one member. */
 export class PendingProposals {
   private readonly pending = new Map<number, PendingProposal>();
 
-  /** Waits for the entry of a term at an index. */
+  /**
+   * Resolves once the entry at an index is applied; rejects if it is replaced by an entry of
+   * another term.
+   */
   wait(index: number, term: number): Promise<Uint8Array> {
     return new Promise((resolve, reject) => {
       this.pending.set(index, { term, resolve, reject });
     });
   }
 
-  /** Ends the wait for the place of an applied entry. */
+  /** Settles the proposal at the index of an applied entry. */
   onApplied(entry: LogEntry, result: Uint8Array): void {
     const proposal = this.pending.get(entry.index);
     this.pending.delete(entry.index);
     if (proposal?.term === entry.term) proposal.resolve(result);
-    else proposal?.reject(new LeadershipLostError('another entry took this place'));
+    else
+      proposal?.reject(
+        new LeadershipLostError(
+          'leadership lost: an entry of another leader replaced the proposal',
+        ),
+      );
   }
 
-  /** Ends all waits, since this member leads no longer. */
+  /** Rejects all pending proposals, because this member no longer leads. */
   rejectAll(): void {
     for (const proposal of this.pending.values()) {
-      proposal.reject(new LeadershipLostError('leadership was lost'));
+      proposal.reject(new LeadershipLostError('leadership lost before the proposal was applied'));
     }
     this.pending.clear();
   }
--- a/src/consensus/raft_errors.ts
+++ b/src/consensus/raft_errors.ts
@@ -1,14 +1,22 @@
-/** Errors of a consensus member, by what they say of the outcome. */
+/**
+ * Errors of a consensus member. They differ in what they say about the outcome of a proposal or
+ * write.
+ */
 import { WhinyokeError } from '../errors/errors.js';
 
-/** A proposal that was not accepted by this member; it had no effect. */
+/** The proposal was not accepted by this member and had no effect. */
 export const NotLeaderError = WhinyokeError.subclass('NotLeaderError');
 
-/** The member lost its leadership while the proposal was under way; it may still be accepted. */
+/**
+ * The member lost its leadership while the proposal was in flight; the proposal may still be
+ * committed.
+ */
 export const LeadershipLostError = WhinyokeError.subclass('LeadershipLostError');
 
-/** A disk refused what a leader sent; this member can't confirm it. */
+/** Entries sent by a leader could not be written to disk, so this member can't confirm them. */
 export const NotDurableError = WhinyokeError.subclass('NotDurableError');
 
-/** Entries were refused: one before them could not be written. They are not in the log. */
+/**
+ * Entries were rejected because an entry before them could not be written. They are not in the log.
+ */
 export const LogGapError = WhinyokeError.subclass('LogGapError');
--- a/src/consensus/raft_log.ts
+++ b/src/consensus/raft_log.ts
@@ -1,10 +1,10 @@
 /**
  * Durable log of a consensus member: checksummed segments and one snapshot.
  *
- * Files: `log-<first index>` for each segment, `snapshot` for the state that replaced older entries, `vote`
- * for term and vote, `identity` for the member's name. Nothing counts until it is synced.
- *
- * Owns these files but `identity`. Relies on the disk, which may refuse any write: the promise of that write rejects then.
+ * Files: `log-<first index>` for each segment, `snapshot` for the state that replaced older
+ * entries, `vote` for term and vote. (`identity` in the same folder belongs to
+ * `cluster_joiner.ts`.) Nothing counts until it is synced. If the disk refuses a write, the promise
+ * of that write rejects.
  */
 import { StorageCorruptionError } from '../errors/errors.js';
 import { whinyoke } from '../protocol/generated/messages.js';
@@ -17,21 +17,20 @@
 } from '../storage/record_file.js';
 import { LogGapError } from './raft_errors.js';
 
-/** An entry of the replicated log. */
 export interface LogEntry {
-  /** Term of the leader that made it. */
+  /** Term of the leader that created the entry. */
   readonly term: number;
-  /** Place in the log, from 1. */
+  /** Position in the log, from 1. */
   readonly index: number;
-  /** What it changes: the state machine, the members, or nothing. */
+  /** What the entry changes: the state machine, the membership, or nothing. */
   readonly kind: whinyoke.EntryKind;
   /** Input of the state machine; empty for other kinds. */
   readonly command: Uint8Array;
-  /** Members from this entry on; only for changes of membership. */
+  /** Membership from this entry on; only for membership changes. */
   readonly membership: whinyoke.IMembership | undefined;
 }
 
-/** Term and vote that must survive a restart. */
+/** Term and vote, which must survive a restart. */
 export interface VoteState {
   /** Newest term that this member knows. */
   readonly term: number;
@@ -41,35 +40,35 @@
 
 /** State machine content that replaces all entries up to an index. */
 export interface Snapshot {
-  /** Index of the newest entry that it replaces. */
+  /** Index of the newest entry that the snapshot replaces. */
   readonly lastIndex: number;
   /** Term of that entry. */
   readonly lastTerm: number;
-  /** Members as of that entry. */
+  /** Membership as of that entry. */
   readonly membership: whinyoke.IMembership;
-  /** Content of the state machine. */
+  /** Serialized state machine. */
   readonly state: Uint8Array;
 }
 
 const SNAPSHOT_FILE = 'snapshot';
 const VOTE_FILE = 'vote';
 const SEGMENT_PREFIX = 'log-';
-/** Digits of an index in a file's name, so that names sort like indexes. */
+/** Digits of an index in a file name; padding makes names sort by index. */
 const INDEX_DIGITS = 12;
 
-/** Bytes after which a new segment is begun: what a snapshot lets go is deleted by whole segments. A guess, not measured. */
+/** Size at which a new segment is started. Compaction deletes whole segments only. */
 const SEGMENT_BYTES = 256 * 1024;
 
 interface PendingSnapshot {
   readonly snapshot: Snapshot;
-  /** Whether entries after the snapshot continue it. */
+  /** Whether the entries after the snapshot continue it. */
   readonly keepsLaterEntries: boolean;
 }
 
 interface Segment {
   readonly firstIndex: number;
   readonly file: RecordFile;
-  /** End offsets of the entries, oldest first. */
+  /** End offsets of the entries in the file, oldest first. */
   readonly ends: number[];
 }
 
@@ -87,7 +86,6 @@
   };
 }
 
-/** Entry of a received message. */
 export function entryFromMessage(message: whinyoke.ILogEntry): LogEntry {
   return {
     term: message.term ?? 0,
@@ -99,8 +97,9 @@
 }
 
 /**
- * The log of one member. Writes are ordered; entries are visible at once, durable when promised. Entries that
- * could not be written leave the log again, with all that came after them, so that it never holds a gap.
+ * Log of one member. Writes are ordered. Entries are visible at once, and durable when the promise
+ * of their write resolves. Entries that could not be written are removed together with all later
+ * ones, so the log never has a gap.
  */
 export class RaftLog {
   private readonly segments: Segment[] = [];
@@ -110,13 +109,13 @@
   private durableVoteTerm = 0;
   private durableEntryIndex = 0;
   private durableSnapshotIndex = 0;
-  /** A snapshot that the disk does not hold yet. */
+  /** A snapshot that is not on disk yet. */
   private pendingSnapshot: PendingSnapshot | undefined;
   private lastWrite: Promise<void> = Promise.resolve();
 
   private constructor(private readonly folder: DataFolder) {}
 
-  /** Reads the durable state. */
+  /** Opens the log and reads the durable state. */
   static async open(folder: DataFolder): Promise<RaftLog> {
     const log = new RaftLog(folder);
     await log.loadVote();
@@ -126,7 +125,6 @@
     return log;
   }
 
-  /** Term and vote. */
   get vote(): VoteState {
     return this.voteState;
   }
@@ -141,7 +139,6 @@
     return this.durableEntryIndex;
   }
 
-  /** Newest snapshot. */
   get snapshot(): Snapshot | undefined {
     return this.snapshotState;
   }
@@ -156,31 +153,30 @@
     return this.entries.at(-1)?.term ?? this.snapshotState?.lastTerm ?? 0;
   }
 
-  /** Bytes in all segments and the snapshot. */
+  /** Bytes of all segments and the snapshot. */
   get byteLength(): number {
     const logBytes = this.segments.reduce((sum, segment) => sum + segment.file.byteLength, 0);
     return logBytes + (this.snapshotState?.state.length ?? 0);
   }
 
-  /** Term of an entry; undefined when it is unknown or compacted away. */
+  /** Term of an entry; undefined if it is unknown or compacted. */
   termAt(index: number): number | undefined {
     if (index === 0 && !this.snapshotState) return 0;
     if (index === this.snapshotState?.lastIndex) return this.snapshotState.lastTerm;
     return this.entryAt(index)?.term;
   }
 
-  /** Entry of an index. */
   entryAt(index: number): LogEntry | undefined {
     return this.entries[index - this.firstIndex];
   }
 
-  /** At most `limit` entries from `index` on. */
+  /** Returns at most `limit` entries starting at `index`. */
   entriesFrom(index: number, limit: number): LogEntry[] {
     const start = index - this.firstIndex;
     return start < 0 ? [] : this.entries.slice(start, start + limit);
   }
 
-  /** Membership of the newest entry that holds one, else of the snapshot. */
+  /** Membership in the newest entry that changes it, else in the snapshot. */
   get membership(): whinyoke.IMembership | undefined {
     return this.membershipAt(this.lastIndex);
   }
@@ -196,7 +192,6 @@
     return this.entries.some((entry) => entry.index > index && entry.membership !== undefined);
   }
 
-  /** Durably stores term and vote. */
   saveVote(vote: VoteState): Promise<void> {
     this.voteState = vote;
     const bytes = encodeRecord(Buffer.from(JSON.stringify(vote)));
@@ -206,21 +201,21 @@
     });
   }
 
-  /** Whether a candidate's log holds at least as much as this one (Raft, section 5.4.1). */
+  /** Whether a candidate's log is at least as up to date as this one (Raft, section 5.4.1). */
   isCandidateUpToDate({ lastTerm, lastIndex }: whinyoke.IVoteRequest): boolean {
     const term = lastTerm ?? 0;
     if (term !== this.lastTerm) return term > this.lastTerm;
     return (lastIndex ?? 0) >= this.lastIndex;
   }
 
-  /** Resolves once all writes that were asked for so far are done, or have failed. */
+  /** Resolves once all writes requested so far have succeeded or failed. */
   writesSettled(): Promise<void> {
     return this.lastWrite;
   }
 
   /**
-   * Appends entries; resolves once they are durable. When it rejects, the log holds neither these entries nor
-   * any that followed them.
+   * Appends entries; resolves once they are durable. If it rejects, the log contains neither these
+   * entries nor any after them.
    */
   append(entries: readonly LogEntry[]): Promise<void> {
     if (entries.length === 0) return this.lastWrite;
@@ -236,13 +231,13 @@
     });
   }
 
-  /** Drops all entries from `index` on. The disk follows before the next entry is written. */
+  /** Removes all entries from `index` on. The files follow before the next entry is written. */
   truncateFrom(index: number): void {
     this.entries = this.entries.slice(0, Math.max(0, index - this.firstIndex));
     this.durableEntryIndex = Math.min(this.durableEntryIndex, index - 1);
   }
 
-  /** Stores a snapshot and drops the segments that it replaces. */
+  /** Stores a snapshot and deletes the segments that it replaces. */
   compact(snapshot: Snapshot): Promise<void> {
     const keepsLater = this.termAt(snapshot.lastIndex) === snapshot.lastTerm;
     this.entries = keepsLater ? this.entriesFrom(snapshot.lastIndex + 1, Infinity) : [];
@@ -255,7 +250,7 @@
     });
   }
 
-  /** Stores a snapshot that could not be stored before; resolves at once when there is none. */
+  /** Stores a snapshot whose earlier write failed; resolves at once if there is none. */
   persistSnapshot(): Promise<void> {
     return this.enqueueWrite(() => this.writePendingSnapshot());
   }
@@ -266,18 +261,18 @@
 
   private enqueueWrite(work: () => Promise<void>): Promise<void> {
     const done = this.lastWrite.then(work);
-    // Only the order of writes hangs on this; a failure reaches the caller through `done`.
+    // `lastWrite` only orders the writes; the caller sees a failure through `done`.
     this.lastWrite = done.catch(() => undefined);
     return done;
   }
 
-  /** Entries that were appended later depend on these, so they go as well. */
+  /** Later entries depend on the failed ones, so they are removed as well. */
   private dropFailedEntries(entries: readonly LogEntry[]): void {
     const firstPresent = entries.find((entry) => this.entryAt(entry.index) === entry);
     if (firstPresent) this.truncateFrom(firstPresent.index);
   }
 
-  /** Counts entries up to one that was written, unless it left the log meanwhile. */
+  /** Marks entries as durable up to one that was written, unless it was removed in the meantime. */
   private recordDurable(entry: LogEntry): void {
     if (this.entryAt(entry.index) !== entry) return;
     this.durableEntryIndex = Math.max(this.durableEntryIndex, entry.index);
@@ -288,7 +283,9 @@
     await this.writePendingSnapshot();
     await this.truncateSegments(firstIndex);
     if (firstIndex !== this.writtenIndex + 1) {
-      throw new LogGapError(`entry ${firstIndex} after entry ${this.writtenIndex}`);
+      throw new LogGapError(
+        `log gap: entry ${firstIndex} does not follow entry ${this.writtenIndex}`,
+      );
     }
     const segment = await this.currentSegment(firstIndex);
     const payloads = entries.map((entry) => whinyoke.LogEntry.encode(entry).finish());
@@ -300,7 +297,7 @@
     }
   }
 
-  /** Newest index in the files, which may be behind the entries or hold ones that were dropped. */
+  /** Newest index in the files. The files may lag behind the entries or contain removed ones. */
   private get writtenIndex(): number {
     const last = this.segments.at(-1);
     return last ? last.firstIndex + last.ends.length - 1 : this.durableSnapshotIndex;
@@ -315,7 +312,7 @@
     return segment;
   }
 
-  /** Drops entries from `index` on from the files. */
+  /** Removes entries from `index` on from the files. */
   private async truncateSegments(index: number): Promise<void> {
     for (let last = this.segments.at(-1); last; last = this.segments.at(-1)) {
       const keptCount = index - last.firstIndex;
@@ -340,7 +337,7 @@
     this.durableEntryIndex = Math.max(this.durableEntryIndex, lastIndex);
   }
 
-  /** A segment goes only when the snapshot that replaces it is durable. */
+  /** Segments are deleted only after the snapshot that replaces them is durable. */
   private async writeSnapshot({ snapshot, keepsLaterEntries }: PendingSnapshot): Promise<void> {
     const message: whinyoke.ISnapshotRequest = {
       lastIndex: snapshot.lastIndex,
@@ -363,7 +360,8 @@
   private async loadVote(): Promise<void> {
     const bytes = await this.folder.read(VOTE_FILE);
     const record = bytes && decodeRecords(bytes, VOTE_FILE)[0];
-    if (bytes && !record) throw new StorageCorruptionError(`${VOTE_FILE}: damaged`);
+    if (bytes && !record)
+      throw new StorageCorruptionError(`${VOTE_FILE}: contains no valid record`);
     if (record) this.voteState = JSON.parse(record.payload.toString()) as VoteState;
     this.durableVoteTerm = this.voteState.term;
   }
@@ -371,7 +369,8 @@
   private async loadSnapshot(): Promise<void> {
     const bytes = await this.folder.read(SNAPSHOT_FILE);
     const record = bytes && decodeRecords(bytes, SNAPSHOT_FILE)[0];
-    if (bytes && !record) throw new StorageCorruptionError(`${SNAPSHOT_FILE}: damaged`);
+    if (bytes && !record)
+      throw new StorageCorruptionError(`${SNAPSHOT_FILE}: contains no valid record`);
     if (!record) return;
     const decoded = whinyoke.SnapshotRequest.decode(record.payload);
     this.snapshotState = {
@@ -391,7 +390,7 @@
       const segment: Segment = { firstIndex, file, ends: records.map((record) => record.end) };
       const isLast = position === names.length - 1;
       if (records.length === 0 && !isLast) {
-        throw new StorageCorruptionError(`${name}: empty segment before a later one`);
+        throw new StorageCorruptionError(`${name}: segment is empty although a later one exists`);
       }
       this.segments.push(segment);
       for (const record of records) this.loadEntry(name, record.payload);
@@ -405,7 +404,7 @@
     if (entry.index <= covered) return;
     if (entry.index !== expected) {
       throw new StorageCorruptionError(
-        `${segmentName}: entry ${entry.index} where ${expected} was expected`,
+        `${segmentName}: found entry ${entry.index}, expected ${expected}`,
       );
     }
     this.entries.push(entry);
--- a/src/consensus/raft_options.ts
+++ b/src/consensus/raft_options.ts
@@ -1,28 +1,28 @@
 /**
- * Timing and sizes of a consensus member. What follows from them: `election_timer.ts` (when an election begins),
- * `leader_election.ts` (who wins it), `log_replication.ts` (when a leader may answer). Pure.
+ * Timing and sizes of a consensus member. `election_timer.ts` and `leader_election.ts` use them for
+ * elections, `log_replication.ts` for the check that a leader may serve requests.
  */
 
-/** Timing, in milliseconds, and sizes. */
 export interface RaftOptions {
-  /** Time between two messages of a leader to a member that lacks nothing. */
+  /** Interval of messages from a leader to a member that has all entries. */
   readonly heartbeatMs: number;
-  /** Shortest silence of a leader before an election. */
+  /** Shortest time without messages of a leader before an election. */
   readonly electionTimeoutMs: number;
   /**
-   * Longest time between elections until this member has seen a leader since it started; the shortest is a
-   * third of it. The first one comes after a ninth of it and a third more for each voter before this one in the
-   * order of their names, so that members that start together don't collide. A cluster that has a leader refuses
-   * the pre-vote, so an early try costs nothing and a restart of all members is short.
+   * Longest wait before an election until this member has seen a leader since its start; the
+   * shortest is a third of it. The first attempt comes after a ninth of it, plus a third for each
+   * voter with a lower rank, so that members that start together do not collide. If there is a
+   * leader, members refuse the pre-vote, so an early attempt does no harm, and a restart of all
+   * members takes little time.
    */
   readonly initialElectionTimeoutMs?: number;
-  /** Entries after which a snapshot replaces them. */
+  /** Number of applied entries after which a snapshot replaces them. */
   readonly snapshotEntries: number;
 }
 
 /**
- * Defaults for machines a few milliseconds apart: five heartbeats fit into the shortest silence before an election. Guesses,
- * not measured.
+ * Defaults for machines a few milliseconds apart: five heartbeats fit into the shortest election
+ * timeout.
  */
 export const DEFAULT_RAFT_OPTIONS: RaftOptions = {
   heartbeatMs: 75,
@@ -31,8 +31,9 @@
 };
 
 /**
- * A leader answers others only with proof that is at most this old, in milliseconds: longer than heartbeats and their
- * answers take on a machine that is short of processor time, and a bound for how long a leader that has a successor may
- * go on. A guess, not measured. Part of the bounds on operations that tenants may run too many (docs/design/tenancy.md).
+ * Maximum age of the proof on which a leader may serve requests. It must exceed a heartbeat round
+ * trip on an overloaded machine. It also bounds for how long a leader can keep serving after a
+ * successor was elected, and is part of the bound on operations beyond a tenant's limit
+ * (docs/design/tenancy.md).
  */
 export const LEADERSHIP_PROOF_MAX_AGE_MS = 500;
--- a/src/consensus/vote_collector.ts
+++ b/src/consensus/vote_collector.ts
@@ -1,20 +1,17 @@
 /**
- * Asks the voters of a cluster for their votes.
- *
- * Relies on the voters' answers. One that can't be reached counts as a refusal; the next election timeout asks again.
+ * Requests the votes of all voters of a cluster. A voter that does not reply counts as a refusal;
+ * the next election asks again.
  */
 import type { whinyoke } from '../protocol/generated/messages.js';
 import type { Messenger } from '../runtime/runtime.js';
 import type { Member } from './membership.js';
 import type { MemberState } from './member_state.js';
 
-/** What the collector needs of its member. */
 export interface VoteCollectorDependencies {
-  /** The candidate's state, with the voters. */
+  /** State of the candidate, with the voters. */
   readonly state: MemberState;
-  /** The way to the voters. */
   readonly messenger: Messenger;
-  /** A voter that does not answer for so long counts as a refusal, in milliseconds. */
+  /** A voter that does not reply within this time counts as a refusal. */
   readonly timeoutMs: number;
 }
 
@@ -31,12 +28,15 @@
     state.observeTerm(reply.term ?? 0);
     return reply.granted ?? false;
   } catch {
-    // No answer is no vote. Nothing is lost: the member tries again after its next election timeout.
+    // No reply counts as no vote; the next election asks again.
     return false;
   }
 }
 
-/** Resolves with whether a majority of the voters, this member included, grants its vote; as soon as that is certain. */
+/**
+ * Resolves as soon as it is certain whether a majority of the voters, including this member, grants
+ * its vote.
+ */
 export function collectVotes(
   dependencies: VoteCollectorDependencies,
   request: whinyoke.IVoteRequest,
