--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -1,9 +1,8 @@
 /**
- * Replicated state of groups whose primary is appointed by the control plane: the routing document, the
- * instances, the epoch of each group, the evacuated zones, the registered proxies and the holder of the appointment lease.
- *
- * Owns this state; it changes by committed commands only, so it is the same on every control machine. Relies on nothing that
- * can fail.
+ * Replicated state of groups whose primary is appointed by the control plane: the routing document,
+ * the instances, the epoch of each group, the evacuated zones, the registered proxies and the
+ * holder of the appointment lease. Only committed commands change it, so it is the same on every
+ * control machine.
  */
 import type { StateMachine } from '../../consensus/log_applier.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
@@ -14,27 +13,35 @@
 export { type GroupEntry, compareNames } from './group_table.js';
 export type { InstanceEntry } from './instance_table.js';
 
-/** A registered run of a proxy. */
+/**
+ * A registered proxy process. A proxy that restarts registers under the same id with a new
+ * incarnation.
+ */
 export type ProxyEntry = Readonly<whinyoke.IProxyEntry>;
 
-/** Is called after a change was applied. */
+/** Called after a change was applied. */
 export type CatalogListener = () => void;
 
-/** State machine of the control machines. */
 export class Catalog implements StateMachine {
   private currentDocument: whinyoke.IRoutingDocument | undefined;
   private readonly instanceTable = new InstanceTable();
   private readonly groupTable = new GroupTable();
   private readonly evacuationTable = new EvacuationTable();
   private readonly proxyById = new Map<string, ProxyEntry>();
-  /** Operations of each tenant that its leader leaves to a successor; about 20 bytes a tenant that ever ran one. */
+  /**
+   * Operations in each tenant's bucket that a leader must leave to its successor. Takes about 20
+   * bytes per tenant that ever ran an operation.
+   */
   private readonly successorReserveByTenant = new Map<string, number>();
   private currentLease: whinyoke.IDutyEntry = {};
   private currentVersion = 0;
   private proxyLossIndex = 0;
   private readonly listeners = new Set<CatalogListener>();
 
-  /** Log index of the newest change that proxies have to know of: documents, instances, groups, evacuated zones. */
+  /**
+   * Log index of the newest change that is sent to proxies: documents, instances, groups, evacuated
+   * zones.
+   */
   get version(): number {
     return this.currentVersion;
   }
@@ -44,22 +51,25 @@
     return this.currentDocument;
   }
 
-  /** Version of the routing document; 0 when there is none. */
+  /** Version of the routing document; 0 if there is none. */
   get documentVersion(): number {
     return this.currentDocument?.version ?? 0;
   }
 
-  /** Holder and fencing token of the appointment lease, which the stored data calls duty. */
+  /** Holder and fencing token of the appointment lease. Stored data calls it duty. */
   get appointmentLeaseEntry(): Readonly<whinyoke.IDutyEntry> {
     return this.currentLease;
   }
 
-  /** Log index of the newest entry by which a run of a proxy ended, with what it had acknowledged. */
+  /**
+   * Log index of the newest entry that ended an incarnation of a proxy, whose record of
+   * acknowledged commits is lost with it.
+   */
   get proxyLossVersion(): number {
     return this.proxyLossIndex;
   }
 
-  /** All instances, those that are gone included. */
+  /** All instances, including those that are gone. */
   get instances(): readonly InstanceEntry[] {
     return this.instanceTable.all;
   }
@@ -70,24 +80,27 @@
   }
 
   /**
-   * Instances that changed after a version, those that are gone included; undefined when some of them were
-   * forgotten meanwhile, so that a proxy needs the whole list.
+   * Instances that changed after a version, including those that are gone. Undefined if entries
+   * were forgotten since that version, so that a proxy needs the whole list.
    */
   instancesSince(version: number): readonly InstanceEntry[] | undefined {
     return this.instanceTable.since(version);
   }
 
-  /** Whether an instance of a group left after a version; also true when that is no longer known. */
+  /** Whether an instance of a group left after a version; also true if that is no longer known. */
   hasLostInstanceSince(group: string, version: number): boolean {
     return this.instanceTable.hasLostSince(group, version);
   }
 
-  /** Log index since which the present incarnation of an instance counts; 0 for the first one. */
+  /** Log index at which the current incarnation of an instance began; 0 for its first one. */
   incarnationStartIndex(id: string): number {
     return this.instanceTable.incarnationStartIndex(id);
   }
 
-  /** Log index since which whoever knows the catalog finds an instance; later than that after a restored snapshot. */
+  /**
+   * Log index since which the catalog lists an instance with its current state, group and address;
+   * may be later than that after a snapshot was restored.
+   */
   placedSince(id: string): number {
     return this.instanceTable.placedSince(id);
   }
@@ -97,42 +110,37 @@
     return this.groupTable.since(version);
   }
 
-  /** All groups. */
   get groups(): readonly GroupEntry[] {
     return this.groupTable.all;
   }
 
-  /** All groups in the order of their names. */
+  /** All groups, sorted by name. */
   get groupsByName(): readonly GroupEntry[] {
     return this.groupTable.byName;
   }
 
-  /** Newest order on each zone that was ever evacuated. */
+  /** Newest order for each zone that was ever evacuated. */
   get evacuations(): readonly EvacuationEntry[] {
     return this.evacuationTable.all;
   }
 
-  /** Names of the evacuated zones. */
   get evacuatedZones(): readonly string[] {
     return this.evacuationTable.evacuatedZones;
   }
 
-  /** Whether a zone is evacuated. */
   isEvacuated(zone: string): boolean {
     return this.evacuationTable.isEvacuated(zone);
   }
 
-  /** Orders on zones that took effect after a version. */
+  /** Orders that took effect after a version. */
   evacuationsSince(version: number): readonly EvacuationEntry[] {
     return this.evacuationTable.since(version);
   }
 
-  /** Registered proxies. */
   get proxies(): readonly ProxyEntry[] {
     return [...this.proxyById.values()];
   }
 
-  /** Instance of that identifier. */
   instance(id: string): InstanceEntry | undefined {
     return this.instanceTable.get(id);
   }
@@ -142,17 +150,18 @@
     return this.presentInstances.filter((other) => other.address === address && other.id !== id);
   }
 
-  /** Group of that name. */
   group(name: string): GroupEntry | undefined {
     return this.groupTable.get(name);
   }
 
-  /** Proxy of that identifier. */
   proxy(id: string): ProxyEntry | undefined {
     return this.proxyById.get(id);
   }
 
-  /** Operations of a tenant that every leader so far left in its bucket; undefined when none was ever granted. */
+  /**
+   * Operations of a tenant that every leader so far left in its bucket; undefined if none were ever
+   * granted.
+   */
   successorReserveOf(tenant: string): number | undefined {
     return this.successorReserveByTenant.get(tenant);
   }
@@ -175,7 +184,7 @@
     return whinyoke.CatalogResult.encode(result).finish();
   }
 
-  /** Whole state, for a snapshot. */
+  /** Serializes the whole state for a snapshot. */
   serialize(): Uint8Array {
     const snapshot: whinyoke.ICatalogSnapshot = {
       document: this.currentDocument,
@@ -245,7 +254,7 @@
     }
   }
 
-  /** The highest version holds; anything else changes nothing. */
+  /** Only a document with a higher version replaces the current one. */
   private putDocument(document: whinyoke.IRoutingDocument): boolean {
     if ((document.version ?? 0) <= this.documentVersion) return false;
     this.currentDocument = document;
@@ -267,7 +276,10 @@
     return floors.length > 0;
   }
 
-  /** After a `finished` order the instances of its zone are used again; entry `index` is the one since which they are. */
+  /**
+   * When an evacuation is finished, the instances of the zone are used again; they are cold from
+   * entry `index` on.
+   */
   private putEvacuation(index: number, order: whinyoke.IEvacuationOrder): boolean {
     const change = this.evacuationTable.put(index, order);
     if (change === 'finished') this.instanceTable.markZoneCold(order.zone ?? '', index);
@@ -285,12 +297,15 @@
   }
 }
 
-/** Kinds of commands that proxies have to know of. */
+/** Kinds of commands whose effects are sent to proxies. */
 const PROXY_VISIBLE_COMMANDS: ReadonlySet<string> = new Set<
   NonNullable<whinyoke.CatalogCommand['kind']>
 >(['putDocument', 'putInstance', 'putGroup', 'putEvacuation', 'setSlowStartHolder']);
 
-/** Whether proxies have to know of a command; registrations of proxies and the appointment lease concern control only. */
+/**
+ * Whether a command changes something that proxies use. Proxy registrations and the appointment
+ * lease concern control only.
+ */
 function affectsProxies(command: whinyoke.CatalogCommand): boolean {
   return PROXY_VISIBLE_COMMANDS.has(command.kind ?? '');
 }
--- a/src/appointed/catalog/cold_state.ts
+++ b/src/appointed/catalog/cold_state.ts
@@ -1,25 +1,30 @@
 /**
- * DECISION: whether an instance of the catalog is cold after an entry. Pure; part of the replicated state, so it must give the
- * same on every control machine.
+ * Decides whether an instance is cold after an entry of the replicated log. A cold instance gets
+ * requests from a single proxy at a limited rate until it has warmed up.
  *
- * Answers: instances that are new, start again under their identifier, or come back from an evacuation.
- * Inputs: the entry in force, the one that was told, with the leader's opinion (is it cold, and of which coldness does it speak),
- *   and the log index.
- * Rule: a new instance or incarnation is as cold as its first heartbeat told. A cold one stays cold unless the leader's opinion
- *   is on this very coldness: one that began meanwhile goes on. A warm one that tells of a warm-up is cold from then on.
- *   The holder stays until another one is named: it may not have heard yet that it is needed no more.
+ * A new instance or incarnation is as cold as its first heartbeat reports. A warm instance that
+ * reports a warm-up becomes cold at this entry. A cold instance becomes warm only if the entry
+ * refers to its current cold state by `coldSince`; this keeps a cold state that began after the
+ * leader evaluated the heartbeat, for example at the end of an evacuation. The holder, the proxy
+ * that may send requests, stays until another one is set, because it may not know yet that the
+ * instance is warm.
+ *
+ * Pure, as part of the replicated state: it must give the same result on every control machine.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
 type Entry = Readonly<whinyoke.IInstanceEntry>;
 
-/** Fields of an entry that this module decides. */
+/** Fields of an instance entry that this module decides. */
 export type ColdState = Pick<
   whinyoke.IInstanceEntry,
   'isCold' | 'coldSince' | 'holder' | 'holderIncarnation' | 'holderAddress'
 >;
 
-/** Whether `told` is of another incarnation than `known`; one that does not tell when it was born is not. */
+/**
+ * Whether `reported` is of another incarnation than `known`. An entry without a start time (`born`)
+ * or a later incarnation number counts as the same incarnation.
+ */
 export function isOtherIncarnation(known: Entry, reported: Entry): boolean {
   if ((reported.incarnation ?? 0) > (known.incarnation ?? 0)) return true;
   const hasRestarted = (reported.born ?? 0) !== (known.born ?? 0);
@@ -35,7 +40,7 @@
   return reported.isCold ? index : 0;
 }
 
-/** Coldness of an instance after an entry. */
+/** Cold state of an instance after an entry. */
 export function coldStateAfter(
   known: Entry | undefined,
   reported: Entry,
--- a/src/appointed/catalog/evacuation_table.ts
+++ b/src/appointed/catalog/evacuation_table.ts
@@ -1,32 +1,28 @@
 /**
- * Zones that operators evacuate. Part of the replicated state: the same on every machine.
- *
- * Owns the newest order on each zone. Relies on nothing that can fail. Orders take effect in the order of the log; one that
- * asks for what is so already changes nothing.
+ * Zones that operators evacuate, as part of the replicated state. Orders take effect in log order;
+ * an order that asks for the current state changes nothing.
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
-/** Newest order on one zone. Immutable. */
+/** Newest order for one zone. Immutable. */
 export type EvacuationEntry = Readonly<whinyoke.IEvacuationEntry>;
 
-/** What an order changed. */
+/** Effect of an order. */
 export type EvacuationChange = 'begun' | 'finished' | 'none';
 
-/** Zones by name. A zone that was never evacuated has no entry. */
+/** Newest orders by zone. A zone that was never evacuated has no entry. */
 export class EvacuationTable {
   private readonly entries = new Map<string, EvacuationEntry>();
 
-  /** Newest order on each zone, those included that are not evacuated any more. */
+  /** Newest order for each zone, including zones that are no longer evacuated. */
   get all(): readonly EvacuationEntry[] {
     return [...this.entries.values()];
   }
 
-  /** Names of the evacuated zones. */
   get evacuatedZones(): readonly string[] {
     return this.all.filter(isEvacuation).map(({ zone }) => zone ?? '');
   }
 
-  /** Whether a zone is evacuated. */
   isEvacuated(zone: string): boolean {
     const entry = this.entries.get(zone);
     return entry !== undefined && isEvacuation(entry);
@@ -37,7 +33,7 @@
     return this.all.filter((entry) => (entry.version ?? 0) > version);
   }
 
-  /** Takes over an order; returns what it changed. */
+  /** Applies an order; returns its effect. */
   put(index: number, { zone, begins }: whinyoke.IEvacuationOrder): EvacuationChange {
     const name = zone ?? '';
     const isBegin = begins === true;
@@ -46,7 +42,7 @@
     return isBegin ? 'begun' : 'finished';
   }
 
-  /** Replaces everything by the entries of a snapshot. */
+  /** Replaces all entries by those of a snapshot. */
   restore(entries: readonly whinyoke.IEvacuationEntry[]): void {
     this.entries.clear();
     for (const entry of entries) this.entries.set(entry.zone ?? '', entry);
--- a/src/appointed/catalog/group_table.ts
+++ b/src/appointed/catalog/group_table.ts
@@ -1,14 +1,10 @@
-/**
- * Groups of the catalog with their epochs. Part of the replicated state: the same on every machine.
- *
- * Owns the entries. Relies on nothing that can fail.
- */
+/** Groups and their epochs, as part of the replicated state. */
 import { whinyoke } from '../../protocol/generated/messages.js';
 
-/** An immutable epoch of a group. */
+/** An epoch of a group. Immutable. */
 export type GroupEntry = Readonly<whinyoke.IGroupEntry>;
 
-/** Order of names by their code units, the same in every process. */
+/** Compares names by code units, which gives the same order in every process. */
 export function compareNames(left: string, right: string): number {
   if (left === right) return 0;
   return left < right ? -1 : 1;
@@ -17,15 +13,14 @@
 /** Groups by name. */
 export class GroupTable {
   private readonly entries = new Map<string, GroupEntry>();
-  /** Groups in the order of their names; made anew after a change, since many replies are made between two changes. */
+  /** Groups sorted by name; cached because many replies are built between two changes. */
   private sorted: readonly GroupEntry[] | undefined;
 
-  /** All groups, in the order in which they were first seen. */
+  /** All groups, in the order in which they were first put. */
   get all(): readonly GroupEntry[] {
     return [...this.entries.values()];
   }
 
-  /** All groups in the order of their names. */
   get byName(): readonly GroupEntry[] {
     this.sorted ??= this.all.toSorted((left, right) =>
       compareNames(left.group ?? '', right.group ?? ''),
@@ -33,7 +28,6 @@
     return this.sorted;
   }
 
-  /** Group of that name. */
   get(name: string): GroupEntry | undefined {
     return this.entries.get(name);
   }
@@ -43,7 +37,7 @@
     return this.all.filter((group) => (group.version ?? 0) > version);
   }
 
-  /** Begins the next epoch of a group; returns whether it was the next one. */
+  /** Starts the next epoch of a group; returns false if the entry's epoch is not the next one. */
   put(index: number, group: whinyoke.IGroupEntry): boolean {
     const current = this.entries.get(group.group ?? '');
     if (group.epoch !== (current?.epoch ?? 0) + 1) return false;
@@ -53,7 +47,10 @@
     return true;
   }
 
-  /** Names the instance that is to be appointed in the present epoch; returns whether the epoch was the present one. */
+  /**
+   * Sets the instance that is to be appointed in the current epoch; returns false if the entry's
+   * epoch is not the current one.
+   */
   setTarget(choice: whinyoke.IGroupEntry): boolean {
     const current = this.entries.get(choice.group ?? '');
     if (!current || current.epoch !== choice.epoch) return false;
@@ -62,7 +59,7 @@
     return true;
   }
 
-  /** Replaces everything by the entries of a snapshot. */
+  /** Replaces all entries by those of a snapshot. */
   restore(groups: readonly whinyoke.IGroupEntry[]): void {
     this.entries.clear();
     this.sorted = undefined;
--- a/src/appointed/catalog/incarnation_order.ts
+++ b/src/appointed/catalog/incarnation_order.ts
@@ -1,24 +1,25 @@
 /**
- * DECISION: whether an entry tells of the present incarnation of an instance, of one that follows, or comes late.
+ * Decides whether an instance entry is of the known incarnation, of the next one, or late. This
+ * guards against delayed heartbeats of an earlier incarnation and against clocks that were set
+ * back.
  *
- * Answers: instances that start again under their identifier, late heartbeats of the incarnation before, clocks that are set back.
- * Inputs: `born` (Unix ms, 0 where it is not told), sequence, state and number of the known incarnation and of the entry; an entry
- *   names the number that follows where the leader found that the known incarnation has ended (`instance_monitor.ts`).
- * Rule: a later `born` is the next incarnation; an earlier one only when the entry names the number that follows. The same, or none,
- *   is the same incarnation: an entry with a lower sequence, or of one that is gone, is late. An instance that begins to tell
- *   `born` is a new incarnation only where its sequence is lower.
- * Constants: none. Tests: test/unit/incarnations.test.ts. Pure.
+ * An entry with a later start time (`born`, Unix ms, 0 if not reported) is the next incarnation.
+ * One with an earlier start time is the next only if it carries the next incarnation number, which
+ * the leader assigns after the known incarnation has ended (`instance_monitor.ts`). With the same
+ * start time or none, an entry is late if its sequence is lower or the known incarnation is gone.
+ * If only the entry has a start time, a lower sequence means the next incarnation, unless the known
+ * one is gone. Pure: no I/O, no clock.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const { InstanceState } = whinyoke;
 
-/** How an entry stands to what is known of its instance. */
+/** How an entry relates to the known entry of its instance. */
 export type EntryOrder = 'same' | 'next' | 'late';
 
 type Entry = Readonly<whinyoke.IInstanceEntry>;
 
-/** Judges an entry against the known one of the same instance. */
+/** Compares an entry with the known entry of the same instance. */
 export function classifyEntry(known: Entry, reported: Entry): EntryOrder {
   const knownStartedAt = known.born ?? 0;
   const startedAt = reported.born ?? 0;
@@ -29,13 +30,13 @@
   return reported.incarnation === (known.incarnation ?? 0) + 1 ? 'next' : 'late';
 }
 
-/** Order of two entries of one incarnation. */
+/** Compares two entries of one incarnation. */
 function classifyWithinIncarnation(known: Entry, reported: Entry): EntryOrder {
   const isLate = (reported.sequence ?? 0) < (known.sequence ?? 0);
   return isLate || known.state === InstanceState.GONE ? 'late' : 'same';
 }
 
-/** Order of the first entry that tells `born`. */
+/** Compares the first entry that has a start time with a known entry that has none. */
 function classifyFirstStartTime(known: Entry, reported: Entry): EntryOrder {
   const order = classifyWithinIncarnation(known, reported);
   return order === 'late' && known.state !== InstanceState.GONE ? 'next' : order;
--- a/src/appointed/catalog/instance_table.ts
+++ b/src/appointed/catalog/instance_table.ts
@@ -1,8 +1,7 @@
 /**
- * Instances of the catalog, those that are gone included. Part of the replicated state: the same on every machine.
- *
- * Owns the entries, since when the present incarnation of each counts, and up to which log index entries were forgotten. Relies
- * on nothing that can fail.
+ * Instances of the catalog, including those that are gone, as part of the replicated state. Also
+ * records since which log index the current incarnation of each instance counts, and up to which
+ * log index entries were forgotten.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { classifyEntry } from './incarnation_order.js';
@@ -10,13 +9,13 @@
 
 const { InstanceState } = whinyoke;
 
-/** Instances that are gone are remembered, so that a late heartbeat does not bring them back. A guess, not measured. */
+/** Entries of gone instances are kept so that a late heartbeat does not bring them back. */
 const MAX_REMEMBERED_GONE_INSTANCES = 500;
 
-/** An immutable instance of the catalog. */
+/** An instance of the catalog. Immutable. */
 export type InstanceEntry = Readonly<whinyoke.IInstanceEntry>;
 
-/** Since when an incarnation counts. */
+/** Log index at which an incarnation began. */
 export type IncarnationEntry = Readonly<whinyoke.IIncarnationEntry>;
 
 /** Instances by identifier. */
@@ -25,18 +24,19 @@
   /** Instances that are not in their first incarnation. */
   private readonly restartedIncarnations = new Map<string, IncarnationEntry>();
   /**
-   * Since which log index each instance is where it is, as far as this process has seen; what control appoints beside proxies
-   * out of reach depends on it, no replicated state does.
+   * Log index since which each instance is listed with its current state, group and address, as
+   * seen by this process. Not replicated: it only limits what control appoints while proxies are
+   * unreachable.
    */
   private readonly placed = new Map<string, number>();
   private forgottenIndex = 0;
 
-  /** Newest version of an entry that was forgotten. */
+  /** Newest version of a forgotten entry. */
   get forgottenVersion(): number {
     return this.forgottenIndex;
   }
 
-  /** All instances, those that are gone included. */
+  /** All instances, including those that are gone. */
   get all(): readonly InstanceEntry[] {
     return [...this.entries.values()];
   }
@@ -46,25 +46,25 @@
     return this.all.filter((instance) => instance.state !== InstanceState.GONE);
   }
 
-  /** Instance of that identifier. */
   get(id: string): InstanceEntry | undefined {
     return this.entries.get(id);
   }
 
-  /** Instances that changed after a version; undefined when some of them were forgotten meanwhile. */
+  /** Instances that changed after a version; undefined if entries were forgotten since then. */
   since(version: number): readonly InstanceEntry[] | undefined {
     if (version === 0 || version < this.forgottenIndex) return undefined;
     return this.all.filter((instance) => (instance.version ?? 0) > version);
   }
 
-  /** Log index since which the present incarnation of an instance counts; 0 for the first one. */
+  /** Log index at which the current incarnation of an instance began; 0 for its first one. */
   incarnationStartIndex(id: string): number {
     return this.restartedIncarnations.get(id)?.beganAt ?? 0;
   }
 
   /**
-   * Log index since which whoever knows the catalog finds an instance: other changes of its entry, as of coldness, come later.
-   * Later than it was where this process has restored a snapshot since; Infinity for an unknown one.
+   * Log index since which an instance is listed with its current state, group and address; other
+   * changes of its entry, such as its cold state, may be later. Restoring a snapshot can only make
+   * it later than it was. Infinity for an unknown instance.
    */
   placedSince(id: string): number {
     return this.placed.get(id) ?? this.entries.get(id)?.version ?? Infinity;
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Whether an instance of a group left after a version, also by starting again in another group; also true when that is no
-   * longer known.
+   * Whether an instance of a group left after a version, including by a restart in another group;
+   * also true if that is no longer known.
    */
   hasLostSince(group: string, version: number): boolean {
     if (version < this.forgottenIndex) return true;
@@ -89,7 +89,10 @@
     });
   }
 
-  /** Takes over an entry; returns whether anything changed. Late entries, and ones of incarnations that ended, change nothing. */
+  /**
+   * Applies an entry; returns whether anything changed. Late entries and entries of ended
+   * incarnations change nothing.
+   */
   put(index: number, instance: whinyoke.IInstanceEntry): boolean {
     const id = instance.id ?? '';
     const known = this.entries.get(id);
@@ -107,7 +110,7 @@
     const hasMoved = order === 'next' || !known || !hasSameLocation(known, instance);
     this.placed.set(id, hasMoved ? index : this.placedSince(id));
     const born = instance.born || known?.born || 0;
-    // Fields with default values are kept by the message's prototype only.
+    // `create` sets the prototype, which supplies the default values of absent fields.
     const coldState = coldStateAfter(known, instance, index);
     const updated = { ...instance, ...coldState, version: index, born, incarnation };
     this.entries.set(id, whinyoke.InstanceEntry.create(updated));
@@ -115,7 +118,10 @@
     return true;
   }
 
-  /** The instances of a zone are cold from a log index on: its evacuation has ended. Returns whether there are any. */
+  /**
+   * Marks the instances of a zone as cold from a log index on, because its evacuation has ended.
+   * Returns whether there are any.
+   */
   markZoneCold(zone: string, index: number): boolean {
     const coldInstances = this.present.filter((instance) => instance.zone === zone);
     for (const instance of coldInstances) {
@@ -124,7 +130,10 @@
     return coldInstances.length > 0;
   }
 
-  /** Names the proxy that may send to a cold instance; returns whether the one that it follows was the present one. */
+  /**
+   * Sets the proxy that may send to a cold instance; returns false if the command names another
+   * previous holder than the current one.
+   */
   setHolder(index: number, next: whinyoke.ISlowStartHolder): boolean {
     const known = this.entries.get(next.instance ?? '');
     if (!known || (known.holderIncarnation ?? '') !== (next.formerIncarnation ?? '')) return false;
@@ -133,7 +142,7 @@
     return true;
   }
 
-  /** Replaces everything by the entries of a snapshot. */
+  /** Replaces all entries by those of a snapshot. */
   restore(
     instances: readonly whinyoke.IInstanceEntry[],
     incarnations: readonly whinyoke.IIncarnationEntry[],
@@ -169,7 +178,10 @@
   }
 }
 
-/** Whether whoever knows the one entry finds the instance of the other: an older program may not use one in a state that it lacks. */
+/**
+ * Whether a process that knows one entry can use the instance of the other. The state matters
+ * because an older program ignores instances in a state that it does not know.
+ */
 function hasSameLocation(known: InstanceEntry, updated: whinyoke.IInstanceEntry): boolean {
   const isSameState =
     (known.state ?? InstanceState.READY) === (updated.state ?? InstanceState.READY);
--- a/src/appointed/catalog/newest_document.ts
+++ b/src/appointed/catalog/newest_document.ts
@@ -1,6 +1,7 @@
 /**
- * The newest routing document of the catalog, read. Owns the routes that it last read; relies on the reader, which may refuse a
- * document that another version of the program accepted: a line is logged, and the document before it counts on.
+ * Parses the newest routing document of the catalog and caches the result. If the reader rejects a
+ * document, which can happen if another version of the program accepted it, this is logged and the
+ * previous document stays in force.
  */
 import { messageOf } from '../../errors/errors.js';
 import type { DecisionLog } from '../../observability/decision_logger.js';
--- a/src/appointed/catalog/usable_instance.ts
+++ b/src/appointed/catalog/usable_instance.ts
@@ -1,12 +1,12 @@
 /**
- * DECISION: which entries of the catalog name an instance to use, and which heartbeats make an entry.
+ * Decides which catalog entries describe a usable instance and which heartbeats are stored. This
+ * guards against heartbeats that are malformed or come from other software than the configured
+ * services, and against entries that an older program stored for them.
  *
- * Answers: heartbeats of other writers, and entries that an older program took from them.
- * Inputs: an entry's id, address, state and group; the services that the document in force names.
- * Rule: an instance to use has an id, an address of host and port, a state that this program knows and that is not GONE, and a service
- *   that is named. Before the first document, heartbeats are stored and not used; after it, those of services that
- *   are not named make no entry, but keep one that is known up to date.
- * Constants: none. See docs/design/foreign-heartbeats.md. Tests: test/unit/foreign_heartbeats.test.ts. Pure.
+ * A usable instance has an id, an address with host and port, a state that this program knows other
+ * than GONE, and a service named in the current routing document. Before the first document,
+ * heartbeats are stored but not used. After it, heartbeats of unnamed services create no entry, but
+ * update a known one. See docs/design/foreign-heartbeats.md. Pure: no I/O, no clock.
  */
 import { whinyoke } from '../../protocol/generated/messages.js';
 import { isAddress } from '../../runtime/address.js';
@@ -15,10 +15,10 @@
 
 const { InstanceState } = whinyoke;
 
-/** Why an entry names no instance to use. */
+/** Why an entry does not describe a usable instance. */
 type UnusableReason = 'no id' | 'no address' | 'gone' | 'unknown state' | 'service not named';
 
-/** Why an entry names no instance to use; undefined when it names one. */
+/** Why an entry does not describe a usable instance; undefined if it does. */
 export function unusableReason(
   { id, address, state, group }: InstanceEntry,
   table: RouteTable | undefined,
@@ -31,7 +31,7 @@
   return table?.limitsByGroup.has(group ?? '') ? undefined : 'service not named';
 }
 
-/** Whether a heartbeat of a service may be stored, beside the entry that is known under its id. */
+/** Whether a heartbeat of a service may be stored, given the known entry of its instance. */
 export function isHeartbeatExpected(
   service: string,
   known: InstanceEntry | undefined,
