--- a/src/appointed/catalog/catalog.ts
+++ b/src/appointed/catalog/catalog.ts
@@ -119,7 +119,7 @@
     return this.groupTable.byName;
   }
 
-  /** Newest order for each zone that was ever evacuated. */
+  /** Newest evacuation order for each zone that was ever evacuated. */
   get evacuations(): readonly EvacuationEntry[] {
     return this.evacuationTable.all;
   }
@@ -132,7 +132,7 @@
     return this.evacuationTable.isEvacuated(zone);
   }
 
-  /** Orders that took effect after a version. */
+  /** Evacuation orders that took effect after a version. */
   evacuationsSince(version: number): readonly EvacuationEntry[] {
     return this.evacuationTable.since(version);
   }
--- a/src/appointed/catalog/evacuation_table.ts
+++ b/src/appointed/catalog/evacuation_table.ts
@@ -4,7 +4,7 @@
  */
 import type { whinyoke } from '../../protocol/generated/messages.js';
 
-/** Newest order for one zone. Immutable. */
+/** Newest evacuation order for one zone. Immutable. */
 export type EvacuationEntry = Readonly<whinyoke.IEvacuationEntry>;
 
 /** Effect of an order. */
--- a/src/appointed/control/address_claim.ts
+++ b/src/appointed/control/address_claim.ts
@@ -1,13 +1,11 @@
 /**
- * DECISION: whether an instance that control hears of for the first time is really at the address that it names.
+ * Decides whether an unknown instance really is at the address that its heartbeat reports. A
+ * heartbeat may arrive seconds late, after its sender crashed and another instance started at the
+ * same address; it must not remove the live instance.
  *
- * Answers: a heartbeat that was delayed by seconds; its sender may have crashed meanwhile, and another instance may have its
- *   address. A late heartbeat must not end an instance that is alive.
- * Inputs: the present holder of the address, milliseconds since that one's newest heartbeat, the answer at the address.
- * Rule: granted when nobody holds the address or its holder is silent; otherwise the instance that answers at the address decides.
- * Constants: below. Tests: test/unit/address_claim.test.ts.
- *
- * Owns nothing. Relies on the instance at the address, which may not answer: the claim is unclear then, and the instance's next heartbeat repeats it.
+ * The claim is granted if no instance holds the address or the holder sends no heartbeats;
+ * otherwise the instance that answers at the address decides. If none answers, the claim is
+ * unclear, and the next heartbeat repeats it.
  */
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
 import type { InstanceMonitor } from '../failover/instance_monitor.js';
@@ -15,18 +13,17 @@
 import { ConnectError, type InstanceConnector } from '../instance/instance_connection.js';
 import type { Clock } from '../../runtime/runtime.js';
 
-/** Whether the newcomer has the address. */
+/** Result of a claim on an address. */
 export type ClaimOutcome = 'granted' | 'refused' | 'unclear';
 
 /**
- * A holder of the address that was silent for longer is gone, in milliseconds: instances send one about every 1.2 s,
- * so two of its heartbeats are missing. A guess, not measured.
+ * A holder without heartbeats for longer counts as gone. Instances send one about every 1.2 s, so
+ * two are missing.
  */
 const HOLDER_TIMEOUT_MS = 3000;
-/** Time to open a connection to the address, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Claims on addresses, at one control machine. */
+/** Evaluates claims on addresses at one control machine. */
 export class AddressClaims {
   constructor(
     private readonly clock: Clock,
@@ -35,7 +32,7 @@
     private readonly connector: InstanceConnector,
   ) {}
 
-  /** Whether a newcomer may take its address over from the instance that holds it. */
+  /** Decides whether an instance may take its address over from the current holder. */
   async evaluate(claimant: InstanceEntry): Promise<ClaimOutcome> {
     const now = this.clock.now();
     const [holder] = this.catalog.otherInstancesAt(claimant);
@@ -44,14 +41,15 @@
     return isHolderAlive ? this.verifyByConnecting(claimant) : 'granted';
   }
 
-  /** An instance opens a connection only for its own identifier. */
+  /** Instances accept only connections that are addressed to their own identifier. */
   private async verifyByConnecting(claimant: InstanceEntry): Promise<ClaimOutcome> {
     try {
       const { connection } = await this.connector.connect(targetOf(claimant), CONNECT_TIMEOUT_MS);
       connection.close();
       return 'granted';
     } catch (error) {
-      // Anything but another identifier says nothing of who is there; the newcomer's next heartbeat asks again.
+      // Only a mismatch of identifiers proves that another instance is there; after other errors
+      // the next heartbeat tries again.
       const isOther = error instanceof ConnectError && error.failure === 'wrongInstance';
       return isOther ? 'refused' : 'unclear';
     }
--- a/src/appointed/control/allowance_service.ts
+++ b/src/appointed/control/allowance_service.ts
@@ -1,9 +1,11 @@
 /**
- * Answers proxies that ask for operations of tenants, on the leader. How many are granted: `src/appointed/tenancy/
- * operation_ledger.ts`.
+ * Serves proxies that request operations of rate-limited tenants, on the leader.
+ * `src/appointed/tenancy/operation_ledger.ts` decides how many are granted.
  *
- * Owns the ledger of one leadership and which proxies have not said yet what they hold. Relies on a majority to change what a
- * leader leaves to its successor; where that fails, a line is logged, and callers of the tenant wait for the next request.
+ * After a leader change, the new leader does not know which operations proxies still hold from
+ * former leaders, so this service tracks which proxies have not reported theirs yet. Changing the
+ * successor reserve needs a majority. If that fails, it is logged, and the tenant's callers wait
+ * for the next request.
  */
 import { inflateSource } from '../catalog/document_source.js';
 import type { Catalog } from '../catalog/catalog.js';
@@ -25,22 +27,19 @@
 import { toLeasedWireRate, fromWireRate } from '../tenancy/wire_rate.js';
 
 const REFUSAL: whinyoke.IAllowanceReply = { accepted: false };
-/** A first change lets a successor keep a part of a bucket, a second one gives that up too. */
+/** The first change lowers a reserve to a part of the bucket, the second one to zero. */
 const MAX_RESERVE_CHANGES = 2;
 
-/** What the service needs of its control machine. */
 export interface AllowanceServiceDependencies {
-  /** Time and timers of this process. */
   readonly clock: Clock;
   /** This machine's consensus member. */
   readonly node: RaftNode;
   /** The replicated state. */
   readonly catalog: Catalog;
-  /** Reads routing documents. */
+  /** Parses routing documents. */
   readonly documents: RoutingDocumentReader;
   /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
-  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
 }
 
@@ -49,17 +48,16 @@
   readonly limit: OperationLimit;
 }
 
-/** Service of one control machine. */
 export class AllowanceService {
   private readonly ledger: OperationLedger;
-  /** Newest sequence of each run of a proxy. */
+  /** Newest request sequence of each incarnation of a proxy. */
   private readonly sequences = new Map<string, number>();
   /**
-   * Incarnation of each proxy that may hold operations granted by former leaders and has not said how many; undefined until
-   * this leader was asked.
+   * Incarnation of each proxy that may hold operations granted by former leaders and has not
+   * reported them; undefined until this leader's first request.
    */
   private unreportedIncarnations: Map<string, string> | undefined;
-  /** When each run began that no leader had granted anything before, on the clock of this machine. */
+  /** Start, on this machine's clock, of each incarnation that holds no grants of former leaders. */
   private readonly freshSince = new Map<string, number>();
   private hasRecordedFreshStart = false;
   private leadershipStartedAt = 0;
@@ -75,7 +73,7 @@
     this.ledger = new OperationLedger(rules, (tenant) => catalog.successorReserveOf(tenant));
   }
 
-  /** Begins a leadership. */
+  /** Starts a leadership. */
   begin(): void {
     this.leadershipStartedAt = this.dependencies.clock.now();
     this.ledger.beginLeadership(this.leadershipStartedAt);
@@ -116,15 +114,18 @@
     return { accepted: true, allowances, term, needsAll };
   }
 
-  /** Only a registered run may hold anything, so that a successor knows whom to wait for. */
+  /**
+   * Only a registered incarnation may hold grants, so that a successor knows whose reports it
+   * needs.
+   */
   private isRegistered(proxy: string, incarnation: string): boolean {
     const entry = this.dependencies.catalog.proxy(proxy);
     return entry !== undefined && (entry.incarnation ?? '') === incarnation;
   }
 
   /**
-   * A run said what it holds, completely or not. Once no run may hold anything unknown, the ledger grants reserves again (what
-   * proxies may run without asking).
+   * Records the report of an incarnation, complete or partial. Once all proxies have reported, the
+   * ledger grants reserves again, which proxies may use without a request.
    */
   private recordReportedReserves(proxy: string, incarnation: string, isComplete: boolean): void {
     const { catalog, clock, log, node } = this.dependencies;
@@ -150,8 +151,9 @@
   }
 
   /**
-   * Notes the age of a run that takes over replies of this leader only; whether it has to tell so once more, since it did not
-   * know this leader yet, and might have taken over a reply of a former one.
+   * Records the age of an incarnation that accepts only replies of this leader. Returns whether the
+   * incarnation must repeat it, because it did not know this leader yet and might have accepted a
+   * reply of a former one.
    */
   private recordFreshness(
     incarnationKey: string,
@@ -164,7 +166,10 @@
     return freshTerm === 0;
   }
 
-  /** Once all runs began without anything granted, as after a loss of all power, only this leader's grants count since then. */
+  /**
+   * If all incarnations started without grants, as after a total power loss, only this leader's
+   * grants count since then.
+   */
   private recordFreshStart(incarnationKey: string, ageMs: number): void {
     const { catalog, clock, log, node } = this.dependencies;
     this.freshSince.set(incarnationKey, clock.now() - ageMs);
@@ -183,7 +188,7 @@
   private toLimitedDemands(demand: whinyoke.ITenantDemand): LimitedDemand[] {
     const tenant = demand.tenant ?? '';
     const limit = this.tenants.findByName(tenant)?.limit;
-    // The proxy knows a document that this machine doesn't, or the other way round: it asks again.
+    // The proxy and this machine know different documents; the proxy asks again.
     if (!limit) return [];
     const { waiting, returned, held, wantedReserve, heldRate, wantedRate, heldMost } = demand;
     return [
@@ -212,7 +217,7 @@
     }
   }
 
-  /** Writes the successor's reserves that have to change, all in one entry; one entry at a time. */
+  /** Commits all pending changes of successor reserves in one log entry; one entry at a time. */
   private async commitSuccessorReserves(): Promise<void> {
     while (this.pendingCommit) await this.pendingCommit;
     const changes = this.ledger.takeSuccessorReserveChanges();
@@ -233,7 +238,7 @@
     }
   }
 
-  /** Reads the tenants of the newest document, once for each version. */
+  /** Parses the tenants of the newest document, once per version. */
   private readTenants(): void {
     const { catalog, documents } = this.dependencies;
     const { document, documentVersion } = catalog;
@@ -243,7 +248,7 @@
   }
 }
 
-/** Name of one run of a proxy. */
+/** Key of one incarnation of a proxy. */
 function incarnationKeyOf({ id, incarnation }: whinyoke.IProxyEntry): string {
   return `${id ?? ''}\n${incarnation ?? ''}`;
 }
--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -1,16 +1,14 @@
 /**
- * A control machine for groups whose primary is appointed: puts its parts together and hands messages to them.
+ * A control machine for groups whose primary is appointed. Combines these parts and dispatches
+ * messages to them:
  *
- * - `sync_service.ts`: registers proxies, grants leases, sends what is new
- * - `allowance_service.ts`: grants operations of limited tenants
+ * - `sync_service.ts`: registers proxies, grants leases, sends catalog updates
+ * - `allowance_service.ts`: grants operations of rate-limited tenants
  * - `catalog_service.ts`: changes and reads of the catalog by operators and instances
- * - `primary_position_cache.ts`: newest positions of the primaries
- * - `cluster_contact.ts`: which other control machines answer
+ * - `primary_position_cache.ts`: newest known positions of the primaries
+ * - `cluster_contact.ts`: which other control machines reply
  * - `src/appointed/failover`: failed primaries, changes of primary, the appointment lease
- * - `src/consensus`: the replicated log and the place of this machine in the cluster
- *
- * Owns the timers of upkeep and whether this machine serves as the leader. Relies on the other control machines, the disk,
- * the instances and the platform's appointment call; any of them may fail.
+ * - `src/consensus`: the replicated log and the cluster membership
  */
 import { Catalog } from '../catalog/catalog.js';
 import { NewestDocument } from '../catalog/newest_document.js';
@@ -46,36 +44,37 @@
 import { SlowStartHolders } from './slow_start_holders.js';
 import { SyncService } from './sync_service.js';
 
-/** Identity and surroundings of a control machine. */
 export interface AppointedControlOptions {
   /** Name under which this process holds the appointment lease. */
   readonly name: string;
   /** Address for messages of other processes. */
   readonly address: string;
-  /** Addresses of control machines to begin with. */
+  /** Addresses of the control machines to contact first. */
   readonly seeds: readonly string[];
-  /** Whether this is the very first start of the whole system. */
+  /**
+   * Whether this is the very first start of the whole system, so that this machine may found the
+   * cluster.
+   */
   readonly isFirstStart: boolean;
-  /** Number of voting members to keep. */
+  /** Number of voting members to maintain. */
   readonly voterCount: number;
   /** Opens connections to instances. */
   readonly connector: InstanceConnector;
   /** Calls the platform to appoint a primary. */
   readonly appointer: PrimaryAppointer;
-  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
-  /** Reads routing documents. */
+  /** Parses routing documents. */
   readonly documents: RoutingDocumentReader;
-  /** How limits on operations of tenants are judged. */
+  /** Rules for enforcing the operation limits of tenants. */
   readonly quotaRules: QuotaRules;
-  /** Bounds on where requests go. */
+  /** Rules for where requests may go. */
   readonly placementRules: PlacementRules;
 }
 
 /**
- * Timing of control machines that appoint primaries, in milliseconds; see `src/consensus/election_timer.ts`. Shorter election
- * timeouts than the default, since proxies wait for leases. Guesses for machines of one region; held against two regions
- * 30 ms apart in test/simulation/elections.test.ts.
+ * Timing of control machines that appoint primaries. Election timeouts are shorter than the default
+ * because proxies wait for leases. The values suit machines of one region and are tested with two
+ * regions 30 ms apart in test/simulation/elections.test.ts.
  */
 export const APPOINTED_RAFT_OPTIONS: RaftOptions = {
   ...DEFAULT_RAFT_OPTIONS,
@@ -83,11 +82,15 @@
   electionTimeoutMs: 300,
   initialElectionTimeoutMs: 120,
 };
-/** Time between two rounds of upkeep (removal of silent proxies, the directory), in milliseconds. A guess, not measured. */
+/**
+ * Upkeep removes expired proxies, refreshes the proxy directory and assigns missing slow-start
+ * holders.
+ */
 const UPKEEP_INTERVAL_MS = 500;
-/** Time between two looks for primaries whose position is wanted and not known, in milliseconds. A guess, not measured. */
+/** Interval of checks for primaries whose position is requested but not known. */
 const POSITION_PROBE_INTERVAL_MS = 100;
-/** What most parts need of the machine. */
+
+/** Dependencies that most parts share. */
 interface SharedDependencies {
   readonly clock: Clock;
   readonly node: RaftNode;
@@ -96,7 +99,6 @@
   readonly log: DecisionLog;
 }
 
-/** One control machine. */
 export class AppointedControl {
   private readonly ledger = new LeaseLedger();
   private readonly monitor = new InstanceMonitor();
@@ -154,7 +156,7 @@
     this.joiner = this.makeJoiner();
   }
 
-  /** Reads the durable state and prepares everything; nothing is sent before `start`. */
+  /** Reads the durable state and creates all parts; nothing is sent before `start`. */
   static async open(runtime: Runtime, options: AppointedControlOptions): Promise<AppointedControl> {
     const identity = await loadIdentity(runtime);
     const log = await RaftLog.open(runtime.folder);
@@ -173,7 +175,7 @@
     return control;
   }
 
-  /** Joins the cluster and serves. */
+  /** Joins the cluster and starts serving. */
   async start(): Promise<void> {
     this.runtime.messenger.serve((body) => this.handle(body));
     await this.joiner.prepare();
@@ -187,7 +189,6 @@
     this.schedulePositionProbes();
   }
 
-  /** Stops serving. */
   stop(): void {
     this.upkeepTimer?.cancel();
     this.positionTimer?.cancel();
@@ -199,17 +200,23 @@
     this.node.stop();
   }
 
-  /** Takes over control machines of changed settings. */
+  /** Replaces the control machine addresses after a change of settings. */
   updateSeeds(seeds: readonly string[]): void {
     this.seeds = seeds;
   }
 
-  /** Whether a heartbeat of an instance of a service may change the catalog, as far as this machine knows. */
+  /**
+   * Whether a heartbeat of an instance of a service may change the catalog, as far as this machine
+   * knows.
+   */
   expectsHeartbeat(id: string, service: string): boolean {
     return isHeartbeatExpected(service, this.catalog.instance(id), this.document.table);
   }
 
-  /** Zones of the settings, of present instances, and those on which an operator gave an order. */
+  /**
+   * Zones in the settings, zones of present instances, and zones for which an operator gave an
+   * order.
+   */
   get knownZones(): ReadonlySet<string> {
     const { presentInstances, evacuations } = this.catalog;
     const reportedZones = [...presentInstances, ...evacuations].map(({ zone }) => zone ?? '');
@@ -222,7 +229,7 @@
     return this.catalogService.submit(request);
   }
 
-  /** Answers a message of another process. */
+  /** Handles a message of another process. */
   async handle(body: MessageBody): Promise<MessageBody> {
     if (body.syncRequest) return { syncReply: await this.syncService.sync(body.syncRequest) };
     if (body.catalogRequest) {
@@ -291,11 +298,12 @@
     this.syncService.onLeadershipChanged();
   }
 
-  /** Everything that was committed before is applied. */
+  /** Called once all entries committed by former leaders are applied. */
   private beginServing(): void {
     this.isServing = true;
     this.syncService.begin();
-    // Proxies that have just started read nothing from replicas before they know positions of the primaries.
+    // Proxies that have just started can't read from replicas before they know positions of the
+    // primaries.
     this.positions.recordDemand();
     void this.positions.probeMissing().then(() => this.syncService.answerAllWaiting());
   }
@@ -307,7 +315,8 @@
 
   private scheduleUpkeep(): void {
     this.upkeepTimer = this.runtime.clock.setTimer(UPKEEP_INTERVAL_MS, () => {
-      // A removal that fails changes nothing; the next upkeep proposes it again, on the machine that leads then.
+      // A removal that fails changes nothing; the next upkeep on the current leader proposes it
+      // again.
       if (this.node.isReadyLeader) this.syncService.maintain().catch(() => undefined);
       this.slowStarts.assignMissingHolders();
       this.scheduleUpkeep();
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -1,10 +1,8 @@
 /**
- * Changes and reads of the catalog on behalf of operators and instances. Any control machine takes them;
- * one that does not lead forwards them to the leader. An answer is given only once a majority has the
- * change on disk.
- *
- * Owns nothing. Relies on the leader and on a majority: without either the sender gets UNAVAILABLE, a line is logged, and it
- * asks again.
+ * Changes and reads the catalog on behalf of operators and instances. Any control machine accepts
+ * requests and forwards them to the leader. A change is acknowledged only once a majority has it on
+ * disk. Without a leader or a majority the sender gets UNAVAILABLE and must repeat the request; the
+ * failure is logged.
  */
 import type { AddressClaims, ClaimOutcome } from './address_claim.js';
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
@@ -21,15 +19,12 @@
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
-/** Time for the leader to answer a request that was forwarded to it, in milliseconds. A guess, not measured. */
 const FORWARD_TIMEOUT_MS = 900;
 const UNAVAILABLE_REPLY: whinyoke.ICatalogReply = { outcome: CatalogOutcome.UNAVAILABLE };
 
-/** What the service needs of its control machine. */
 export interface CatalogServiceDependencies {
-  /** Time and timers of this process. */
   readonly clock: Clock;
-  /** The way to other processes. */
+  /** Sends messages to other processes. */
   readonly messenger: Messenger;
   /** This machine's consensus member. */
   readonly node: Pick<RaftNode, 'role' | 'isReadyLeader' | 'leaderAddress' | 'address'>;
@@ -37,26 +32,24 @@
   readonly catalog: Catalog;
   /** Newest heartbeats of instances. */
   readonly monitor: InstanceMonitor;
-  /** Decides on addresses that are held already. */
+  /** Decides claims on addresses that another instance holds. */
   readonly claims: AddressClaims;
   /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
-  /** Takes log lines of decisions. */
   readonly log: DecisionLog;
 }
 
-/** Service of one control machine. */
 export class CatalogService {
   private readonly warmUps: WarmUpMonitor;
 
   constructor(private readonly dependencies: CatalogServiceDependencies) {
     const { clock, catalog, node, log } = dependencies;
-    // All machines apply the entry; the one that leads tells of it.
+    // All machines apply the entry; only the leader logs it.
     const logAsLeader: DecisionLog = (event, fields) => node.isReadyLeader && log(event, fields);
     this.warmUps = new WarmUpMonitor(clock, catalog, logAsLeader);
   }
 
-  /** Takes a request here or at the leader. */
+  /** Handles a request here or forwards it to the leader. */
   async submit(request: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> {
     if (this.dependencies.node.role === 'leader') return this.handle(request);
     const { leaderAddress } = this.dependencies.node;
@@ -71,12 +64,12 @@
       );
       return answer.catalogReply ?? UNAVAILABLE_REPLY;
     } catch (error) {
-      this.logFailure(request, `passed on to ${leaderAddress}: ${messageOf(error)}`);
+      this.logFailure(request, `forwarding to leader ${leaderAddress} failed: ${messageOf(error)}`);
       return UNAVAILABLE_REPLY;
     }
   }
 
-  /** Answers a request as the leader. */
+  /** Handles a request as the leader. */
   async handle(request: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> {
     if (!this.dependencies.node.isReadyLeader) return UNAVAILABLE_REPLY;
     try {
@@ -108,8 +101,8 @@
   }
 
   /**
-   * An order that holds already is proposed too: the entry changes nothing, proves that this machine leads, and comes behind
-   * any order on the zone that is not committed yet.
+   * Also proposes an order that is already in effect. The entry changes nothing, but it proves that
+   * this machine leads, and it follows any uncommitted order for the zone.
    */
   private async putEvacuation(order: whinyoke.IEvacuationOrder): Promise<whinyoke.ICatalogReply> {
     await this.dependencies.propose({ putEvacuation: order });
@@ -121,12 +114,15 @@
     return { outcome: CatalogOutcome.DONE, document: this.dependencies.catalog.document };
   }
 
-  /** An empty entry that is committed proves that nobody else led in between. */
+  /** Committing an empty entry proves that no other member led in the meantime. */
   private async confirmLeadership(): Promise<void> {
     await this.dependencies.propose({});
   }
 
-  /** Removes other instances at an address: the one that sends heartbeats from it is the only one there. */
+  /**
+   * Removes other instances at an address, because the sender of the heartbeat is the one that is
+   * there.
+   */
   private async removeFormerHolders(instance: whinyoke.IInstanceEntry): Promise<void> {
     for (const other of this.dependencies.catalog.otherInstancesAt(instance)) {
       await this.dependencies.propose({ putInstance: { ...other, state: InstanceState.GONE } });
@@ -159,7 +155,10 @@
     return { outcome: CatalogOutcome.DONE };
   }
 
-  /** An instance leaves; one that started again after the known incarnation does so under its own number. */
+  /**
+   * Marks an instance as gone. An incarnation later than the known one is recorded with its own
+   * number.
+   */
   private async recordDeregistration(
     known: InstanceEntry | undefined,
     { id, born, sequence, incarnation }: whinyoke.IInstanceEntry,
@@ -173,7 +172,10 @@
     return { outcome: CatalogOutcome.DONE };
   }
 
-  /** An earlier `born` is that of an incarnation that follows, on a clock that was set back, where the known one has ended. */
+  /**
+   * An entry with an earlier start time gets the next incarnation number if the known incarnation
+   * may have ended. This happens if the clock of the instance's machine was set back.
+   */
   private withIncarnationNumber(
     known: InstanceEntry | undefined,
     instance: whinyoke.IInstanceEntry,
@@ -219,7 +221,10 @@
     return this.warmUps.evaluate(reported, warmupMs ?? 0, newest === (reported.sequence ?? 0));
   }
 
-  /** A heartbeat of one that is gone needs no answer that makes anybody try again; one that is unclear does. */
+  /**
+   * The sender of a refused claim is gone, so the reply is DONE and causes no retry. After an unclear
+   * claim the sender must retry.
+   */
   private refuseClaim(
     instance: whinyoke.IInstanceEntry,
     claim: ClaimOutcome,
@@ -234,7 +239,9 @@
   }
 }
 
-/** Whether an entry is that of an incarnation that ended, not only an older one of the present incarnation. */
+/**
+ * Whether an entry is of an incarnation that ended, rather than an older entry of the current one.
+ */
 function isOfFormerIncarnation(
   known: InstanceEntry,
   { born }: whinyoke.IInstanceEntry,
--- a/src/appointed/control/catalog_updates.ts
+++ b/src/appointed/control/catalog_updates.ts
@@ -1,21 +1,17 @@
-/**
- * What changed in the catalog since a version, encoded once for all proxies that know the same version.
- *
- * Owns the encoded updates of the present version. Relies on the catalog only; nothing here can fail.
- */
+/** Encodes the catalog changes since a version, once for all proxies that know the same version. */
 import type { Catalog } from '../catalog/catalog.js';
 import { whinyoke } from '../../protocol/generated/messages.js';
 
 const EMPTY_UPDATE = new Uint8Array(0);
 
-/** Encoded updates of the present version of the catalog. */
+/** Encoded updates for the current version of the catalog. */
 export class CatalogUpdates {
   private version = -1;
   private readonly encoded = new Map<string, Uint8Array>();
 
   constructor(private readonly catalog: Catalog) {}
 
-  /** Encoded update for a proxy that knows these versions; empty when it knows everything. */
+  /** Encoded update for a proxy with these known versions; empty if there are no changes. */
   since(knownVersion: number, knownDocument: number): Uint8Array {
     const { catalog } = this;
     const hasDocument = catalog.documentVersion > knownDocument;
--- a/src/appointed/control/primary_position_cache.ts
+++ b/src/appointed/control/primary_position_cache.ts
@@ -1,10 +1,8 @@
 /**
- * Newest known positions of the primaries, on the leader. Proxies that hear from a primary report its position, and the
- * leader hands that on to those that read from its replicas without hearing from it. Where nobody reports, the leader
- * asks the primary itself. See docs/design/reads-at-scale.md.
- *
- * Owns the positions of one leadership. Relies on reports of proxies and on the primaries' answers; either may be missing, and
- * readers then ask their primary themselves.
+ * Newest known positions of the primaries, on the leader. Proxies connected to a primary report its
+ * position, and the leader passes it to proxies that read from its replicas without being connected
+ * to the primary. If there are no reports, the leader probes the primary itself. If neither works,
+ * readers ask their primary themselves. See docs/design/reads-at-scale.md.
  */
 import type { Catalog, GroupEntry } from '../catalog/catalog.js';
 import { targetOf } from '../failover/instance_target.js';
@@ -19,18 +17,17 @@
 const { GroupPhase } = whinyoke;
 
 /**
- * A primary is asked when its newest position is older than this, in milliseconds. With the time that a request is held
- * and a round of reports, what proxies get is younger than the shortest usual bound of staleness (1.5 s).
+ * A primary is probed if its newest position is older. Together with a long poll and a round of
+ * reports, the positions that proxies get are still younger than the shortest common staleness
+ * bound (1.5 s).
  */
 const PROBE_AGE_MS = 600;
-/** A position older than this is not handed on, in milliseconds. */
+/** Older positions are not passed to proxies. */
 const MAX_POSITION_AGE_MS = 3000;
-/** For how long the wish of a proxy counts, in milliseconds. */
+/** How long the request of a proxy for positions stays in effect. */
 const DEMAND_TIMEOUT_MS = 1000;
-/** Time to open a connection to a primary, in milliseconds. A guess, not measured. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** Cache of one leader. */
 export class PrimaryPositionCache {
   private readonly positions = new Map<string, PrimaryPosition>();
   private readonly probing = new Set<string>();
@@ -43,12 +40,15 @@
     private readonly isLeading: () => boolean,
   ) {}
 
-  /** Begins a leadership: times of former leaders mean nothing here. */
+  /**
+   * Starts a leadership. Times of former leaders are on other clocks, so their positions are
+   * dropped.
+   */
   begin(): void {
     this.positions.clear();
   }
 
-  /** Takes over reports whose times are on this leader's clock. */
+  /** Stores reports whose times are on this leader's clock. */
   recordReports(reports: readonly whinyoke.IPositionReport[]): void {
     for (const { group, epoch, position, askedAt } of reports) {
       this.store(group ?? '', {
@@ -59,12 +59,15 @@
     }
   }
 
-  /** A proxy lacks positions. */
+  /** Records that a proxy needs positions. */
   recordDemand(): void {
     this.demandUntil = this.clock.now() + DEMAND_TIMEOUT_MS;
   }
 
-  /** Asks the primaries of which too little is known; resolves once all of them have answered or failed. */
+  /**
+   * Probes the primaries without a recent position; resolves once all of them have replied or
+   * failed.
+   */
   async probeMissing(): Promise<void> {
     const now = this.clock.now();
     if (now > this.demandUntil || !this.isLeading()) return;
@@ -72,7 +75,7 @@
     await Promise.all(missing.map((entry) => this.probe(entry)));
   }
 
-  /** Positions for a proxy; undefined when none is known. */
+  /** Positions for a proxy; undefined if none is known. */
   newest(): whinyoke.IPrimaryPositions | undefined {
     const now = this.clock.now();
     const known = this.catalog.groupsByName.map((entry) => this.usablePosition(entry, now));
@@ -94,13 +97,13 @@
 
   private needsProbe(entry: GroupEntry, now: number): boolean {
     if (entry.phase === GroupPhase.CHANGING || this.probing.has(entry.group ?? '')) return false;
-    // No replica may be read, so its position would be of no use.
+    // No replica may be read in this case, so the position would not be used.
     if (isPrimaryStuck(this.catalog, entry)) return false;
     const known = this.usablePosition(entry, now);
     return known === undefined || now - known.askedAt > PROBE_AGE_MS;
   }
 
-  /** Asks a primary, which names its position when a connection to it begins. */
+  /** Connects to a primary, which reports its position at the start of a connection. */
   private async probe(entry: GroupEntry): Promise<void> {
     const group = entry.group ?? '';
     const instance = this.catalog.instance(entry.primary ?? '');
@@ -116,13 +119,13 @@
         this.store(group, { epoch: entry.epoch ?? 0, position, askedAt });
       }
     } catch {
-      // The primary is asked again at the next look; until then its group's readers ask it themselves.
+      // The next check probes the primary again; until then the group's readers ask it themselves.
     } finally {
       this.probing.delete(group);
     }
   }
 
-  /** Keeps a position of the present epoch if it is younger than what is known. */
+  /** Stores a position of the current epoch if it is newer than the known one. */
   private store(group: string, item: PrimaryPosition): void {
     const entry = this.catalog.group(group);
     if (entry?.epoch !== item.epoch || entry.phase === GroupPhase.CHANGING) return;
--- a/src/appointed/control/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -1,24 +1,21 @@
 /**
- * What the leader sends each proxy about its surroundings: control machines, forwarders (proxies that pass requests on to the
- * leader while control is out of a proxy's reach), and how many proxies share the connections of an instance. A proxy gets it
- * only when it changed.
- *
- * Owns the directory of one leadership and when each proxy sent its newest request. Relies on the catalog and on that time:
- * a proxy that is silent counts as gone.
+ * Data about the deployment that the leader sends to each proxy: control machines, forwarders
+ * (proxies that relay requests to the leader while a proxy can't reach control), and the number of
+ * proxies that share the connections of an instance. A proxy gets it only after a change. A proxy
+ * that sends no requests counts as gone.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
 import type { whinyoke } from '../../protocol/generated/messages.js';
 import type { Clock } from '../../runtime/runtime.js';
 
-/** A proxy counts as live for the division of connections for this long, in milliseconds. A guess, not measured. */
+/** Proxies that sent a request within this time count when connections are divided. */
 const LIVENESS_TIMEOUT_MS = 5000;
-/** Forwarders that each proxy knows: another one where the first is lost too. A guess, not measured. */
+/** The second forwarder is used if the first one fails as well. */
 const FORWARDER_COUNT = 2;
-/** Most directories of one term; a leader makes a new one at most each time its upkeep runs. */
+/** Maximum number of directory versions in one term; a leader creates at most one per upkeep. */
 const VERSIONS_PER_TERM = 2 ** 24;
 
-/** Directory of one leader. */
 export class ProxyDirectory {
   private readonly lastContactAt = new Map<string, number>();
   private leadershipStartedAt = -Infinity;
@@ -36,7 +33,7 @@
     private readonly catalog: Catalog,
   ) {}
 
-  /** Begins a leadership: every registered proxy counts as live at first. */
+  /** Starts a leadership. Every registered proxy counts as live at first. */
   begin(): void {
     this.leadershipStartedAt = this.clock.now();
     this.lastContactAt.clear();
@@ -44,7 +41,7 @@
     this.refresh();
   }
 
-  /** A proxy sent a request. */
+  /** Records a request of a proxy. */
   recordContact(proxy: ProxyEntry): void {
     this.lastContactAt.set(proxy.id ?? '', this.clock.now());
   }
@@ -54,7 +51,9 @@
     return this.clock.now() - (this.lastContactAt.get(proxy.id ?? '') ?? this.leadershipStartedAt);
   }
 
-  /** Takes over what changed; called now and then, since it looks at all proxies. */
+  /**
+   * Creates a new version if anything changed. Called periodically because it visits all proxies.
+   */
   refresh(): void {
     const controls = this.node.membership.members.map((member) => member.address);
     const { proxies } = this.catalog;
@@ -78,20 +77,22 @@
     for (const [place, proxy] of proxies.entries()) this.indexById.set(proxy.id ?? '', place);
   }
 
-  /** The directory for a proxy; undefined when it knows this version already. */
+  /** The directory for a proxy; undefined if it knows this version. */
   entryFor(proxy: ProxyEntry, knownVersion: number): whinyoke.IProxyDirectory | undefined {
     if (knownVersion === this.version) return undefined;
     return {
       version: this.version,
       controlAddresses: [...this.controls],
-      // The wire calls forwarders relays.
+      // The protocol calls forwarders relays.
       relays: this.forwardersFor(proxy),
       liveProxies: this.liveProxies,
       zones: [...this.zones],
     };
   }
 
-  /** Neighbours in the list, so that requests that are passed on spread over all proxies. */
+  /**
+   * Uses the neighbours in the proxy list, so that relayed requests are spread over all proxies.
+   */
   private forwardersFor(proxy: ProxyEntry): string[] {
     const { addresses } = this;
     const place = this.indexById.get(proxy.id ?? '') ?? -1;
--- a/src/appointed/control/proxy_registrar.ts
+++ b/src/appointed/control/proxy_registrar.ts
@@ -1,17 +1,15 @@
 /**
- * Registers runs of proxies in the replicated log: one entry for all that wait.
- *
- * Owns the proxies that wait. Relies on a majority; without one a proxy stays unregistered, is refused and asks again.
+ * Registers incarnations of proxies in the replicated log, with one entry for all that wait.
+ * Without a majority a proxy stays unregistered, is refused and asks again.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { Proposer } from '../failover/appointment_lease.js';
 
-/** Registrar of one control machine. */
 export class ProxyRegistrar {
   private pendingProxies: ProxyEntry[] = [];
-  /** Entry that will hold those that wait; undefined when nobody waits. */
+  /** Proposal that will contain the waiting proxies; undefined if none wait. */
   private nextProposal: Promise<void> | undefined;
-  /** Entry that is under way. */
+  /** Proposal in flight. */
   private currentProposal: Promise<void> = Promise.resolve();
 
   constructor(
@@ -19,7 +17,7 @@
     private readonly propose: Proposer,
   ) {}
 
-  /** Whether this run is in the catalog; false when it could not be put there. */
+  /** Resolves with whether this incarnation is registered, after proposing it if necessary. */
   async register(proxy: ProxyEntry): Promise<boolean> {
     if (this.isRegistered(proxy)) return true;
     this.pendingProxies.push(proxy);
@@ -37,7 +35,8 @@
     this.pendingProxies = [];
     this.nextProposal = undefined;
     if (proxies.length === 0) return Promise.resolve();
-    // A proposal that fails leaves its proxies unregistered: each of them is refused and asks again.
+    // A proposal that fails leaves its proxies unregistered: each of them is refused and asks
+    // again.
     this.currentProposal = this.propose({ putProxies: { proxies } }).then(
       () => undefined,
       () => undefined,
--- a/src/appointed/control/slow_start_holders.ts
+++ b/src/appointed/control/slow_start_holders.ts
@@ -1,9 +1,10 @@
 /**
- * Names, on the leader, the proxy that alone may send requests to a cold instance (its holder), and grants that run its lease.
- * When another may follow: `src/appointed/placement/slow_start_budget.ts`.
+ * Assigns to each cold instance one proxy, its holder, that alone may send requests to it, and
+ * grants leases to the holders. `src/appointed/placement/slow_start_budget.ts` decides when another
+ * proxy may take over.
  *
- * Owns, for one leadership, when each run of a proxy was heard, and which holders get no lease any more since others are being
- * named. Relies on a majority to name one: without it the instance gets no requests, a line is logged, and upkeep tries again.
+ * Runs on the leader. Assigning a holder needs a majority; if that fails, the instance gets no
+ * requests, the failure is logged, and the next upkeep tries again.
  */
 import type { Catalog, InstanceEntry, ProxyEntry } from '../catalog/catalog.js';
 import type { SlowStart } from '../catalog/route_table.js';
@@ -20,26 +21,24 @@
 
 const { InstanceState } = whinyoke;
 
-/** What the service needs of its control machine. */
 export interface SlowStartHoldersDependencies {
   readonly clock: Clock;
   readonly catalog: Catalog;
   readonly propose: Proposer;
   readonly log: DecisionLog;
-  /** Whether this machine leads, and has applied all that was committed before. */
+  /** Whether this machine leads and has applied all entries committed before. */
   readonly isLeading: () => boolean;
-  /** Region of a zone; undefined where the settings name none. */
+  /** Region of a zone; undefined if the settings name none. */
   readonly regionOf: (zone: string) => string | undefined;
   /** Slow start of a group in the newest document. */
   slowStartOf(group: string): SlowStart | undefined;
 }
 
-/** Holders, as one leader names them. */
 export class SlowStartHolders {
   private readonly contacts = new Map<string, IncarnationContact>();
-  /** Runs that get no lease, by the instance for which another is being named. */
+  /** Former holders that get no lease while a new holder of the instance is being assigned. */
   private readonly suspendedByInstance = new Map<string, string>();
-  /** Instances whose new holder is proposed now. */
+  /** Instances for which a new holder is being proposed. */
   private readonly proposing = new Set<string>();
   private holders: ReadonlySet<string> = new Set();
   private leadershipStartedAt = -Infinity;
@@ -49,7 +48,7 @@
     dependencies.catalog.onChange(() => this.onChange());
   }
 
-  /** Begins a leadership. */
+  /** Starts a leadership. */
   begin(): void {
     this.leadershipStartedAt = this.dependencies.clock.now();
     this.contacts.clear();
@@ -57,12 +56,15 @@
     this.onChange();
   }
 
-  /** A run of a proxy sent a request. */
+  /** Records a request of a proxy. */
   recordContact({ incarnation }: ProxyEntry, hasLeft: boolean): void {
     this.contacts.set(incarnation ?? '', { lastRequestAt: this.dependencies.clock.now(), hasLeft });
   }
 
-  /** Lease that an answer grants to a run, in milliseconds from when its request was sent; 0 for none. */
+  /**
+   * Lease granted to a proxy with a reply, in milliseconds from when its request was sent; 0 for
+   * none.
+   */
   leaseFor({ incarnation }: ProxyEntry): number {
     const proxyIncarnation = incarnation ?? '';
     const isGranted =
@@ -71,7 +73,7 @@
     return isGranted ? LEASE_MS : 0;
   }
 
-  /** Names holders where one is missing; called now and then, and after changes. */
+  /** Assigns missing holders. Called periodically and after changes. */
   assignMissingHolders(): void {
     const { catalog, isLeading } = this.dependencies;
     if (!isLeading()) return;
@@ -82,7 +84,10 @@
     }
   }
 
-  /** Whoever has a later catalog in force, as leases require, sends nothing to an instance that is gone. */
+  /**
+   * Holders with a lease know of a later catalog, in which the instance is gone, and send nothing
+   * to it.
+   */
   private forgetGoneInstances(): void {
     for (const id of this.suspendedByInstance.keys()) {
       const instance = this.dependencies.catalog.instance(id);
@@ -98,20 +103,23 @@
     this.holders = new Set(holderIncarnations.filter((id) => id !== ''));
     if (this.isAssignmentScheduled) return;
     this.isAssignmentScheduled = true;
-    // Not from within the change: a proposal would begin while an entry is being applied.
+    // Deferred, because a proposal must not start while an entry is being applied.
     clock.setTimer(0, () => {
       this.isAssignmentScheduled = false;
       this.assignMissingHolders();
     });
   }
 
-  /** One whose new holder may or may not have been committed gets one in any case, so that the former may have leases again. */
+  /**
+   * An instance whose new holder may or may not have been committed always gets one, so that the
+   * former holder can have leases again.
+   */
   private needsHolder({ id, group, isCold }: InstanceEntry): boolean {
     if (this.suspendedByInstance.has(id ?? '')) return true;
     return isCold === true && this.dependencies.slowStartOf(group ?? '') !== undefined;
   }
 
-  /** Whether nobody holds an instance, or whoever did has sent its last request for it. */
+  /** Whether an instance has no holder, or the holder can't send requests to it any more. */
   private canReplaceHolder({ id, holderIncarnation }: InstanceEntry): boolean {
     if (this.proposing.has(id ?? '')) return false;
     const holderIncarnationId = holderIncarnation ?? '';
@@ -126,8 +134,9 @@
   }
 
   /**
-   * A former leader may have heard a run as long as it could answer, and later than this one did: a run whose answer is lost asks
-   * another machine. One that leaves says so to nobody before it stops sending.
+   * Newest contact with an incarnation of a proxy. A former leader may have received requests later
+   * than this one did, for as long as it could still answer. A proxy that says it is leaving has
+   * already stopped sending.
    */
   private contactOf(proxyIncarnation: string): IncarnationContact {
     const contact = this.contacts.get(proxyIncarnation);
@@ -166,15 +175,17 @@
       )
       .finally(() => {
         this.proposing.delete(id);
-        // An entry that is not certain to have failed may still be committed: the former holder gets no lease before it is.
+        // The entry may still be committed after an error. Until it is, the former holder gets no
+        // lease.
         const present = catalog.instance(id)?.holderIncarnation ?? '';
         if (present !== former) this.suspendedByInstance.delete(id);
       });
   }
 
   /**
-   * The first by rendezvous hashing among the live proxies of the instance's zone, or of its region where the zone has none: in
-   * another region requests that must not leave theirs would be lost to it.
+   * Selects the first live proxy by rendezvous hashing in the instance's zone, or else in its
+   * region. A proxy in another region is not used, because requests that must stay in the
+   * instance's region could not reach it.
    */
   private chooseHolder({ id, zone }: InstanceEntry): ProxyEntry | undefined {
     const { catalog, regionOf } = this.dependencies;
--- a/src/appointed/control/sync_service.ts
+++ b/src/appointed/control/sync_service.ts
@@ -1,8 +1,7 @@
 /**
- * Answers the sync requests of proxies on the leader: registers them, grants leases, sends what is new.
- *
- * Owns the held requests. Relies on a majority (to register a proxy) and on this member leading; where either is missing, the
- * proxy is refused with what is known of the leader, and asks again.
+ * Answers the sync requests of proxies on the leader: registers proxies, grants leases, sends
+ * catalog updates. A sync request is a long poll. If this member does not lead, or a proxy can't be
+ * registered for lack of a majority, the proxy is refused with the known leader and asks again.
  */
 import type { Catalog, ProxyEntry } from '../catalog/catalog.js';
 import type { RaftNode } from '../../consensus/raft_node.js';
@@ -22,13 +21,12 @@
 
 const { GroupPhase } = whinyoke;
 
-/** Longest time for which a request is held, in milliseconds: less than a lease, which its answer renews. Not measured. */
+/** Less than the duration of a lease, which each reply renews. */
 const MAX_LONG_POLL_MS = 2000;
-/** A proxy that is silent for this long is removed from the catalog, in milliseconds: longer than any lease. A guess. */
+/** A proxy without requests for longer is removed from the catalog. Longer than any lease. */
 const PROXY_REMOVAL_TIMEOUT_MS = 20_000;
-/** What the service needs of its process. */
+
 export interface SyncServiceDependencies {
-  /** Time and timers of this process. */
   readonly clock: Clock;
   /** This machine's consensus member. */
   readonly node: RaftNode;
@@ -36,17 +34,16 @@
   readonly catalog: Catalog;
   /** Leases of this leadership. */
   readonly ledger: LeaseLedger;
-  /** Opinions of proxies on primaries. */
+  /** Health reports of proxies about primaries. */
   readonly health: PrimaryHealthReports;
   /** Newest known positions of primaries. */
   readonly positions: PrimaryPositionCache;
-  /** Proxies that send to cold instances. */
+  /** Proxies that may send to cold instances. */
   readonly slowStarts: SlowStartHolders;
   /** Proposes a command to the replicated log. */
   readonly propose: Proposer;
 }
 
-/** Service of one control machine. */
 export class SyncService {
   private readonly leaderWaiters: TimedWaiters;
   private readonly registrar: ProxyRegistrar;
@@ -63,19 +60,25 @@
     this.notifier = new ChangeNotifier(clock, catalog);
   }
 
-  /** Begins a leadership, once everything that was committed before is applied: the registered proxies are known then. */
+  /**
+   * Starts a leadership, once all entries committed before are applied and the registered proxies
+   * are known.
+   */
   begin(): void {
     this.directory.begin();
   }
 
-  /** Continues requests that wait for a leader: another member leads, or this one has come to lead. */
+  /**
+   * Resumes requests that wait for a leader, after another member became leader or this one is
+   * ready.
+   */
   onLeadershipChanged(): void {
     this.leaderWaiters.wakeAll();
   }
 
   /**
-   * Answers one request; held until there is something newer than its sender knows, and before that until a
-   * leader is known.
+   * Answers one request. Waits first for a leader, then until there are updates that the sender
+   * does not know.
    */
   async sync(request: whinyoke.ISyncRequest): Promise<whinyoke.ISyncReply> {
     const longPollMs = Math.min(request.waitMs ?? 0, MAX_LONG_POLL_MS);
@@ -89,18 +92,18 @@
     return this.isLeading ? this.reply(request, proxy) : this.refusal();
   }
 
-  /** Answers all held requests with what is known now. */
+  /** Answers all waiting requests with the current state. */
   answerAllWaiting(): void {
     this.notifier.notifyAll();
   }
 
-  /** Looks after the registered proxies; called now and then. */
+  /** Refreshes the directory and removes expired proxies; called periodically. */
   async maintain(): Promise<void> {
     this.directory.refresh();
     await this.removeExpired();
   }
 
-  /** Removes a proxy that was silent for long; it can hold no lease any more. */
+  /** Removes a proxy without requests for so long that it can't hold a lease any more. */
   private async removeExpired(): Promise<void> {
     const { catalog, propose } = this.dependencies;
     const expired = catalog.proxies.find(
@@ -122,7 +125,7 @@
     };
   }
 
-  /** Takes over what a request reports. */
+  /** Applies what a request reports. */
   private applyReport(request: whinyoke.ISyncRequest, proxy: ProxyEntry): void {
     const { clock, node, ledger, health, positions, slowStarts } = this.dependencies;
     const now = clock.now();
@@ -159,7 +162,7 @@
     }
   }
 
-  /** A member that leads but has not applied all that was committed before can't answer yet either. */
+  /** Also waits while this member leads but has not applied all entries committed before. */
   private async awaitLeader(maximumWaitMs: number): Promise<void> {
     const { clock, node } = this.dependencies;
     const until = clock.now() + maximumWaitMs;
--- a/src/appointed/control/warm_up_monitor.ts
+++ b/src/appointed/control/warm_up_monitor.ts
@@ -1,13 +1,12 @@
 /**
- * DECISION: what a heartbeat says of an instance's coldness.
+ * Decides what a heartbeat says about an instance's cold state. This guards against a heartbeat
+ * that was sent before the end of an evacuation, arrives late, and reports that the instance is
+ * warm.
  *
- * Answers: a heartbeat that was sent before an evacuation's end and came late; it may say that the instance is warm.
- * Inputs: the warm-up that a heartbeat tells (milliseconds), whether it is the newest, the instance in the catalog, and when this
- *   machine applied the entry since which it is cold (milliseconds on its steady clock).
- * Rule: a warm-up that is not over means cold. One that is over ends the coldness of a new instance or incarnation, which has sent
- *   all its heartbeats since; after an evacuation only if the heartbeat came {@link LATEST_HEARTBEAT_MS} after its end.
- *
- * Owns when it saw each coldness begin; a machine that got them with a snapshot counts from then. Relies on the catalog only.
+ * A heartbeat with remaining warm-up time means cold. One without ends the cold state of a new
+ * instance or incarnation. After an evacuation it ends it only if it is the newest heartbeat and
+ * arrived at least {@link MAX_HEARTBEAT_DELAY_MS} after this machine applied the end of the
+ * evacuation; a machine that restored a snapshot counts from then.
  */
 import type { Catalog, InstanceEntry } from '../catalog/catalog.js';
 import { isOtherIncarnation } from '../catalog/cold_state.js';
@@ -17,21 +16,20 @@
 import type { Clock } from '../../runtime/runtime.js';
 
 /**
- * A heartbeat that is the newest of its instance was sent at most this long before it came, in milliseconds: two or three
- * intervals; an instance that gets no answer within a second sends the next one. Guess, not measured.
+ * Assumed maximum delay of an instance's newest heartbeat, two or three heartbeat intervals. An
+ * instance that gets no reply within a second sends the next one.
  */
 const MAX_HEARTBEAT_DELAY_MS = 3000;
 
-/** The leader's opinion on an instance's coldness, as the instance's entry tells it. */
+/** Cold state as the leader concludes it from a heartbeat. */
 export type ReportedColdState = Pick<whinyoke.IInstanceEntry, 'isCold' | 'coldSince'>;
 
 interface ObservedInstance {
   readonly instance: InstanceEntry;
-  /** From when a heartbeat may end the present coldness. */
+  /** Clock reading from which a heartbeat may end the current cold state. */
   readonly mayEndFrom: number;
 }
 
-/** Monitor of one control machine. */
 export class WarmUpMonitor {
   private observed = new Map<string, ObservedInstance>();
 
@@ -44,7 +42,7 @@
     this.refresh();
   }
 
-  /** The leader's opinion after a heartbeat. */
+  /** Cold state that follows from a heartbeat. */
   evaluate(reported: InstanceEntry, warmupMs: number, isNewest: boolean): ReportedColdState {
     const known = this.catalog.instance(reported.id ?? '');
     if (warmupMs > 0) return { isCold: true, coldSince: known?.coldSince };
@@ -71,7 +69,7 @@
     this.observed = observed;
   }
 
-  /** From when a heartbeat may end a coldness that was not known before. */
+  /** When a heartbeat may end a cold state that was not known before, as a clock reading. */
   private coldStateEndsFrom(before: InstanceEntry | undefined, instance: InstanceEntry): number {
     if (before) this.logChange(instance);
     const isOfThisEntry = instance.version === this.catalog.version;
