--- a/test/simulation/elections.test.ts
+++ b/test/simulation/elections.test.ts
@@ -1,22 +1,21 @@
 /**
- * Elections between regions: power that returns, links that lose packets, pre-votes that are answered late.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - after power returned to two regions a leader stays within a second: elections that collide over long links;
- *   needs consensus members alone (test/tools/consensus_group), neither proxies nor instances.
- * - also when links lose one packet in forty: votes that are lost; needs the same with losses.
+ * Elections between two regions after a loss of power, with and without packet loss. Guards against
+ * candidates that collide again and again over long links.
  */
 import t from 'tap';
 import { ConsensusGroup } from '../tools/consensus_group.js';
 
 const SEED_COUNT = 200;
 const TWO_REGIONS = ['west', 'east', 'west', 'east', 'west', 'east'];
-/** Machines start within this time after power returns, in milliseconds. */
+/** Machines start within this time after power returns. */
 const START_SPREAD_MS = 500;
-/** Time that is looked at after power returned, in milliseconds. */
+/** Time observed after power returned. */
 const OBSERVATION_MS = 6000;
 
-/** Times until a leader stays, over many seeds, in rising order; leaderships that were given up in the same term. */
+/**
+ * Times until a leader stays, over many seeds, sorted; and the number of leaderships that were lost
+ * again.
+ */
 async function measurePowerReturns(lossShare: number): Promise<{ times: number[]; lost: number }> {
   const times: number[] = [];
   let lost = 0;
@@ -35,17 +34,23 @@
 
 function summary(times: readonly number[]): string {
   const at = (part: number): string => times[Math.floor(part * (times.length - 1))]!.toFixed(0);
-  return `median ${at(0.5)}, nine tenths ${at(0.9)}, longest ${at(1)} ms`;
+  return `median ${at(0.5)}, p90 ${at(0.9)}, maximum ${at(1)} ms`;
 }
 
-void t.test('after power returned to two regions a leader stays within a second', async (t) => {
-  const { times, lost } = await measurePowerReturns(0);
-  t.comment(`${summary(times)}; ${lost} leaderships lost again`);
-  t.ok(times.at(-1)! <= 1000, summary(times));
-});
+void t.test(
+  'after a power loss of two regions a stable leader is elected within a second',
+  async (t) => {
+    const { times, lost } = await measurePowerReturns(0);
+    t.comment(`${summary(times)}; ${lost} leaderships lost again`);
+    t.ok(times.at(-1)! <= 1000, summary(times));
+  },
+);
 
-void t.test('also when links lose one packet in forty', async (t) => {
-  const { times, lost } = await measurePowerReturns(1 / 40);
-  t.comment(`${summary(times)}; ${lost} leaderships lost again`);
-  t.ok(times.at(-1)! <= 1500, summary(times));
-});
+void t.test(
+  'after a power loss a stable leader is elected even if links lose one packet in forty',
+  async (t) => {
+    const { times, lost } = await measurePowerReturns(1 / 40);
+    t.comment(`${summary(times)}; ${lost} leaderships lost again`);
+    t.ok(times.at(-1)! <= 1500, summary(times));
+  },
+);
--- a/test/simulation/restart.test.ts
+++ b/test/simulation/restart.test.ts
@@ -1,14 +1,7 @@
 /**
- * How long a deployment is without a leader, and its proxies without leases, after everything ended at once.
- *
- * Failure that each test holds, and the parts of the emulation that it needs:
- * - a restart of everything is short: long elections and registrations after a restart; needs the world and
- *   restarts of machines, no callers, no judge.
- * - members that start together don't collide: elections that split the votes again and again; needs the same.
- * - leases are there soon after a loss of all power: a search for the leader among dark machines; needs the same
- *   with loss of power.
- * - a machine with an empty, full disk: its failed start ends the simulation, or it stays away; needs one machine whose
- *   disk is lost and full.
+ * Time without a leader, and without leases, after all processes of a deployment ended at once.
+ * Guards against colliding elections, slow registrations, and proxies that search for the leader
+ * among machines without power.
  */
 import t from 'tap';
 import { APPOINTED_QUETZAL, APPOINTED_TOPLINA } from '../../lab/appointed/appointed_deployment.js';
@@ -18,21 +11,27 @@
 const SEED_COUNT = 40;
 const POLL_MS = 5;
 const LIMIT_MS = 5000;
-/** First election within 150 ms, its votes on disk, and the first entry confirmed. */
+/**
+ * The first election starts within 150 ms; then its votes are synced and the first entry is
+ * committed.
+ */
 const MAX_TIME_TO_LEADER_MS = 250;
-/** The proxies are registered again and hold the catalog. */
+/** After the election, the proxies are registered again and get the catalog. */
 const MAX_TIME_TO_LEASES_MS = 300;
-/** Processes start up to that much apart, in milliseconds. */
+/** Processes start up to this much apart. */
 const START_SKEW_MS = 100;
-/** Processes that were killed at the same moment start again up to that much apart, in milliseconds. */
+/** Processes that were killed at the same moment start up to this much apart. */
 const SIMULTANEOUS_START_SKEW_MS = 15;
-/** 45 ms when the first tries were drawn at random; measured by this test. */
+/**
+ * Only elections whose first attempts are staggered stay below this; random ones collide more
+ * often.
+ */
 const MAX_MEAN_TIME_TO_LEADER_MS = 42;
-/** Machines get their power back up to that much apart, in milliseconds. */
+/** Machines get their power back up to this much apart. */
 const POWER_SKEW_MS = 300;
 /**
- * From the moment when a majority of the control machines and all proxies run: the election, and the search
- * of each proxy for the leader among machines that answer nothing yet.
+ * Counted from when a majority of the control machines and all proxies run. Covers the election and
+ * the search of each proxy for the leader among machines that do not answer yet.
  */
 const MAX_TIME_TO_LEASES_AFTER_POWER_MS = 150;
 const MAX_MEAN_TIME_TO_LEASES_AFTER_POWER_MS = 40;
@@ -57,7 +56,7 @@
 
 type Machine = SimulatedCoordinator | SimulatedRouter;
 
-/** Ends all machines of a calm deployment at once, and lets them start again up to `skewMs` apart. */
+/** Ends all machines of an idle deployment at once and restarts them up to `skewMs` apart. */
 async function restartAll(
   world: AppointedWorld,
   end: (machine: Machine) => void,
@@ -74,36 +73,42 @@
 }
 
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
-  void t.test(`${deployment.name}: a restart of everything is short`, async (t) => {
-    for (let seed = 1; seed <= SEED_COUNT; seed++) {
-      const world = new AppointedWorld(deployment, seed, new Set());
-      await restartAll(world, (machine) => machine.kill(), START_SKEW_MS);
-      const leader = await timeUntil(world, () => hasLeader(world));
-      const leases = await timeUntil(world, () => haveLeases(world));
-      t.ok(leader <= MAX_TIME_TO_LEADER_MS, `seed ${seed}: a leader after ${leader} ms`);
-      t.ok(
-        leader + leases <= MAX_TIME_TO_LEASES_MS,
-        `seed ${seed}: leases after ${leader + leases} ms`,
-      );
-    }
-  });
+  void t.test(
+    `${deployment.name}: after a restart of all processes a leader and leases return in time`,
+    async (t) => {
+      for (let seed = 1; seed <= SEED_COUNT; seed++) {
+        const world = new AppointedWorld(deployment, seed, new Set());
+        await restartAll(world, (machine) => machine.kill(), START_SKEW_MS);
+        const leader = await timeUntil(world, () => hasLeader(world));
+        const leases = await timeUntil(world, () => haveLeases(world));
+        t.ok(leader <= MAX_TIME_TO_LEADER_MS, `seed ${seed}: a leader after ${leader} ms`);
+        t.ok(
+          leader + leases <= MAX_TIME_TO_LEASES_MS,
+          `seed ${seed}: leases after ${leader + leases} ms`,
+        );
+      }
+    },
+  );
 }
 
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
-  void t.test(`${deployment.name}: members that start together don't collide`, async (t) => {
-    let total = 0;
-    for (let seed = 1; seed <= SEED_COUNT; seed++) {
-      const world = new AppointedWorld(deployment, seed, new Set());
-      await restartAll(world, (machine) => machine.kill(), SIMULTANEOUS_START_SKEW_MS);
-      total += await timeUntil(world, () => hasLeader(world));
-    }
-    const mean = total / SEED_COUNT;
-    t.ok(mean <= MAX_MEAN_TIME_TO_LEADER_MS, `a leader after ${mean} ms on average`);
-  });
+  void t.test(
+    `${deployment.name}: elections of members that start together do not collide`,
+    async (t) => {
+      let total = 0;
+      for (let seed = 1; seed <= SEED_COUNT; seed++) {
+        const world = new AppointedWorld(deployment, seed, new Set());
+        await restartAll(world, (machine) => machine.kill(), SIMULTANEOUS_START_SKEW_MS);
+        total += await timeUntil(world, () => hasLeader(world));
+      }
+      const mean = total / SEED_COUNT;
+      t.ok(mean <= MAX_MEAN_TIME_TO_LEADER_MS, `a leader after ${mean} ms on average`);
+    },
+  );
 }
 
 for (const deployment of [APPOINTED_QUETZAL, APPOINTED_TOPLINA]) {
-  void t.test(`${deployment.name}: leases are there soon after a loss of all power`, async (t) => {
+  void t.test(`${deployment.name}: leases return in time after a total power loss`, async (t) => {
     let total = 0;
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const world = new AppointedWorld(deployment, seed, new Set());
@@ -126,8 +131,8 @@
   const free = lost.fillDisk();
   lost.start();
   await world.run(LIMIT_MS);
-  t.equal(lost.running, undefined, 'it does not run without a name on its disk');
+  t.equal(lost.running, undefined, 'it does not run without an identity on its disk');
   free();
   const startMs = await timeUntil(world, () => lost.running !== undefined);
-  t.ok(startMs < LIMIT_MS, 'it runs');
+  t.ok(startMs < LIMIT_MS, 'it starts once there is space');
 });
--- a/test/tools/consensus_group.ts
+++ b/test/tools/consensus_group.ts
@@ -1,4 +1,6 @@
-/** Members of one replicated log in two regions, on the simulated runtime; nothing else runs on their machines. */
+/**
+ * Members of one replicated log in two regions on the simulated runtime, without other processes.
+ */
 import { RaftLog } from '../../src/consensus/raft_log.js';
 import type { RaftRole } from '../../src/consensus/member_state.js';
 import { RaftNode } from '../../src/consensus/raft_node.js';
@@ -16,14 +18,13 @@
 import { VirtualNetwork } from '../../lab/simulation/virtual_network.js';
 import type { VirtualProcess } from '../../lab/simulation/virtual_process.js';
 
-/** One way between the two regions, in milliseconds. */
+/** One-way delay between the two regions. */
 const REGION_MS = 30;
 const ZONE_MS = 1.4;
 const JITTER_MS = 0.3;
 const SYNC_MS = 5;
 const CONNECT_TIMEOUT_MS = 120;
 
-/** A change of role of one member. */
 export interface RoleChange {
   readonly at: number;
   readonly member: string;
@@ -31,7 +32,7 @@
   readonly term: number;
 }
 
-/** One machine with one member. */
+/** A machine that runs one member. */
 class MemberMachine extends SimulatedMachine {
   node: RaftNode | undefined;
 
@@ -68,7 +69,6 @@
   }
 }
 
-/** Members of one log. */
 export class ConsensusGroup {
   readonly scheduler = new Scheduler();
   readonly changes: RoleChange[] = [];
@@ -76,8 +76,8 @@
   readonly random: SeededRandom;
 
   /**
-   * @param regionOf - region of each member, in the order of their names; all vote
-   * @param lossShare - part of the messages whose first transmission is lost
+   * @param regionOf - region of each member; all members vote
+   * @param lossShare - share of the messages whose first transmission is lost
    */
   constructor(seed: number, regionOf: readonly string[], lossShare = 0) {
     this.random = new SeededRandom(seed);
@@ -110,17 +110,17 @@
     );
   }
 
-  /** The member that leads with all that was committed before. */
+  /** The leader that has applied all entries committed before. */
   get leader(): RaftNode | undefined {
     return this.machines.find(({ isUp, node }) => isUp && node?.isReadyLeader)?.node;
   }
 
-  /** Runs for some virtual milliseconds. */
+  /** Runs for a number of virtual milliseconds. */
   run(milliseconds: number): Promise<void> {
     return this.scheduler.runUntil(this.scheduler.now + milliseconds);
   }
 
-  /** Takes the power of all machines away and gives it back, to each at another moment within `spreadMs`. */
+  /** Powers all machines off, and on again at random times within `spreadMs`. */
   async losePower(downMs: number, spreadMs: number): Promise<void> {
     for (const machine of this.machines) machine.losePower();
     await this.run(downMs);
@@ -129,7 +129,10 @@
     }
   }
 
-  /** Milliseconds until the last change of leadership within `withinMs` from now; infinite when nobody leads then. */
+  /**
+   * Milliseconds until the last change of leader within `withinMs` from now; infinite if there is
+   * no leader then.
+   */
   async timeToStableLeader(withinMs: number): Promise<number> {
     const since = this.scheduler.now;
     const before = this.changes.length;
--- a/test/tools/control_cluster.ts
+++ b/test/tools/control_cluster.ts
@@ -1,4 +1,4 @@
-/** Control machines on the simulated runtime, without proxies and databases. */
+/** A cluster of control machines on the simulated runtime, without proxies and databases. */
 import type { ControlCore } from '../../src/mysql/control/control_core.js';
 import { ProtectionSet } from '../../src/mysql/gateway/protections.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -10,7 +10,6 @@
 
 const LIMIT_MS = 20_000;
 
-/** A cluster of control machines. */
 export class ControlCluster {
   readonly world: World;
   private nextSubmission = 1;
@@ -30,13 +29,13 @@
     return this.world.controls;
   }
 
-  /** The machine that leads and is in contact with a majority. */
+  /** The control machine that leads and is in contact with a majority. */
   get leader(): ControlCore | undefined {
     const cores = this.controls.map((control) => control.core);
     return cores.find((core) => core?.node.role === 'leader' && core.node.hasQuorum);
   }
 
-  /** Whether every machine votes under its present name. */
+  /** Whether every machine votes with its current identity. */
   get allMachinesVote(): boolean {
     const members = this.leader?.node.membership;
     return (
@@ -47,11 +46,11 @@
 
   async waitForLeader(): Promise<void> {
     const found = await this.world.runUntil(() => this.leader !== undefined, LIMIT_MS);
-    if (!found) throw new Error('no leader');
+    if (!found) throw new Error('no leader was elected in time');
     await this.world.run(500);
   }
 
-  /** Cuts two sets of machines from each other; returns what heals the cut. */
+  /** Partitions two sets of machines from each other; the returned function heals the partition. */
   partition(left: readonly SimulatedControl[], right: readonly SimulatedControl[]): () => void {
     const hosts = (machines: readonly SimulatedControl[]): string[] =>
       machines.map((machine) => machine.host);
@@ -68,7 +67,7 @@
       submissionId,
       kind: whinyoke.SubmissionKind.APPLY,
       name,
-      // Each document has groups, schemas and addresses of its own.
+      // Groups, schemas and addresses must differ between documents.
       document: document
         .replaceAll(/(appointments|payments|bookings)/g, `$1-${name}`)
         .replaceAll(/127\.1\./g, `127.${name.charCodeAt(0)}.`),
@@ -78,7 +77,7 @@
     };
   }
 
-  /** Sends submissions at the same time and waits for their outcomes. */
+  /** Sends submissions concurrently and waits for their outcomes. */
   async submitAll(
     ...submissions: readonly whinyoke.ISubmitRequest[]
   ): Promise<whinyoke.ISubmitReply[]> {
@@ -87,7 +86,7 @@
     const client = new OperatorClient(addresses, this.world.operatorMessenger(), clock);
     const results = Promise.all(submissions.map((item) => client.submit(item, 5000)));
     const settled = await this.world.runUntilSettled(results, LIMIT_MS);
-    if (!settled) throw new Error('a submission has no outcome');
+    if (!settled) throw new Error('a submission got no outcome in time');
     return settled.map((result) => result.reply);
   }
 
--- a/test/tools/single_member.ts
+++ b/test/tools/single_member.ts
@@ -1,4 +1,4 @@
-/** One consensus member `b` of `a`, `b` and `c`, alone with its disk. */
+/** A single consensus member `b` of a cluster of `a`, `b` and `c`, with its own disk. */
 import { RaftLog } from '../../src/consensus/raft_log.js';
 import { RaftNode } from '../../src/consensus/raft_node.js';
 import { DEFAULT_RAFT_OPTIONS, type RaftOptions } from '../../src/consensus/raft_options.js';
@@ -8,13 +8,12 @@
 
 const MEMBERS = ['a', 'b', 'c'];
 
-/** Answers a message to another member. */
+/** Replies to a message that the member sends to a peer. */
 export type PeerAnswerer = (body: MessageBody) => Promise<MessageBody>;
 
-/** Answerer of members that are not there. */
-export const UNREACHABLE_PEERS: PeerAnswerer = () => Promise.reject(new Error('nobody is there'));
+export const UNREACHABLE_PEERS: PeerAnswerer = () => Promise.reject(new Error('peer unreachable'));
 
-/** Opens member `b` on a folder; its messages to others are answered by a function. */
+/** Opens member `b` on a folder; `answer` replies to its messages to peers. */
 export async function openSingleMember(
   folder: DataFolder,
   answer: PeerAnswerer,
--- a/test/unit/address_claim.test.ts
+++ b/test/unit/address_claim.test.ts
@@ -1,4 +1,7 @@
-/** Heartbeats that come after their sender has crashed and another instance has its address. */
+/**
+ * Claims on addresses: a late heartbeat of a crashed instance must not remove the instance that now
+ * has its address.
+ */
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { AddressClaims } from '../../src/appointed/control/address_claim.js';
@@ -15,7 +18,9 @@
 const { InstanceState, CatalogOutcome } = whinyoke;
 const ADDRESS = '10.0.0.1:1';
 
-/** A leader whose connector finds `present` at the address, or fails in another way. */
+/**
+ * A leader whose connector finds instance `answeringId` at the address, or fails with `failure`.
+ */
 function leaderWith(
   failure: ConnectFailure | undefined,
   answeringId = '',
@@ -66,21 +71,24 @@
   };
 }
 
-void t.test('a late heartbeat of an instance that nobody knew ends no other', async (t) => {
-  const leader = leaderWith(undefined, 'new');
-  await leader.sendHeartbeat('new', 1);
-  leader.advance(500);
-  t.equal(
-    (await leader.sendHeartbeat('old', 90)).outcome,
-    CatalogOutcome.DONE,
-    'it need not come again',
-  );
-  t.equal(leader.catalog.instance('old'), undefined);
-  t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
-});
+void t.test(
+  'a late heartbeat of an unknown instance does not remove the instance at its address',
+  async (t) => {
+    const leader = leaderWith(undefined, 'new');
+    await leader.sendHeartbeat('new', 1);
+    leader.advance(500);
+    t.equal(
+      (await leader.sendHeartbeat('old', 90)).outcome,
+      CatalogOutcome.DONE,
+      'the sender need not retry',
+    );
+    t.equal(leader.catalog.instance('old'), undefined);
+    t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
+  },
+);
 
 void t.test(
-  'an instance that is at the address takes it over, and the former stays gone',
+  'an instance that answers at the address takes it over, and the former holder stays gone',
   async (t) => {
     const leader = leaderWith(undefined, 'new');
     await leader.sendHeartbeat('old', 5);
@@ -89,17 +97,28 @@
     t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
     t.equal(leader.catalog.instance('old')?.state, InstanceState.GONE);
     await leader.sendHeartbeat('old', 6);
-    t.equal(leader.catalog.instance('old')?.state, InstanceState.GONE, 'late, once more');
+    t.equal(
+      leader.catalog.instance('old')?.state,
+      InstanceState.GONE,
+      'a late heartbeat of the former holder',
+    );
     t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
   },
 );
 
-void t.test('where nobody can be asked, the one that tells itself on is believed', async (t) => {
-  const leader = leaderWith('silent');
-  await leader.sendHeartbeat('old', 5);
-  leader.advance(500);
-  t.equal((await leader.sendHeartbeat('new', 1)).outcome, CatalogOutcome.UNAVAILABLE, 'not yet');
-  leader.advance(3000);
-  t.equal((await leader.sendHeartbeat('new', 2)).outcome, CatalogOutcome.DONE);
-  t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
-});
+void t.test(
+  'if the address does not answer, a claim is granted only after the holder timed out',
+  async (t) => {
+    const leader = leaderWith('silent');
+    await leader.sendHeartbeat('old', 5);
+    leader.advance(500);
+    t.equal(
+      (await leader.sendHeartbeat('new', 1)).outcome,
+      CatalogOutcome.UNAVAILABLE,
+      'the holder may still be alive',
+    );
+    leader.advance(3000);
+    t.equal((await leader.sendHeartbeat('new', 2)).outcome, CatalogOutcome.DONE);
+    t.equal(leader.catalog.instance('new')?.state, InstanceState.READY);
+  },
+);
--- a/test/unit/election.test.ts
+++ b/test/unit/election.test.ts
@@ -1,4 +1,4 @@
-/** Elections of the replicated log in which several members want to lead at the same time. */
+/** Elections of the replicated log with several simultaneous candidates. */
 import t from 'tap';
 import type { RaftNode } from '../../src/consensus/raft_node.js';
 import type { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -6,10 +6,10 @@
 import { UNREACHABLE_PEERS, type PeerAnswerer, openSingleMember } from '../tools/single_member.js';
 
 const ELECTION_MS = 20;
-/** A trip to another region and back, in milliseconds. */
+/** Round trip to another region. */
 const ROUND_TRIP_MS = 60;
 
-/** A folder that keeps nothing but takes everything. */
+/** A folder that discards all writes. */
 const DISCARDING_FOLDER: DataFolder = {
   read: () => Promise.resolve(undefined),
   append: () => Promise.resolve(),
@@ -22,7 +22,7 @@
 
 type Answerer = (request: whinyoke.IVoteRequest) => Promise<MessageBody>;
 
-/** Member `b`, whose requests for votes are answered by a function. */
+/** Opens member `b`; `answer` replies to its vote requests. */
 function openMemberB(answer: Answerer): Promise<RaftNode> {
   const answerVotes = (body: MessageBody): Promise<MessageBody> =>
     body.voteRequest ? answer(body.voteRequest) : UNREACHABLE_PEERS(body);
@@ -31,27 +31,34 @@
 
 const VOTE_REQUEST_FROM_A = { term: 1, candidate: 'a', receiver: 'b', lastIndex: 1, lastTerm: 1 };
 
-void t.test('a member that has voted in a term welcomes no other candidate in it', async (t) => {
-  const node = await openMemberB(() => Promise.reject(new Error('not answered')));
-  const before = await node.handle({
-    voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
-  });
-  t.match(before.voteReply, { granted: true });
-  await node.handle({ voteRequest: VOTE_REQUEST_FROM_A });
-  const after = await node.handle({
-    voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
-  });
-  t.match(after.voteReply, { granted: false });
-  const next = { ...VOTE_REQUEST_FROM_A, candidate: 'c', term: 2, preVote: true };
-  t.match((await node.handle({ voteRequest: next })).voteReply, { granted: true }, 'the next term');
-  node.stop();
-});
+void t.test(
+  'a member that has voted in a term grants no pre-vote to another candidate in it',
+  async (t) => {
+    const node = await openMemberB(() => Promise.reject(new Error('not answered')));
+    const before = await node.handle({
+      voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
+    });
+    t.match(before.voteReply, { granted: true });
+    await node.handle({ voteRequest: VOTE_REQUEST_FROM_A });
+    const after = await node.handle({
+      voteRequest: { ...VOTE_REQUEST_FROM_A, candidate: 'c', preVote: true },
+    });
+    t.match(after.voteReply, { granted: false });
+    const next = { ...VOTE_REQUEST_FROM_A, candidate: 'c', term: 2, preVote: true };
+    t.match(
+      (await node.handle({ voteRequest: next })).voteReply,
+      { granted: true },
+      'the next term',
+    );
+    node.stop();
+  },
+);
 
-void t.test('a candidate gives way to one that was faster', async (t) => {
+void t.test('a candidate yields to one that requested votes first', async (t) => {
   const asked: { term: number; preVote: boolean }[] = [];
   const node = await openMemberB(async (request) => {
     asked.push({ term: request.term ?? 0, preVote: request.preVote ?? false });
-    // While the pre-vote is under way, the other candidate asks for the vote of this member.
+    // While the pre-vote is in flight, the other candidate requests the vote of this member.
     await node.handle({ voteRequest: VOTE_REQUEST_FROM_A });
     return { voteReply: { term: 1, granted: true, voter: 'c' } };
   });
@@ -63,15 +70,15 @@
   t.same(
     asked.filter((request) => !request.preVote),
     [],
-    'no vote is asked for in a term beyond that of the other',
+    'no vote is requested in a later term than that of the other candidate',
   );
   t.equal(node.currentTerm, 1);
 });
 
 void t.test(
-  'a member that has won keeps its leadership when a later pre-vote is granted',
+  'a leader keeps its leadership when a later pre-vote of its own is granted',
   async (t) => {
-    // Answers take longer than the time between two tries, as between regions.
+    // Replies take longer than the wait between two attempts, as between regions.
     const answerLate: PeerAnswerer = async (body) => {
       const { voteRequest, appendRequest } = body;
       await new Promise((resolve) => setTimeout(resolve, ROUND_TRIP_MS));
--- a/test/unit/evacuation.test.ts
+++ b/test/unit/evacuation.test.ts
@@ -1,4 +1,6 @@
-/** Evacuated zones: orders in the catalog, what proxies do about them, primaries that move. Each test brings about one failure. */
+/**
+ * Evacuated zones: orders in the catalog, their updates to proxies, and the replies to operators.
+ */
 import { once } from 'node:events';
 import { type AddressInfo, connect } from 'node:net';
 import t, { type Test } from 'tap';
@@ -23,7 +25,7 @@
 
 const { CatalogOutcome, GroupPhase, InstanceState } = whinyoke;
 
-/** A catalog and what applies commands to it. */
+/** A catalog with the commands applied to it. */
 class AppliedCatalog {
   readonly catalog = new Catalog();
   readonly commands: whinyoke.ICatalogCommand[] = [];
@@ -41,15 +43,15 @@
 
 const noop = (): void => undefined;
 
-void t.test('orders of a zone take effect in the order of the log and survive a snapshot', (t) => {
+void t.test('orders for a zone take effect in log order and survive a snapshot', (t) => {
   const { catalog, ...applied } = createCatalog();
   t.ok(applied.order('a', true).changed);
-  t.notOk(applied.order('a', true).changed, 'sent again');
+  t.notOk(applied.order('a', true).changed, 'a repeated order changes nothing');
   t.same(catalog.evacuatedZones, ['a']);
   applied.order('b', true);
   t.ok(applied.order('a', false).changed);
   t.notOk(applied.order('a', false).changed);
-  t.notOk(applied.order('c', false).changed, 'it was never evacuated');
+  t.notOk(applied.order('c', false).changed, 'the zone was never evacuated');
   const copy = new Catalog();
   copy.restore(catalog.version, catalog.serialize());
   t.same(copy.evacuatedZones, ['b']);
@@ -71,28 +73,25 @@
   return { catalog, apply, order: (zone, begins) => applied.order(zone, begins) };
 }
 
-void t.test(
-  'proxies hear of an order at once, and of all evacuated zones with a whole list',
-  (t) => {
-    const { catalog, apply, order } = createCatalog();
-    const updates = new CatalogUpdates(catalog);
-    const decode = (version: number): whinyoke.CatalogUpdate =>
-      whinyoke.CatalogUpdate.decode(updates.since(version, 0));
-    apply({ putGroup: { group: 'g', epoch: 1, phase: GroupPhase.STEADY } });
-    const notifier = new ChangeNotifier(new RealClock(), catalog);
-    order('a', true);
-    t.ok(notifier.hasUpdatesFor(1), 'held requests are answered without delay');
-    t.match(decode(1), { isWhole: false, evacuations: [{ zone: 'a', begunAt: 2 }] });
-    order('a', false);
-    t.match(decode(2), { evacuations: [{ zone: 'a', begunAt: 0, version: 3 }] });
-    order('b', true);
-    t.same(decode(4).evacuations, []);
-    t.match(decode(0), { isWhole: true, evacuations: [{ zone: 'a' }, { zone: 'b' }] });
-    t.end();
-  },
-);
+void t.test('proxies get an order at once, and all evacuated zones with a whole update', (t) => {
+  const { catalog, apply, order } = createCatalog();
+  const updates = new CatalogUpdates(catalog);
+  const decode = (version: number): whinyoke.CatalogUpdate =>
+    whinyoke.CatalogUpdate.decode(updates.since(version, 0));
+  apply({ putGroup: { group: 'g', epoch: 1, phase: GroupPhase.STEADY } });
+  const notifier = new ChangeNotifier(new RealClock(), catalog);
+  order('a', true);
+  t.ok(notifier.hasUpdatesFor(1), 'waiting long polls are answered without delay');
+  t.match(decode(1), { isWhole: false, evacuations: [{ zone: 'a', begunAt: 2 }] });
+  order('a', false);
+  t.match(decode(2), { evacuations: [{ zone: 'a', begunAt: 0, version: 3 }] });
+  order('b', true);
+  t.same(decode(4).evacuations, []);
+  t.match(decode(0), { isWhole: true, evacuations: [{ zone: 'a' }, { zone: 'b' }] });
+  t.end();
+});
 
-void t.test('a primary is not asked for its position where no replica may be read', async (t) => {
+void t.test('a primary is not probed for its position if no replica may be read', async (t) => {
   const { catalog, apply, order } = createCatalog();
   for (const [id, zone] of [
     ['p', 'a'],
@@ -104,7 +103,7 @@
   const asked: string[] = [];
   const connect = ({ id }: { id: string }): Promise<never> => {
     asked.push(id);
-    return Promise.reject(new Error('it refuses'));
+    return Promise.reject(new Error('connection refused'));
   };
   const cache = new PrimaryPositionCache(new RealClock(), catalog, { connect }, () => true);
   cache.recordDemand();
@@ -117,7 +116,7 @@
   t.same(asked, ['p']);
 });
 
-/** The service of a leader whose log is `propose`. */
+/** Catalog service of a leader whose log is `propose`. */
 function serviceOf(
   catalog: Catalog,
   propose: (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>,
@@ -131,30 +130,34 @@
 }
 
 void t.test(
-  'an order whose leader is lost after the commit is acknowledged when it comes again',
+  'an order committed by a leader that was lost is acknowledged when it is repeated',
   async (t) => {
     const { catalog, apply } = createCatalog();
     const evacuation = { zone: 'a', begins: true };
     const lost = serviceOf(catalog, (command) => {
       apply(command);
-      return Promise.reject(new Error('it leads no longer'));
+      return Promise.reject(new Error('leadership lost'));
     });
     t.match(await lost.handle({ evacuation }), { outcome: CatalogOutcome.UNAVAILABLE });
     const version = catalog.version;
     const next = serviceOf(catalog, (command) => Promise.resolve(apply(command)));
     t.match(await next.handle({ evacuation }), { outcome: CatalogOutcome.DONE });
-    t.same(catalog.evacuations, [{ zone: 'a', begunAt: version, version }], 'it began once');
+    t.same(
+      catalog.evacuations,
+      [{ zone: 'a', begunAt: version, version }],
+      'the evacuation began once',
+    );
     const alone = serviceOf(catalog, () => Promise.reject(new Error('no majority')));
     const again = await alone.handle({ evacuation });
     t.match(
       again,
       { outcome: CatalogOutcome.UNAVAILABLE },
-      'one that holds is acknowledged only by a leader',
+      'an order in effect is acknowledged only by a leader with a majority',
     );
   },
 );
 
-void t.test('a finish behind a begin that is not committed yet is not lost', async (t) => {
+void t.test('a finish that follows an uncommitted begin is not lost', async (t) => {
   const { catalog, apply } = createCatalog();
   const waiting: (() => void)[] = [];
   const service = serviceOf(
@@ -171,7 +174,7 @@
   t.same(catalog.evacuatedZones, []);
 });
 
-void t.test('an order and a configuration of the same moment both hold', (t) => {
+void t.test('an order and a configuration submitted together both take effect', (t) => {
   const { catalog, apply, order } = createCatalog();
   const before = catalog.version;
   apply({ putDocument: documentOf(7, 'seven') });
@@ -184,7 +187,7 @@
   t.end();
 });
 
-/** Status of orders at a control machine that knows some zones, and answers in one way. */
+/** Posts orders to a control machine that knows some zones and always gives the same reply. */
 async function statusesOf(
   t: Test,
   zones: readonly string[],
@@ -215,7 +218,7 @@
   return { statuses, orders };
 }
 
-void t.test('an operator is told what became of an order', async (t) => {
+void t.test('the HTTP status tells an operator the outcome of an order', async (t) => {
   const done = { outcome: CatalogOutcome.DONE };
   const paths = ['/evacuation/z%201/begin', '/evacuation/z%201/finish'];
   const accepted = await statusesOf(t, ['z 1'], done, paths);
@@ -232,12 +235,12 @@
   const unsure = await statusesOf(t, ['a'], { outcome: CatalogOutcome.UNAVAILABLE }, proper);
   t.same(unsure.statuses, [503], 'no majority');
   const unread = await statusesOf(t, [], done, proper);
-  t.same(unread.statuses, [503], 'a machine without any zone can not tell');
+  t.same(unread.statuses, [503], 'a machine that knows no zones cannot validate the order');
   const older = await statusesOf(t, ['a'], { ...done, document: documentOf(1, 'one') }, proper);
-  t.same(older.statuses, [503], 'a leader of an older program read the document instead');
+  t.same(older.statuses, [503], 'a leader of an older version read the document instead');
 });
 
-void t.test('an order whose operator gave the call up is not taken', async (t) => {
+void t.test('an order whose HTTP call was aborted is not submitted', async (t) => {
   const orders: whinyoke.ICatalogRequest[] = [];
   const core = {
     knownZones: new Set(['a']),
@@ -258,14 +261,14 @@
   t.same(orders, []);
 });
 
-/** A control machine that stands alone on a folder, once it leads. */
+/** Opens a control machine on a folder and waits until it leads alone. */
 async function openSingleControl(
   t: Test,
   path: string,
   isFirstStart: boolean,
 ): Promise<AppointedControl> {
   const folder = await RealFolder.open(path);
-  const unreachable = (): Promise<never> => Promise.reject(new Error('nobody is there'));
+  const unreachable = (): Promise<never> => Promise.reject(new Error('unreachable'));
   const clock = new RealClock();
   const messenger = { request: unreachable, serve: () => undefined };
   const runtime = { clock, random: new SeededRandom(1), messenger, folder };
@@ -295,7 +298,7 @@
 void t.test('an order survives a restart of a control machine on its data folder', async (t) => {
   const path = t.testdir({});
   const first = await openSingleControl(t, path, true);
-  t.ok(first.knownZones.has('a'), 'a zone of the settings, without any instance');
+  t.ok(first.knownZones.has('a'), 'a zone from the settings without any instance');
   const reply = await first.submit({ evacuation: { zone: 'a', begins: true } });
   t.match(reply, { outcome: CatalogOutcome.DONE });
   first.stop();
--- a/test/unit/foreign_heartbeats.test.ts
+++ b/test/unit/foreign_heartbeats.test.ts
@@ -1,4 +1,7 @@
-/** Heartbeats, entries and bytes of other writers: a clear status, nothing changed, and the process goes on. */
+/**
+ * Malformed or unexpected heartbeats, entries and bytes: they get a clear status, change nothing,
+ * and do not stop the process.
+ */
 import { once } from 'node:events';
 import { type Server, request as httpRequest } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
@@ -23,10 +26,13 @@
 
 const { CatalogOutcome } = whinyoke;
 const TABLE = tableWithGroup('g');
-/** A state of a newer program. */
+/** An instance state of a newer program version. */
 const UNKNOWN_STATE = 7 as whinyoke.InstanceState;
 
-/** The interface on a port of its own, before a core that notes what would change the catalog. */
+/**
+ * Serves the control API on its own port; the core behind it records the changes it would make to
+ * the catalog.
+ */
 async function serveApi(t: { teardown(end: () => void): void }, isFailing = false) {
   const changes: whinyoke.ICatalogRequest[] = [];
   const refusals: number[] = [];
@@ -37,7 +43,7 @@
     expectsHeartbeat: (_id: string, service: string) =>
       isHeartbeatExpected(service, undefined, TABLE),
     submit: (call: whinyoke.ICatalogRequest) => {
-      if (isFailing) return Promise.reject(new Error('unforeseen'));
+      if (isFailing) return Promise.reject(new Error('unexpected'));
       if (!call.readDocument) changes.push(call);
       return Promise.resolve({ outcome: CatalogOutcome.DONE, document: documentOf(1, '{}') });
     },
@@ -56,7 +62,7 @@
   return { changes, refusals, events, port };
 }
 
-/** Status of the answer to a call; undefined where the connection ended without one. */
+/** Returns the status of a call; undefined if the connection ended without a reply. */
 function call(
   port: number,
   path: string,
@@ -82,7 +88,7 @@
   return call(port, `/instances/${id}/heartbeat`, body);
 }
 
-void t.test('a heartbeat that another writer spoilt gets a 4xx and changes nothing', async (t) => {
+void t.test('a malformed heartbeat gets a 4xx status and changes nothing', async (t) => {
   const { changes, refusals, events, port } = await serveApi(t);
   for (const field of Object.keys(HEARTBEAT)) {
     t.equal(await postHeartbeat(port, { [field]: undefined }), 400, `without ${field}`);
@@ -93,37 +99,41 @@
   t.equal(await postHeartbeat(port, { slots: 1e12 }), 400);
   t.equal(await postHeartbeat(port, { service: 'not-named' }), 422);
   t.equal(await postHeartbeat(port, {}, '%E0%A4%A'), 400, 'an id that can not be decoded');
-  t.equal(await postHeartbeat(port, {}, 'a%0D%0AQUERY'), 400, 'an id of two lines');
+  t.equal(await postHeartbeat(port, {}, 'a%0D%0AQUERY'), 400, 'an id with a line break');
   t.equal(await call(port, '/instances/%ZZ/deregister', ''), 400);
   t.equal(await call(port, '/instances/i-1/heartbeat', Buffer.from([0x7b, 0xff, 0xfe])), 400);
   const halfText = Buffer.from(JSON.stringify({ ...HEARTBEAT, zone: 'z\xff' }), 'latin1');
-  t.equal(await call(port, '/instances/i-1/heartbeat', halfText), 400, 'bytes that are no text');
+  t.equal(
+    await call(port, '/instances/i-1/heartbeat', halfText),
+    400,
+    'bytes that are not valid UTF-8',
+  );
   t.equal(await call(port, '/configuration/replace', Buffer.from([0xc3, 0x28])), 400);
   t.equal(changes.length, 0);
-  t.equal(refusals.length, 2 * Object.keys(HEARTBEAT).length + 10, 'all are counted');
+  t.equal(refusals.length, 2 * Object.keys(HEARTBEAT).length + 10, 'all refusals are counted');
   t.ok(events.includes('call_refused'));
-  t.equal(await postHeartbeat(port, {}), 200, 'the others hold');
+  t.equal(await postHeartbeat(port, {}), 200, 'a valid heartbeat is still accepted');
   t.match(changes, [{ beat: { instance: { id: 'i-1', group: 'g', slots: 2, sequence: 4 } } }]);
 });
 
-void t.test('what this machine did not foresee is its own fault, not the sender’s', async (t) => {
+void t.test('an unexpected error gets a 500 status, not a 4xx', async (t) => {
   const { events, port } = await serveApi(t, true);
   t.equal(await postHeartbeat(port, {}), 500);
   t.equal(await call(port, '/configuration/replace', documentWith(2, {})), 500, 'not a 4xx');
   t.ok(events.includes('connection_error'));
 });
 
-void t.test('a service that is not named makes no entry, but keeps one that is known', (t) => {
+void t.test('a heartbeat of an unnamed service creates no entry, but updates a known one', (t) => {
   const known = { id: 'i', group: 'former' };
   t.equal(isHeartbeatExpected('any', undefined, undefined), true, 'before the first document');
   t.equal(isHeartbeatExpected('g', undefined, TABLE), true);
   t.equal(isHeartbeatExpected('other', undefined, TABLE), false);
-  t.equal(isHeartbeatExpected('former', known, TABLE), true, 'left out by a newer document');
-  t.equal(isHeartbeatExpected('other', known, TABLE), false, 'another writer for a known id');
+  t.equal(isHeartbeatExpected('former', known, TABLE), true, 'removed by a newer document');
+  t.equal(isHeartbeatExpected('other', known, TABLE), false, 'another service for a known id');
   t.end();
 });
 
-void t.test('entries that name no instance to use', (t) => {
+void t.test('entries that describe no usable instance are rejected with a reason', (t) => {
   const entry = { id: 'i', group: 'g', address: '10.0.0.1:80' };
   t.equal(unusableReason(entry, TABLE), undefined);
   t.equal(unusableReason({ ...entry, state: 1 }, TABLE), undefined, 'draining');
@@ -138,7 +148,7 @@
   t.end();
 });
 
-void t.test('a document that can not be read leaves the one before it in force', (t) => {
+void t.test('an unreadable document leaves the previous one in force', (t) => {
   const catalog = new Catalog();
   const events: string[] = [];
   const log = ({ name }: { name: string }): void => void events.push(name);
@@ -147,17 +157,17 @@
     const command = { putDocument: documentOf(version, source) };
     catalog.apply(version, whinyoke.CatalogCommand.encode(command).finish());
   };
-  t.equal(newest.table, undefined, 'before the first');
+  t.equal(newest.table, undefined, 'before the first document');
   put(1, documentWith(1, {}));
   t.equal(newest.table?.version, 1);
   put(2, 'of another version of the program');
   t.equal(newest.table?.version, 1);
   t.equal(newest.table?.version, 1);
-  t.same(events, ['document_unreadable'], 'told once');
+  t.same(events, ['document_unreadable'], 'logged once');
   t.end();
 });
 
-void t.test('a proxy uses no instance of an entry that names none', async (t) => {
+void t.test('a proxy sends nothing to instances of unusable entries', async (t) => {
   const instances = [
     { id: 'p', zone: 'z' },
     { id: 'r', zone: 'z' },
@@ -179,7 +189,7 @@
   );
 });
 
-// ---- drawn bytes ----
+// ---- generated input ----
 
 const field = fc.constantFrom(...Object.keys(HEARTBEAT));
 const someHeartbeat = fc
@@ -217,7 +227,7 @@
   'CONNECT',
 );
 
-void t.test('each drawn call gets a status; a refused one changes nothing', async (t) => {
+void t.test('every generated call gets a status, and a refused one changes nothing', async (t) => {
   const { changes, port } = await serveApi(t);
   const seen = new Map<number, number>();
   const property = fc.asyncProperty(someMethod, somePath, someBody, async (method, path, body) => {
@@ -235,7 +245,7 @@
   t.equal(await postHeartbeat(port, {}), 200);
 });
 
-void t.test('bytes that are no HTTP change nothing, and service goes on', async (t) => {
+void t.test('bytes that are not HTTP change nothing and do not stop the service', async (t) => {
   const { changes, port } = await serveApi(t);
   const heads = ['', 'POST /instances/i-1/heartbeat HTTP/1.1\r\n', 'GET / HTTP/9\r\n\r\n'];
   const property = fc.asyncProperty(
@@ -275,7 +285,7 @@
     .map((words) => words.join(' ')),
 );
 
-void t.test('the line codec takes any bytes', (t) => {
+void t.test('the line codec accepts any bytes without failing', (t) => {
   const property = fc.property(fc.array(someLine, { maxLength: 6 }), fc.nat(), (texts, place) => {
     const bytes = Buffer.from(texts.map((text) => `${text}\r\n`).join(''));
     const cut = bytes.length === 0 ? 0 : place % bytes.length;
@@ -313,7 +323,7 @@
   t.end();
 });
 
-void t.test('messages of the internal protocol that were damaged are refused or read', (t) => {
+void t.test('damaged internal messages are decoded or rejected with an error', (t) => {
   const entry = { id: 'i', group: 'g', address: 'a:1', zone: 'z', slots: 5, state: 1, sequence: 9 };
   const body = { catalogRequest: { beat: { instance: entry, role: 1, warmupMs: 5 } } };
   const frame = whinyoke.Envelope.encode({ id: 1, from: 'a:1', body }).finish();
--- a/test/unit/full_disk.test.ts
+++ b/test/unit/full_disk.test.ts
@@ -1,4 +1,4 @@
-/** The log of a consensus member whose disk refuses writes for a while. */
+/** The log of a consensus member whose disk refuses writes for some time. */
 import t from 'tap';
 import { RaftLog, type LogEntry } from '../../src/consensus/raft_log.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
@@ -6,7 +6,7 @@
 import { ControlCluster } from '../tools/control_cluster.js';
 import { UNREACHABLE_PEERS, openSingleMember } from '../tools/single_member.js';
 
-/** A folder in memory that can refuse writes. */
+/** An in-memory folder that can refuse writes. */
 class RefusingFolder implements DataFolder {
   isFull = false;
   private readonly files = new Map<string, Buffer>();
@@ -53,7 +53,7 @@
   return { term: 1, index, kind, command: new Uint8Array([index]), membership: undefined };
 }
 
-void t.test('entries that could not be written are not held', async (t) => {
+void t.test('entries that could not be written are removed from the log', async (t) => {
   const folder = new RefusingFolder();
   const log = await RaftLog.open(folder);
   await log.append([entry(1)]);
@@ -61,11 +61,11 @@
   await t.rejects(log.append([entry(2)]));
   folder.isFull = false;
   t.equal(log.lastIndex, 1, 'the entry is not in the log');
-  t.equal(log.termAt(2), undefined, 'and does not match what a leader sends');
+  t.equal(log.termAt(2), undefined, 'and does not match an entry of a leader');
   t.equal(log.durableIndex, 1);
 });
 
-void t.test('a log whose disk was full for a while opens again', async (t) => {
+void t.test('a log can be opened after its disk was full for some time', async (t) => {
   const folder = new RefusingFolder();
   const log = await RaftLog.open(folder);
   await log.append([entry(1)]);
@@ -77,7 +77,7 @@
   t.equal(reopened.lastIndex, 2);
 });
 
-void t.test('entries that were appended behind one that failed leave with it', async (t) => {
+void t.test('entries appended after a failed one are removed with it', async (t) => {
   const folder = new RefusingFolder();
   const log = await RaftLog.open(folder);
   folder.isFull = true;
@@ -91,7 +91,7 @@
   t.equal((await RaftLog.open(folder)).lastIndex, 1);
 });
 
-void t.test('a snapshot that could not be stored comes before later entries', async (t) => {
+void t.test('a snapshot that could not be stored is written before later entries', async (t) => {
   const folder = new RefusingFolder();
   const log = await RaftLog.open(folder);
   await log.append([entry(1)]);
@@ -119,21 +119,24 @@
   };
 }
 
-void t.test('a follower confirms nothing that its disk refused', async (t) => {
+void t.test('a follower does not confirm entries that its disk refused', async (t) => {
   const folder = new RefusingFolder();
   const node = await openSingleMember(folder, UNREACHABLE_PEERS);
   t.teardown(() => node.stop());
   await node.handle({ appendRequest: appendRequest(2, 2) });
   folder.isFull = true;
   await t.rejects(node.handle({ appendRequest: appendRequest(2, 3) }));
-  await t.rejects(node.handle({ appendRequest: appendRequest(2, 3) }), 'nor when sent again');
+  await t.rejects(
+    node.handle({ appendRequest: appendRequest(2, 3) }),
+    'nor when the request is repeated',
+  );
   folder.isFull = false;
   const { appendReply } = await node.handle({ appendRequest: appendRequest(2, 3) });
   t.match(appendReply, { success: true, matchIndex: 3 });
   t.equal((await RaftLog.open(folder)).lastIndex, 3);
 });
 
-void t.test('a snapshot of the leader is confirmed once it is on disk', async (t) => {
+void t.test('a snapshot of the leader is confirmed only once it is on disk', async (t) => {
   const folder = new RefusingFolder();
   const node = await openSingleMember(folder, UNREACHABLE_PEERS);
   t.teardown(() => node.stop());
@@ -149,48 +152,54 @@
   await node.handle({ appendRequest: appendRequest(2, 2) });
   folder.isFull = true;
   await t.rejects(node.handle({ snapshotRequest }));
-  await t.rejects(node.handle({ snapshotRequest }), 'nor when sent again');
+  await t.rejects(node.handle({ snapshotRequest }), 'nor when the request is repeated');
   folder.isFull = false;
   const { snapshotReply } = await node.handle({ snapshotRequest });
   t.match(snapshotReply, { installed: true, matchIndex: 20 });
   t.equal((await RaftLog.open(folder)).lastIndex, 20);
 });
 
-void t.test('a vote that is being written is kept when its winner already leads', async (t) => {
-  const folder = new RefusingFolder();
-  const node = await openSingleMember(folder, UNREACHABLE_PEERS);
-  t.teardown(() => node.stop());
-  const voteRequest = { term: 5, candidate: 'a', receiver: 'b', lastIndex: 9, lastTerm: 4 };
-  const vote = node.handle({ voteRequest });
-  const append = node.handle({ appendRequest: appendRequest(5, 8) });
-  t.match((await vote).voteReply, { granted: true });
-  await append;
-  const other = await node.handle({ voteRequest: { ...voteRequest, candidate: 'c' } });
-  t.match(other.voteReply, { granted: false }, 'one vote in a term');
-});
-
-void t.test('a cluster goes on when the disk of its leader is full for a while', async (t) => {
-  const cluster = new ControlCluster(3, 31);
-  await cluster.waitForLeader();
-  await cluster.apply('before');
-  const leading = cluster.controls.find((control) => control.core === cluster.leader)!;
-  const free = leading.fillDisk();
-  await cluster.world.run(200);
-  await cluster.apply('during').catch(() => undefined);
-  await cluster.world.run(3000);
-  await cluster.waitForLeader();
-  t.not(cluster.leader, leading.core, 'another machine leads');
-  const accepted = await cluster.apply('elsewhere');
-  t.equal(accepted.verdict, whinyoke.Verdict.RAN);
-  free();
-  await cluster.world.run(2000);
-  for (const control of cluster.controls) control.kill();
-  for (const control of cluster.controls) control.start();
-  await cluster.waitForLeader();
-  const revision = cluster.leader!.store.revision;
-  t.ok(revision >= accepted.revision!, 'what was accepted is there');
-  t.ok(await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000), 'all machines vote');
-});
+void t.test(
+  'a vote that is still being written is kept if its winner already sends entries',
+  async (t) => {
+    const folder = new RefusingFolder();
+    const node = await openSingleMember(folder, UNREACHABLE_PEERS);
+    t.teardown(() => node.stop());
+    const voteRequest = { term: 5, candidate: 'a', receiver: 'b', lastIndex: 9, lastTerm: 4 };
+    const vote = node.handle({ voteRequest });
+    const append = node.handle({ appendRequest: appendRequest(5, 8) });
+    t.match((await vote).voteReply, { granted: true });
+    await append;
+    const other = await node.handle({ voteRequest: { ...voteRequest, candidate: 'c' } });
+    t.match(other.voteReply, { granted: false }, 'one vote per term');
+  },
+);
+
+void t.test(
+  'a cluster keeps accepting changes while the disk of its former leader is full',
+  async (t) => {
+    const cluster = new ControlCluster(3, 31);
+    await cluster.waitForLeader();
+    await cluster.apply('before');
+    const leading = cluster.controls.find((control) => control.core === cluster.leader)!;
+    const free = leading.fillDisk();
+    await cluster.world.run(200);
+    await cluster.apply('during').catch(() => undefined);
+    await cluster.world.run(3000);
+    await cluster.waitForLeader();
+    t.not(cluster.leader, leading.core, 'another machine leads');
+    const accepted = await cluster.apply('elsewhere');
+    t.equal(accepted.verdict, whinyoke.Verdict.RAN);
+    free();
+    await cluster.world.run(2000);
+    for (const control of cluster.controls) control.kill();
+    for (const control of cluster.controls) control.start();
+    await cluster.waitForLeader();
+    const revision = cluster.leader!.store.revision;
+    t.ok(revision >= accepted.revision!, 'accepted changes are still there');
+    t.ok(await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000), 'all machines vote');
+  },
+);
 
 void t.test('a machine with an empty, full disk starts once there is space', async (t) => {
   const cluster = new ControlCluster(3, 31);
@@ -200,7 +209,7 @@
   const free = lost.fillDisk();
   lost.start();
   await cluster.world.run(2000);
-  t.equal(lost.core, undefined, 'it does not run without a name on its disk');
+  t.equal(lost.core, undefined, 'it does not run without an identity on its disk');
   free();
   t.ok(await cluster.world.runUntil(() => cluster.allMachinesVote, 20_000), 'all machines vote');
 });
--- a/test/unit/incarnations.test.ts
+++ b/test/unit/incarnations.test.ts
@@ -1,4 +1,7 @@
-/** Instances that start again, empty, under their identifier: what no longer counts, and what begins anew. */
+/**
+ * Instances that restart empty under their identifier: data of the former incarnation must not
+ * count for the new one.
+ */
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
 import { classifyEntry } from '../../src/appointed/catalog/incarnation_order.js';
@@ -11,36 +14,36 @@
 
 const { CatalogOutcome, InstanceState } = whinyoke;
 
-/** Time for several tries of a change, in milliseconds. */
+/** Enough time for several attempts of a change of primary. */
 const CHANGE_ATTEMPTS_MS = 2500;
 
-void t.test('an old primary that started again is no evidence', async (t) => {
+void t.test('a restarted old primary is no evidence of its former log', async (t) => {
   const group = new PrimaryChangeScenario();
   group.statuses.set('b', statusUpTo(100));
   group.statuses.set('a', statusUpTo());
   group.reportInstance('a', 2000, 1);
   void group.changePrimary(95);
   await group.run(CHANGE_ATTEMPTS_MS);
-  t.same(group.appointed, [], 'c may alone hold up to 3.120');
+  t.same(group.appointed, [], 'c may be the only one with entries up to 3.120');
   group.statuses.set('c', statusUpTo(120));
   await group.run(CHANGE_ATTEMPTS_MS);
   t.same(group.appointed[0], 'c');
 });
 
-void t.test('a replica that started again does not speak for the one that it was', async (t) => {
+void t.test('a restarted replica is no evidence of its former log', async (t) => {
   const group = new PrimaryChangeScenario();
   group.statuses.set('b', statusUpTo(100));
   group.statuses.set('c', statusUpTo());
   group.reportInstance('c', 2000, 1);
   void group.changePrimary(120);
   await group.run(CHANGE_ATTEMPTS_MS);
-  t.same(group.appointed, [], 'the former c alone had confirmed 3.120');
+  t.same(group.appointed, [], 'only the former incarnation of c had confirmed 3.120');
   group.statuses.set('a', statusUpTo(120, 'primary'));
   await group.run(CHANGE_ATTEMPTS_MS);
-  t.same(group.appointed[0], 'a', 'only the old primary has it');
+  t.same(group.appointed[0], 'a', 'only the old primary has 3.120');
 });
 
-void t.test('answers of incarnations of which control has not heard yet', async (t) => {
+void t.test('replies of incarnations that control does not know yet do not count', async (t) => {
   const group = new PrimaryChangeScenario();
   group.statuses.set('b', statusUpTo(100));
   group.statuses.set('a', statusUpTo());
@@ -56,12 +59,12 @@
   t.same(
     group.appointed[0],
     'b',
-    'its heartbeat came long after the connection: it never had more',
+    'its heartbeat came long after the connection, so it never had more entries',
   );
 });
 
 void t.test(
-  'confirmations of all proxies need no word of a replica that started again',
+  'with confirmations of all proxies the log of a restarted replica is not needed',
   async (t) => {
     const group = new PrimaryChangeScenario();
     group.statuses.set('b', statusUpTo(100));
@@ -74,47 +77,47 @@
   },
 );
 
+void t.test('a log shorter than that at the start of the epoch is not chosen', async (t) => {
+  const group = new PrimaryChangeScenario();
+  group.statuses.set('b', statusUpTo(89));
+  group.statuses.set('c', statusUpTo(80));
+  void group.changePrimary(50);
+  group.confirmAll();
+  await group.run(CHANGE_ATTEMPTS_MS);
+  t.same(
+    group.appointed,
+    [],
+    'the primary may be the only one with 3.90, acknowledged in an earlier epoch',
+  );
+  group.statuses.set('b', statusUpTo(90));
+  await group.run(CHANGE_ATTEMPTS_MS);
+  t.same(group.appointed[0], 'b');
+});
+
 void t.test(
-  'a log that is shorter than that of the epoch at its begin is not chosen',
+  'an instance that restarts after its appointment does not become primary',
   async (t) => {
     const group = new PrimaryChangeScenario();
-    group.statuses.set('b', statusUpTo(89));
-    group.statuses.set('c', statusUpTo(80));
-    void group.changePrimary(50);
+    group.statuses.set('b', statusUpTo(119));
+    group.statuses.set('c', statusUpTo(120));
+    group.onAppoint = (instance) => {
+      const state = instance === 'c' ? statusUpTo() : group.statuses.get(instance)!;
+      group.statuses.set(instance, { ...state, role: 'primary', term: 3 + group.appointed.length });
+    };
+    void group.changePrimary(119);
     group.confirmAll();
     await group.run(CHANGE_ATTEMPTS_MS);
-    t.same(
-      group.appointed,
-      [],
-      'the primary may alone hold 3.90, acknowledged in an earlier epoch',
-    );
-    group.statuses.set('b', statusUpTo(90));
-    await group.run(CHANGE_ATTEMPTS_MS);
-    t.same(group.appointed[0], 'b');
+    t.same(group.appointed, ['c', 'b']);
+    const entry = {
+      epoch: 3,
+      primary: 'b',
+      leastPosition: { term: 3, sequence: 119 },
+    };
+    t.match(group.catalog.group('g'), entry);
   },
 );
 
-void t.test('an instance that starts again after it was appointed does not lead', async (t) => {
-  const group = new PrimaryChangeScenario();
-  group.statuses.set('b', statusUpTo(119));
-  group.statuses.set('c', statusUpTo(120));
-  group.onAppoint = (instance) => {
-    const state = instance === 'c' ? statusUpTo() : group.statuses.get(instance)!;
-    group.statuses.set(instance, { ...state, role: 'primary', term: 3 + group.appointed.length });
-  };
-  void group.changePrimary(119);
-  group.confirmAll();
-  await group.run(CHANGE_ATTEMPTS_MS);
-  t.same(group.appointed, ['c', 'b']);
-  const entry = {
-    epoch: 3,
-    primary: 'b',
-    leastPosition: { term: 3, sequence: 119 },
-  };
-  t.match(group.catalog.group('g'), entry);
-});
-
-void t.test('a new incarnation counts once it holds what the primary held', async (t) => {
+void t.test('a new incarnation counts once it has all entries that the primary had', async (t) => {
   const group = new PrimaryChangeScenario();
   const { catalog, scheduler } = group;
   group.statuses.set('a', statusUpTo(120, 'primary'));
@@ -134,13 +137,13 @@
   t.notOk(await isCaughtUp());
   group.statuses.set('a', statusUpTo());
   group.statuses.set('c', statusUpTo(120));
-  t.ok(await isCaughtUp(), 'the position that the primary told counts, whatever becomes of it');
+  t.ok(await isCaughtUp(), 'the reported position of the primary counts even if it restarts');
   group.reportInstance('c', 3000, 1);
-  t.notOk(await isCaughtUp(), 'the next incarnation, while the primary itself started again');
+  t.notOk(await isCaughtUp(), 'the next incarnation, while the primary itself has restarted');
   t.notOk(caughtUp.has(catalog.instance('c')!));
 });
 
-void t.test('which entries tell of a new incarnation', (t) => {
+void t.test('entries of new incarnations are told apart from late entries', (t) => {
   const known = { born: 2000, sequence: 9, incarnation: 4, state: InstanceState.READY };
   const order = (told: whinyoke.IInstanceEntry, change = {}): string =>
     classifyEntry({ ...known, ...change }, told);
@@ -148,20 +151,24 @@
   t.equal(order({ born: 2000, sequence: 9 }), 'same');
   t.equal(order({ born: 2000, sequence: 8 }), 'late');
   t.equal(order({ born: 2001, sequence: 1 }), 'next');
-  t.equal(order({ born: 1999, sequence: 99 }), 'late', 'of the one before');
-  t.equal(order({ born: 1999, sequence: 1, incarnation: 5 }), 'next', 'a clock was set back');
-  t.equal(order({ born: 1999, sequence: 1, incarnation: 4 }), 'late', 'another was faster');
-  t.equal(order({ sequence: 10 }), 'same', 'it said it once and does not now');
+  t.equal(order({ born: 1999, sequence: 99 }), 'late', 'of the previous incarnation');
+  t.equal(order({ born: 1999, sequence: 1, incarnation: 5 }), 'next', 'the clock was set back');
+  t.equal(
+    order({ born: 1999, sequence: 1, incarnation: 4 }),
+    'late',
+    'another incarnation has this number already',
+  );
+  t.equal(order({ sequence: 10 }), 'same', 'it no longer reports a start time');
   t.equal(order({ sequence: 8 }), 'late');
   t.equal(order({ born: 2000, sequence: 10 }, isGone), 'late');
-  t.equal(order({ born: 2001, sequence: 1 }, isGone), 'next', 'it comes back');
-  t.equal(order({ sequence: 10 }, isGone), 'late', 'gone for good, as ever');
-  t.equal(order({ born: 2000, sequence: 10 }, { born: 0 }), 'same', 'it begins to tell');
+  t.equal(order({ born: 2001, sequence: 1 }, isGone), 'next', 'it returns');
+  t.equal(order({ sequence: 10 }, isGone), 'late', 'without a start time it stays gone');
+  t.equal(order({ born: 2000, sequence: 10 }, { born: 0 }), 'same', 'first report of a start time');
   t.equal(order({ born: 2000, sequence: 1 }, { born: 0 }), 'next');
   t.end();
 });
 
-/** A leader that takes heartbeats, without others at any address. */
+/** A leader that handles heartbeats; no instance answers at any address. */
 function createLeader(): {
   readonly group: PrimaryChangeScenario;
   readonly sendHeartbeat: (
@@ -202,32 +209,39 @@
   await sendHeartbeat({ born: 1000 }, true);
   t.match(group.catalog.instance('b'), present, 'a deregister');
   t.ok(group.monitor.hasHeartbeatSince('b', 2000, 0));
-  t.equal(await sendHeartbeat({ born: 2000 }, true), InstanceState.GONE, 'its own counts');
+  t.equal(
+    await sendHeartbeat({ born: 2000 }, true),
+    InstanceState.GONE,
+    'a deregistration of the current incarnation counts',
+  );
   t.equal(
     await sendHeartbeat({ born: 2000, sequence: 2 }),
     InstanceState.GONE,
-    'its late heartbeat does not',
+    'a late heartbeat after it does not',
   );
-  t.equal(await sendHeartbeat({ born: 3000, sequence: 1 }), InstanceState.READY, 'it comes back');
+  t.equal(await sendHeartbeat({ born: 3000, sequence: 1 }), InstanceState.READY, 'it returns');
   t.equal(group.catalog.instance('b')?.incarnation, 2);
 });
 
-void t.test('an earlier start time is believed after the silence of the known one', async (t) => {
-  const { group, sendHeartbeat } = createLeader();
-  await sendHeartbeat({ born: 900, sequence: 1 });
-  t.match(group.catalog.instance('b'), { born: 1000, incarnation: 0 });
-  await group.run(3001);
-  await sendHeartbeat({ born: 900, sequence: 2 });
-  t.match(group.catalog.instance('b'), { born: 900, incarnation: 1 });
-  await sendHeartbeat({ born: 1000, sequence: 52 });
-  t.match(
-    group.catalog.instance('b'),
-    { born: 1000, incarnation: 2 },
-    'it was late: nothing is lost',
-  );
-});
+void t.test(
+  'an earlier start time is accepted only after the known incarnation timed out',
+  async (t) => {
+    const { group, sendHeartbeat } = createLeader();
+    await sendHeartbeat({ born: 900, sequence: 1 });
+    t.match(group.catalog.instance('b'), { born: 1000, incarnation: 0 });
+    await group.run(3001);
+    await sendHeartbeat({ born: 900, sequence: 2 });
+    t.match(group.catalog.instance('b'), { born: 900, incarnation: 1 });
+    await sendHeartbeat({ born: 1000, sequence: 52 });
+    t.match(
+      group.catalog.instance('b'),
+      { born: 1000, incarnation: 2 },
+      'the known incarnation was only delayed and is accepted again',
+    );
+  },
+);
 
-void t.test('a new leader takes a heartbeat of a former incarnation for late', async (t) => {
+void t.test('a new leader treats a heartbeat of a former incarnation as late', async (t) => {
   const { group, sendHeartbeat } = createLeader();
   await sendHeartbeat({ born: 2000, sequence: 1 });
   group.monitor.beginLeadership(group.scheduler.now);
@@ -237,7 +251,7 @@
   t.notOk(group.monitor.hasHeartbeatSince('b', 1000, 0));
 });
 
-void t.test('a snapshot keeps which incarnations there are', (t) => {
+void t.test('a snapshot preserves the incarnations', (t) => {
   const group = new PrimaryChangeScenario();
   const steadySince = group.catalog.group('g')!.steadySince!;
   group.reportInstance('c', 2000, 1);
@@ -248,19 +262,19 @@
   t.ok(copy.incarnationStartIndex('c') > steadySince);
   t.equal(copy.incarnationStartIndex('b'), 0);
   group.apply({ putInstance: { id: 'c', group: 'other', born: 3000, sequence: 1 } });
-  t.ok(group.catalog.hasLostInstanceSince('g', steadySince), 'it started again in another group');
+  t.ok(group.catalog.hasLostInstanceSince('g', steadySince), 'it restarted in another group');
   t.end();
 });
 
 void t.test(
-  'an old primary that may have started again, in an epoch that began empty',
+  'an old primary that may have restarted does not count, even in an epoch that began empty',
   async (t) => {
     const group = new PrimaryChangeScenario(0);
     group.statuses.set('a', statusUpTo());
     group.openedAt.set('a', group.scheduler.now);
     void group.changePrimary();
     await group.run(CHANGE_ATTEMPTS_MS);
-    t.same(group.appointed, [], 'no log is shorter than that of the epoch');
+    t.same(group.appointed, [], 'no log can be shorter than that of the epoch');
     group.reportInstance('a', 1000, 60);
     await group.run(CHANGE_ATTEMPTS_MS);
     t.same(group.appointed[0], 'a', 'its heartbeat came long after the connection');
--- a/test/unit/instance_reports.test.ts
+++ b/test/unit/instance_reports.test.ts
@@ -1,4 +1,4 @@
-/** What instances say of themselves over HTTP: the start time of their incarnation, decoded once. */
+/** Start times of instances in heartbeats and deregistrations over HTTP. */
 import type { AddressInfo } from 'node:net';
 import t from 'tap';
 import { HEARTBEAT } from '../tools/heartbeat.js';
@@ -7,7 +7,7 @@
 import type { RoutingDocumentReader } from '../../src/appointed/catalog/route_table.js';
 import { whinyoke } from '../../src/protocol/generated/messages.js';
 
-void t.test('heartbeats and deregisters tell when an instance started', async (t) => {
+void t.test('heartbeats and deregistrations carry the start time of an instance', async (t) => {
   const received: whinyoke.IInstanceBeat[] = [];
   const submit = ({ beat }: whinyoke.ICatalogRequest): Promise<whinyoke.ICatalogReply> => {
     received.push(beat!);
@@ -32,7 +32,7 @@
   t.equal(await post('heartbeat', heartbeatWith({ born: 1_800_000_000_123 })), 200);
   t.match(received.at(-1), { instance: { id: 'i-1', born: 1_800_000_000_123, sequence: 4 } });
   t.equal(await post('heartbeat', heartbeatWith({})), 200);
-  t.equal(received.at(-1)?.instance?.born, undefined, 'one that never says it');
+  t.equal(received.at(-1)?.instance?.born, undefined, 'a heartbeat without a start time');
   t.equal(await post('deregister', '{"born":7}'), 200);
   t.match(received.at(-1), { instance: { id: 'i-1', born: 7 }, leaves: true });
   t.equal(await post('deregister', ''), 200);
@@ -42,5 +42,5 @@
     t.equal(await post('heartbeat', heartbeatWith({ born })), 400, `born ${born}`);
     t.equal(await post('deregister', JSON.stringify({ born })), 400, `born ${born}`);
   }
-  t.equal(received.length, count, 'nothing was taken');
+  t.equal(received.length, count, 'no invalid start time was submitted');
 });
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -1,4 +1,7 @@
-/** What the leader keeps for many proxies at once: registrations, encoded updates, positions and their times. */
+/**
+ * State that the leader shares with many proxies: registrations, encoded updates, primary positions
+ * and their ages.
+ */
 import fc from 'fast-check';
 import t from 'tap';
 import { Catalog } from '../../src/appointed/catalog/catalog.js';
@@ -17,7 +20,7 @@
 const { GroupPhase } = whinyoke;
 const POSITION = { term: 3, sequence: 40 };
 
-/** A catalog and what applies commands to it. */
+/** A catalog and a function that applies commands to it. */
 function createCatalog(): {
   catalog: Catalog;
   apply: (command: whinyoke.ICatalogCommand) => Promise<whinyoke.CatalogResult>;
@@ -38,7 +41,7 @@
   };
 }
 
-/** A clock that stands still until it is moved. */
+/** A clock that advances only when told to. */
 class ManualClock implements Clock {
   constructor(private time: number) {}
 
@@ -55,9 +58,8 @@
   }
 }
 
-/** Refuses all connections. */
 const REFUSING_CONNECTOR: InstanceConnector = {
-  connect: () => Promise.reject(new ConnectError('nobody listens', { failure: 'refused' })),
+  connect: () => Promise.reject(new ConnectError('connection refused', { failure: 'refused' })),
 };
 
 function cacheOf(
@@ -68,7 +70,7 @@
   return new PrimaryPositionCache(clock, catalog, connector, () => true);
 }
 
-void t.test('all proxies that wait are registered by one entry', async (t) => {
+void t.test('all waiting proxies are registered with one log entry', async (t) => {
   const { catalog, apply } = createCatalog();
   const commands: whinyoke.ICatalogCommand[] = [];
   const registrar = new ProxyRegistrar(catalog, (command) => {
@@ -82,25 +84,28 @@
   const outcomes = await Promise.all(runs.map((run) => registrar.register(run)));
   t.ok(outcomes.every((isRegistered) => isRegistered));
   t.equal(commands.length, 1);
-  t.ok(await registrar.register(runs[0]!), 'a run that is known needs no entry');
+  t.ok(await registrar.register(runs[0]!), 'a registered incarnation needs no entry');
   t.equal(commands.length, 1);
   t.ok(await registrar.register({ id: 'p0', incarnation: 'second' }));
   t.equal(commands.length, 2);
 });
 
-void t.test('a registration that fails is told to all, and the next one is tried', async (t) => {
-  const { catalog, apply } = createCatalog();
-  let isFailing = true;
-  const registrar = new ProxyRegistrar(catalog, (command) =>
-    isFailing ? Promise.reject(new Error('no majority')) : apply(command),
-  );
-  const run = { id: 'p', incarnation: 'first' };
-  t.same(await Promise.all([registrar.register(run), registrar.register(run)]), [false, false]);
-  isFailing = false;
-  t.ok(await registrar.register(run));
-});
-
-void t.test('an update is encoded once for all that know the same', async (t) => {
+void t.test(
+  'a failed registration is reported to all waiting proxies and can be repeated',
+  async (t) => {
+    const { catalog, apply } = createCatalog();
+    let isFailing = true;
+    const registrar = new ProxyRegistrar(catalog, (command) =>
+      isFailing ? Promise.reject(new Error('no majority')) : apply(command),
+    );
+    const run = { id: 'p', incarnation: 'first' };
+    t.same(await Promise.all([registrar.register(run), registrar.register(run)]), [false, false]);
+    isFailing = false;
+    t.ok(await registrar.register(run));
+  },
+);
+
+void t.test('an update is encoded once for all proxies with the same version', async (t) => {
   const { catalog, apply } = createCatalog();
   const updates = new CatalogUpdates(catalog);
   await apply({ putDocument: documentOf(5, 'five') });
@@ -108,7 +113,7 @@
   const first = updates.since(0, 0);
   t.equal(updates.since(0, 0), first, 'the same bytes');
   t.match(whinyoke.CatalogUpdate.decode(first), { isWhole: true, document: { version: 5 } });
-  t.equal(updates.since(catalog.version, 5).length, 0, 'nothing is new');
+  t.equal(updates.since(catalog.version, 5).length, 0, 'no changes');
   const known = catalog.version;
   await apply(steadyGroup(2));
   t.not(updates.since(0, 0), first, 'the catalog has changed');
@@ -117,16 +122,16 @@
   t.equal(update.document, null);
 });
 
-void t.test('the leader hands on positions of the present epoch only', async (t) => {
+void t.test('the leader passes on positions of the current epoch only', async (t) => {
   const { catalog, apply } = createCatalog();
   const clock = new ManualClock(1000);
   const cache = cacheOf(catalog, clock);
   await apply(steadyGroup(1));
   t.equal(cache.newest(), undefined);
   cache.recordReports([{ group: 'g', epoch: 2, position: POSITION, askedAt: 900 }]);
-  t.equal(cache.newest(), undefined, 'of an epoch that is not known');
+  t.equal(cache.newest(), undefined, 'of an unknown epoch');
   cache.recordReports([{ group: 'g', epoch: 1, position: POSITION, askedAt: 1100 }]);
-  t.equal(cache.newest(), undefined, 'of the future');
+  t.equal(cache.newest(), undefined, 'from the future');
   cache.recordReports([{ group: 'g', epoch: 1, position: POSITION, askedAt: 900 }]);
   cache.recordReports([
     { group: 'g', epoch: 1, position: { term: 3, sequence: 39 }, askedAt: 800 },
@@ -139,40 +144,43 @@
   t.equal(cache.newest(), undefined, 'the primary is being changed');
 });
 
-void t.test('the leader asks a primary when a position is wanted and nobody reports', async (t) => {
-  const { catalog, apply } = createCatalog();
-  const clock = new ManualClock(1000);
-  const asked: string[] = [];
-  const cache = cacheOf(catalog, clock, {
-    connect: (target) => {
-      asked.push(target.id);
-      const connection = {
-        run: () => Promise.reject(new Error('nothing is run')),
-        close: () => undefined,
-        closed: false,
-        onClosed: undefined,
-      };
-      return Promise.resolve({ connection, position: POSITION });
-    },
-  });
-  await apply({ putInstance: { id: 'i-1', group: 'g', address: '10.0.0.1:5000' } });
-  await apply(steadyGroup(1));
-  await cache.probeMissing();
-  t.same(asked, [], 'nobody wants it');
-  cache.recordDemand();
-  await cache.probeMissing();
-  t.same(asked, ['i-1']);
-  t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [1] });
-  clock.advance(500);
-  cache.recordDemand();
-  await cache.probeMissing();
-  t.same(asked, ['i-1'], 'young enough');
-  clock.advance(200);
-  await cache.probeMissing();
-  t.same(asked, ['i-1', 'i-1']);
-});
-
-void t.test('a position never seems younger than it is, whatever the clocks and delays', (t) => {
+void t.test(
+  'the leader probes a primary if a position is requested and no proxy reports it',
+  async (t) => {
+    const { catalog, apply } = createCatalog();
+    const clock = new ManualClock(1000);
+    const asked: string[] = [];
+    const cache = cacheOf(catalog, clock, {
+      connect: (target) => {
+        asked.push(target.id);
+        const connection = {
+          run: () => Promise.reject(new Error('nothing is run')),
+          close: () => undefined,
+          closed: false,
+          onClosed: undefined,
+        };
+        return Promise.resolve({ connection, position: POSITION });
+      },
+    });
+    await apply({ putInstance: { id: 'i-1', group: 'g', address: '10.0.0.1:5000' } });
+    await apply(steadyGroup(1));
+    await cache.probeMissing();
+    t.same(asked, [], 'no proxy requested a position');
+    cache.recordDemand();
+    await cache.probeMissing();
+    t.same(asked, ['i-1']);
+    t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [1] });
+    clock.advance(500);
+    cache.recordDemand();
+    await cache.probeMissing();
+    t.same(asked, ['i-1'], 'recent enough');
+    clock.advance(200);
+    await cache.probeMissing();
+    t.same(asked, ['i-1', 'i-1']);
+  },
+);
+
+void t.test('a position never appears newer than it is, for any clock offsets and delays', (t) => {
   const delays = fc.nat({ max: 5000 });
   fc.assert(
     fc.property(
@@ -188,7 +196,8 @@
         readerReplyDelay: delays,
       }),
       (drawn) => {
-        // True time 10,000: the leader sends its clock to the proxy that hears from the primary.
+        // True time 10,000: the leader sends its clock to the proxy that is connected to the
+        // primary.
         const clockSentAt = 10_000;
         const clockReadAt = clockSentAt + drawn.clockReplyDelay;
         const writer = new SharedPositions();
@@ -216,20 +225,23 @@
   t.end();
 });
 
-void t.test('positions are wanted while replicas are read and the primary is not heard', (t) => {
-  const shared = new SharedPositions();
-  t.notOk(shared.needsSharedPositions(0));
-  shared.recordRead('g', 0);
-  t.ok(shared.needsSharedPositions(10));
-  shared.recordOwn('g', 1, 10, POSITION);
-  t.notOk(shared.needsSharedPositions(20), 'the primary is heard');
-  t.ok(shared.needsSharedPositions(1000), 'not any more');
-  t.notOk(shared.needsSharedPositions(4000), 'nobody reads');
-  t.same(shared.takeReports(20), [], 'the clock of no leader is known');
-  t.end();
-});
-
-void t.test('positions of another set of groups are not taken', (t) => {
+void t.test(
+  'positions are requested while replicas are read without contact to the primary',
+  (t) => {
+    const shared = new SharedPositions();
+    t.notOk(shared.needsSharedPositions(0));
+    shared.recordRead('g', 0);
+    t.ok(shared.needsSharedPositions(10));
+    shared.recordOwn('g', 1, 10, POSITION);
+    t.notOk(shared.needsSharedPositions(20), 'in contact with the primary');
+    t.ok(shared.needsSharedPositions(1000), 'no recent contact');
+    t.notOk(shared.needsSharedPositions(4000), 'no recent reads');
+    t.same(shared.takeReports(20), [], 'no leader clock is known');
+    t.end();
+  },
+);
+
+void t.test('positions for another set of groups are ignored', (t) => {
   const positions = { terms: [3, 0], sequences: [40, 0], agesMs: [10, 0] };
   t.same(sharedPositionsOf({ positions }, ['a'], 100), []);
   t.same(sharedPositionsOf({ positions }, ['a', 'b'], 100), [
