--- a/src/appointed/control/appointed_control.ts
+++ b/src/appointed/control/appointed_control.ts
@@ -82,6 +82,7 @@
   electionTimeoutMs: 300,
   initialElectionTimeoutMs: 120,
 };
+
 /**
  * Upkeep removes expired proxies, refreshes the proxy directory and assigns missing slow-start
  * holders.
@@ -111,7 +112,7 @@
   private readonly allowanceService: AllowanceService;
   private readonly catalogService: CatalogService;
   private readonly appointmentLease: AppointmentLease;
-  private readonly standing: PersistentConnections;
+  private readonly persistentConnections: PersistentConnections;
   private readonly caughtUp: CaughtUpInstances;
   private readonly controller: FailoverController;
   private readonly joiner: ClusterJoiner;
@@ -144,8 +145,13 @@
     this.catalogService = this.makeCatalogService(shared);
     this.appointmentLease = this.makeAppointmentLease(propose);
     const { appointmentLease } = this;
-    this.standing = new PersistentConnections({ clock, catalog, connector, isLeading });
-    const administrator = new InstanceAdministrator(connector, this.standing);
+    this.persistentConnections = new PersistentConnections({
+      clock,
+      catalog,
+      connector,
+      isLeading,
+    });
+    const administrator = new InstanceAdministrator(connector, this.persistentConnections);
     this.caughtUp = new CaughtUpInstances({ ...shared, administrator, isLeading });
     const { caughtUp, document } = this;
     const { regionByZone } = options.placementRules;
@@ -183,7 +189,7 @@
     this.contact.start();
     this.joiner.start();
     this.controller.start();
-    this.standing.start();
+    this.persistentConnections.start();
     this.caughtUp.start();
     this.scheduleUpkeep();
     this.schedulePositionProbes();
@@ -194,7 +200,7 @@
     this.positionTimer?.cancel();
     this.controller.stop();
     this.caughtUp.stop();
-    this.standing.stop();
+    this.persistentConnections.stop();
     this.contact.stop();
     this.joiner.stop();
     this.node.stop();
--- a/src/appointed/control/catalog_service.ts
+++ b/src/appointed/control/catalog_service.ts
@@ -164,11 +164,11 @@
     { id, born, sequence, incarnation }: whinyoke.IInstanceEntry,
     order: EntryOrder,
   ): Promise<whinyoke.ICatalogReply> {
-    const left = { ...known, id, state: InstanceState.GONE };
+    const goneEntry = { ...known, id, state: InstanceState.GONE };
     if (known && order === 'next')
-      await this.putInstance(known, { ...left, born, sequence, incarnation });
+      await this.putInstance(known, { ...goneEntry, born, sequence, incarnation });
     else if (known?.state !== InstanceState.GONE)
-      await this.dependencies.propose({ putInstance: { ...left, born: born || known?.born } });
+      await this.dependencies.propose({ putInstance: { ...goneEntry, born: born || known?.born } });
     return { outcome: CatalogOutcome.DONE };
   }
 
--- a/src/appointed/control/proxy_directory.ts
+++ b/src/appointed/control/proxy_directory.ts
@@ -74,7 +74,7 @@
     this.zones = zones;
     this.zonesJson = zonesJson;
     this.indexById.clear();
-    for (const [place, proxy] of proxies.entries()) this.indexById.set(proxy.id ?? '', place);
+    for (const [index, proxy] of proxies.entries()) this.indexById.set(proxy.id ?? '', index);
   }
 
   /** The directory for a proxy; undefined if it knows this version. */
@@ -95,11 +95,11 @@
    */
   private forwardersFor(proxy: ProxyEntry): string[] {
     const { addresses } = this;
-    const place = this.indexById.get(proxy.id ?? '') ?? -1;
+    const index = this.indexById.get(proxy.id ?? '') ?? -1;
     const count = Math.min(FORWARDER_COUNT, Math.max(0, addresses.length - 1));
     return Array.from(
       { length: count },
-      (_, step) => addresses[(place + 1 + step) % addresses.length]!,
+      (_, step) => addresses[(index + 1 + step) % addresses.length]!,
     );
   }
 }
--- a/test/unit/evacuation.test.ts
+++ b/test/unit/evacuation.test.ts
@@ -100,9 +100,9 @@
     apply({ putInstance: { id: id!, group: 'g', zone: zone!, address: id! } });
   }
   apply({ putGroup: { group: 'g', epoch: 1, phase: GroupPhase.STEADY, primary: 'p', term: 1 } });
-  const asked: string[] = [];
+  const probedIds: string[] = [];
   const connect = ({ id }: { id: string }): Promise<never> => {
-    asked.push(id);
+    probedIds.push(id);
     return Promise.reject(new Error('connection refused'));
   };
   const cache = new PrimaryPositionCache(new RealClock(), catalog, { connect }, () => true);
@@ -110,10 +110,10 @@
   order('a', true);
   order('b', true);
   await cache.probeMissing();
-  t.same(asked, []);
+  t.same(probedIds, []);
   order('b', false);
   await cache.probeMissing();
-  t.same(asked, ['p']);
+  t.same(probedIds, ['p']);
 });
 
 /** Catalog service of a leader whose log is `propose`. */
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -77,14 +77,14 @@
     commands.push(command);
     return apply(command);
   });
-  const runs = Array.from({ length: 200 }, (_, number) => ({
+  const proxies = Array.from({ length: 200 }, (_, number) => ({
     id: `p${number}`,
     incarnation: 'first',
   }));
-  const outcomes = await Promise.all(runs.map((run) => registrar.register(run)));
+  const outcomes = await Promise.all(proxies.map((proxy) => registrar.register(proxy)));
   t.ok(outcomes.every((isRegistered) => isRegistered));
   t.equal(commands.length, 1);
-  t.ok(await registrar.register(runs[0]!), 'a registered incarnation needs no entry');
+  t.ok(await registrar.register(proxies[0]!), 'a registered incarnation needs no entry');
   t.equal(commands.length, 1);
   t.ok(await registrar.register({ id: 'p0', incarnation: 'second' }));
   t.equal(commands.length, 2);
@@ -98,10 +98,13 @@
     const registrar = new ProxyRegistrar(catalog, (command) =>
       isFailing ? Promise.reject(new Error('no majority')) : apply(command),
     );
-    const run = { id: 'p', incarnation: 'first' };
-    t.same(await Promise.all([registrar.register(run), registrar.register(run)]), [false, false]);
+    const proxy = { id: 'p', incarnation: 'first' };
+    t.same(await Promise.all([registrar.register(proxy), registrar.register(proxy)]), [
+      false,
+      false,
+    ]);
     isFailing = false;
-    t.ok(await registrar.register(run));
+    t.ok(await registrar.register(proxy));
   },
 );
 
@@ -149,10 +152,10 @@
   async (t) => {
     const { catalog, apply } = createCatalog();
     const clock = new ManualClock(1000);
-    const asked: string[] = [];
+    const probedIds: string[] = [];
     const cache = cacheOf(catalog, clock, {
       connect: (target) => {
-        asked.push(target.id);
+        probedIds.push(target.id);
         const connection = {
           run: () => Promise.reject(new Error('nothing is run')),
           close: () => undefined,
@@ -165,18 +168,18 @@
     await apply({ putInstance: { id: 'i-1', group: 'g', address: '10.0.0.1:5000' } });
     await apply(steadyGroup(1));
     await cache.probeMissing();
-    t.same(asked, [], 'no proxy requested a position');
+    t.same(probedIds, [], 'no proxy requested a position');
     cache.recordDemand();
     await cache.probeMissing();
-    t.same(asked, ['i-1']);
+    t.same(probedIds, ['i-1']);
     t.same(cache.newest(), { terms: [3], sequences: [40], agesMs: [1] });
     clock.advance(500);
     cache.recordDemand();
     await cache.probeMissing();
-    t.same(asked, ['i-1'], 'recent enough');
+    t.same(probedIds, ['i-1'], 'recent enough');
     clock.advance(200);
     await cache.probeMissing();
-    t.same(asked, ['i-1', 'i-1']);
+    t.same(probedIds, ['i-1', 'i-1']);
   },
 );
 
