--- a/test/unit/incarnations.test.ts
+++ b/test/unit/incarnations.test.ts
@@ -145,8 +145,8 @@
 
 void t.test('entries of new incarnations are told apart from late entries', (t) => {
   const known = { born: 2000, sequence: 9, incarnation: 4, state: InstanceState.READY };
-  const order = (told: whinyoke.IInstanceEntry, change = {}): string =>
-    classifyEntry({ ...known, ...change }, told);
+  const order = (reported: whinyoke.IInstanceEntry, change = {}): string =>
+    classifyEntry({ ...known, ...change }, reported);
   const isGone = { state: InstanceState.GONE };
   t.equal(order({ born: 2000, sequence: 9 }), 'same');
   t.equal(order({ born: 2000, sequence: 8 }), 'late');
@@ -172,7 +172,7 @@
 function createLeader(): {
   readonly group: PrimaryChangeScenario;
   readonly sendHeartbeat: (
-    told: whinyoke.IInstanceEntry,
+    reported: whinyoke.IInstanceEntry,
     leaves?: boolean,
   ) => Promise<whinyoke.InstanceState | null | undefined>;
 } {
@@ -190,8 +190,8 @@
     propose: (command) => Promise.resolve(group.apply(command)),
     log: () => undefined,
   });
-  const sendHeartbeat = async (told: whinyoke.IInstanceEntry, leaves = false) => {
-    const instance = { id: 'b', group: 'g', address: 'b', ...told };
+  const sendHeartbeat = async (reported: whinyoke.IInstanceEntry, leaves = false) => {
+    const instance = { id: 'b', group: 'g', address: 'b', ...reported };
     const { outcome } = await service.submit({ beat: { instance, leaves } });
     t.equal(outcome, CatalogOutcome.DONE);
     return catalog.instance('b')?.state;
--- a/test/unit/synchronisation.test.ts
+++ b/test/unit/synchronisation.test.ts
@@ -198,30 +198,30 @@
         readerRequestDelay: delays,
         readerReplyDelay: delays,
       }),
-      (drawn) => {
+      (sample) => {
         // True time 10,000: the leader sends its clock to the proxy that is connected to the
         // primary.
         const clockSentAt = 10_000;
-        const clockReadAt = clockSentAt + drawn.clockReplyDelay;
+        const clockReadAt = clockSentAt + sample.clockReplyDelay;
         const writer = new SharedPositions();
-        const reply = { term: 1, clockMs: Math.floor(clockSentAt + drawn.leaderOffset) };
-        writer.recordLeaderClock(reply, clockReadAt + drawn.writerOffset);
-        const askedAt = clockReadAt + drawn.asked;
-        writer.recordOwn('g', 1, askedAt + drawn.writerOffset, POSITION);
+        const reply = { term: 1, clockMs: Math.floor(clockSentAt + sample.leaderOffset) };
+        writer.recordLeaderClock(reply, clockReadAt + sample.writerOffset);
+        const askedAt = clockReadAt + sample.asked;
+        writer.recordOwn('g', 1, askedAt + sample.writerOffset, POSITION);
         const reportAt = Math.max(askedAt, clockReadAt) + 5;
-        const reports = writer.takeReports(reportAt + drawn.writerOffset);
-        const reportedAskedAt = (reports[0]?.askedAt ?? 0) - drawn.leaderOffset;
+        const reports = writer.takeReports(reportAt + sample.writerOffset);
+        const reportedAskedAt = (reports[0]?.askedAt ?? 0) - sample.leaderOffset;
         if (reportedAskedAt > askedAt) return false;
         // The leader answers another proxy.
-        const readerSentAt = reportAt + drawn.requestDelay + drawn.longPollDelay;
-        const answeredAt = readerSentAt + drawn.readerRequestDelay;
+        const readerSentAt = reportAt + sample.requestDelay + sample.longPollDelay;
+        const answeredAt = readerSentAt + sample.readerRequestDelay;
         const positions = {
           terms: [3],
           sequences: [40],
           agesMs: [Math.max(1, Math.ceil(answeredAt - reportedAskedAt))],
         };
-        const [seen] = sharedPositionsOf({ positions }, ['g'], readerSentAt + drawn.readerOffset);
-        return seen!.askedAt - drawn.readerOffset <= askedAt;
+        const [seen] = sharedPositionsOf({ positions }, ['g'], readerSentAt + sample.readerOffset);
+        return seen!.askedAt - sample.readerOffset <= askedAt;
       },
     ),
   );
