--- a/src/appointed/connections/pooled_connection.ts
+++ b/src/appointed/connections/pooled_connection.ts
@@ -59,5 +59,5 @@
   /** Time within which an answer meets the caller's latency objective; no limit if left out. */
   readonly objectiveMs?: number;
   /** Regions that the request is restricted to; undefined if unrestricted. */
-  readonly homes?: AllowedRegions;
+  readonly allowedRegions?: AllowedRegions;
 }
--- a/src/appointed/relay/instance_access.ts
+++ b/src/appointed/relay/instance_access.ts
@@ -70,7 +70,7 @@
     if (coldRoute) return this.acquireCold(coldRoute, request, timeoutMs);
     const owners = this.routing
       .ownersFor(request.tenant ?? NO_TENANT)
-      .filter((address) => this.isProxyAllowed(address, request.homes))
+      .filter((address) => this.isProxyAllowed(address, request.allowedRegions))
       .filter((address) => this.dependencies.health.isAvailable(address));
     const [preferredOwner] = owners;
     if (preferredOwner === undefined || preferredOwner === this.ownAddress) {
@@ -90,7 +90,7 @@
     timeoutMs: number,
   ): Promise<PooledConnection> {
     if (holderAddress === this.ownAddress) return this.localPool.acquire(request, timeoutMs);
-    const isAllowed = canSend && this.isProxyAllowed(holderAddress, request.homes);
+    const isAllowed = canSend && this.isProxyAllowed(holderAddress, request.allowedRegions);
     if (isAllowed && this.dependencies.health.isAvailable(holderAddress)) {
       return Promise.resolve(this.relayVia([holderAddress], request, timeoutMs));
     }
@@ -111,7 +111,7 @@
       objectiveMs: request.objectiveMs,
       waitMs: timeoutMs,
       owners: owners.slice(0, MAX_OWNERS_TRIED),
-      allowedRegions: request.homes,
+      allowedRegions: request.allowedRegions,
     };
     const connection = new RelayedConnection(route, this.dependencies);
     const pooled = new PooledConnection(connection, request.tenant ?? NO_TENANT, true);
--- a/src/appointed/routing/target_planner.ts
+++ b/src/appointed/routing/target_planner.ts
@@ -31,7 +31,7 @@
   /** Position that a replica must have applied. */
   readonly minimumPosition?: Position;
   /** Regions that the statement may reach, which includes the connection owner that relays it. */
-  readonly homes?: AllowedRegions;
+  readonly allowedRegions?: AllowedRegions;
 }
 
 /** Parameters of a read plan. */
@@ -59,11 +59,13 @@
 export function primaryWithinRegions(
   context: ProxyContext,
   group: string,
-  homes: AllowedRegions,
+  allowedRegions: AllowedRegions,
 ): Target | undefined {
   const primary = primaryTarget(context, group);
-  if (!primary || homes === undefined) return primary;
-  return isInstanceAllowed(context, homes, primary.instance) ? { ...primary, homes } : undefined;
+  if (!primary || allowedRegions === undefined) return primary;
+  return isInstanceAllowed(context, allowedRegions, primary.instance)
+    ? { ...primary, allowedRegions }
+    : undefined;
 }
 
 /** Whether answers of a target may be used: always for a replica, only under the lease for a primary. */
@@ -94,8 +96,8 @@
   triedInstances: ReadonlySet<string>,
 ): Target[] {
   const { group } = request.route;
-  const homes = allowedRegionsOf(context, request.route, request.tenant);
-  const primary = primaryWithinRegions(context, group, homes);
+  const allowedRegions = allowedRegionsOf(context, request.route, request.tenant);
+  const primary = primaryWithinRegions(context, group, allowedRegions);
   const minimumPosition = minimumReadPosition(context, request);
   if (!minimumPosition) {
     context.leaseConfirmer.recordPrimaryNeeded(group);
@@ -106,7 +108,8 @@
     .readCandidates(group)
     .filter(
       (candidate) =>
-        !triedInstances.has(candidate.id) && isInstanceAllowed(context, homes, candidate.id),
+        !triedInstances.has(candidate.id) &&
+        isInstanceAllowed(context, allowedRegions, candidate.id),
     )
     .filter((candidate) => candidate.id !== primaryInstance || primary !== undefined);
   const ordered = orderReadCandidates(candidates, {
@@ -121,7 +124,7 @@
       continue;
     }
     const pool = context.instances.connectionsTo(id);
-    if (pool) targets.push({ instance: id, pool, group, minimumPosition, homes });
+    if (pool) targets.push({ instance: id, pool, group, minimumPosition, allowedRegions });
   }
   const isPrimaryListed = targets.some((target) => target.primaryEpoch !== undefined);
   if (!primary || isPrimaryListed || triedInstances.has(primary.instance)) return targets;
--- a/src/appointed/sessions/caller_transaction.ts
+++ b/src/appointed/sessions/caller_transaction.ts
@@ -287,8 +287,14 @@
     try {
       const { name: tenant } = this.operation.tenant;
       const objectiveMs = deadline.objectiveRemainingMs;
-      const { homes } = target;
-      const connectionRequest = { tenant, values: content.values, priority, objectiveMs, homes };
+      const { allowedRegions } = target;
+      const connectionRequest = {
+        tenant,
+        values: content.values,
+        priority,
+        objectiveMs,
+        allowedRegions,
+      };
       pinned = await this.runner.acquire(
         target,
         connectionRequest,
--- a/src/appointed/sessions/single_statement.ts
+++ b/src/appointed/sessions/single_statement.ts
@@ -260,9 +260,9 @@
     const objectiveMs = request.deadline.objectiveRemainingMs;
     try {
       const { values } = request.content;
-      const { homes } = target;
+      const { allowedRegions } = target;
       const { name: tenant } = request.operation.tenant;
-      const connectionRequest = { tenant, values, priority, objectiveMs, homes };
+      const connectionRequest = { tenant, values, priority, objectiveMs, allowedRegions };
       return await this.runner.acquire(target, connectionRequest, waitMs);
     } catch (error) {
       const failure = error instanceof AcquireError ? error.failure : 'no connection';
