--- a/test/unit/platform_codec.test.ts
+++ b/test/unit/platform_codec.test.ts
@@ -1,4 +1,4 @@
-/** The platform's wire, settings and configuration: translation only. */
+/** Guards the parsing and encoding of the platform's line protocol, settings, routing documents and command line. */
 import t from 'tap';
 import { LineCallerCodec } from '../../platform/caller_codec.js';
 import { readPlainCommand } from '../../platform/command_line.js';
@@ -14,7 +14,7 @@
 import { readControlSettings, readProxySettings } from '../../platform/settings.js';
 import { successReply, errorReply } from '../../src/appointed/sessions/caller_reply.js';
 
-void t.test('lines are cut at any byte and keep every byte', (t) => {
+void t.test('a line split between chunks at any byte is reassembled without loss', (t) => {
   const text = 'START db who\r\nQUERY 1 WRITE k \xff\xfe x\r\n';
   for (let cut = 0; cut <= text.length; cut++) {
     const reader = new LineReader();
@@ -27,14 +27,14 @@
   t.end();
 });
 
-void t.test('a line over 1 MiB is refused before it is whole', (t) => {
+void t.test('a line over 1 MiB is refused before its end arrives', (t) => {
   const reader = new LineCallerCodec().newReader();
   const messages = reader.push(Buffer.alloc(1024 * 1024 + 1, 'x'));
   t.same(messages, [{ kind: 'broken', problem: 'message too long' }]);
   t.end();
 });
 
-void t.test('statements of callers', (t) => {
+void t.test('caller statements are parsed, and invalid ones are malformed', (t) => {
   t.same(parseStatement('BEGIN READ'), { kind: 'begin', readOnly: true });
   t.same(parseStatement('WRITE k a b  c'), { kind: 'write', argument: 'k a b  c' });
   t.same(parseStatement('EXECUTE s1 k v'), { kind: 'execute', name: 's1', argument: 'k v' });
@@ -49,7 +49,7 @@
   t.end();
 });
 
-void t.test('messages before their time, cut short or unknown are broken', (t) => {
+void t.test('incomplete and unknown caller messages are broken', (t) => {
   const read = (line: string): string =>
     new LineCallerCodec().newReader().push(Buffer.from(`${line}\r\n`))[0]!.kind;
   t.equal(read('START db who'), 'start');
@@ -60,7 +60,7 @@
   t.end();
 });
 
-void t.test('commands to instances keep id and text, and may carry a position', (t) => {
+void t.test('an encoded instance command keeps the id, the text and the minimum position', (t) => {
   const after = { term: 3, sequence: 1207 };
   const read = { kind: 'read' as const, argument: '1a4' };
   t.equal(
@@ -78,7 +78,7 @@
   t.end();
 });
 
-void t.test('answers of instances', (t) => {
+void t.test('instance answers are assembled from lines, and unknown lines throw', (t) => {
   const reader = new AnswerReader();
   t.equal(reader.push('ROW replica 3 3.1209 0 12 2 17'), undefined);
   t.equal(reader.push('COMPLETE -'), undefined);
@@ -95,7 +95,7 @@
   t.end();
 });
 
-void t.test('answers to callers', (t) => {
+void t.test('replies to callers carry rows, error, state and position', (t) => {
   t.equal(encodeReply(successReply('open')), 'COMPLETE -\r\nREADY T -\r\n');
   t.equal(
     encodeReply(errorReply('busy', 'no slot; retry after 50 ms', 'idle')),
@@ -124,33 +124,36 @@
   'some.future_field=1',
 ];
 
-void t.test('settings: unknown fields are taken, missing and wrong ones named', (t) => {
-  const proxy = readProxySettings(SETTINGS.join('\n'), 9100);
-  t.match(proxy.daemon, { internal: '10.1.0.8:7441', graceMs: 6000, metrics: '10.1.0.8:9100' });
-  t.same(proxy.daemon.seeds, ['10.1.0.10:7440', '10.2.0.8:7440']);
-  const control = readControlSettings(SETTINGS.join('\n'));
-  t.match(control.daemon, { internal: '10.1.0.8:7440', voters: 3, isFirstStart: true });
-  for (const [index, line] of SETTINGS.slice(0, -1).entries()) {
-    const without = SETTINGS.filter((_, other) => other !== index).join('\n');
-    const field = line.split('=')[0]!;
-    const reads = [(): unknown => readProxySettings(without), () => readControlSettings(without)];
-    const problems = reads.map((read) => {
-      try {
-        read();
-        return '';
-      } catch (error) {
-        return String(error);
-      }
-    });
-    t.ok(
-      problems.some((problem) => problem.includes(field)),
-      `a missing ${field} is named`,
-    );
-  }
-  const wrong = SETTINGS.join('\n').replace('bootstrap=true', 'bootstrap=maybe');
-  t.throws(() => readControlSettings(wrong), /bootstrap/);
-  t.end();
-});
+void t.test(
+  'settings with unknown fields are accepted; errors name missing and invalid fields',
+  (t) => {
+    const proxy = readProxySettings(SETTINGS.join('\n'), 9100);
+    t.match(proxy.daemon, { internal: '10.1.0.8:7441', graceMs: 6000, metrics: '10.1.0.8:9100' });
+    t.same(proxy.daemon.seeds, ['10.1.0.10:7440', '10.2.0.8:7440']);
+    const control = readControlSettings(SETTINGS.join('\n'));
+    t.match(control.daemon, { internal: '10.1.0.8:7440', voters: 3, isFirstStart: true });
+    for (const [index, line] of SETTINGS.slice(0, -1).entries()) {
+      const without = SETTINGS.filter((_, other) => other !== index).join('\n');
+      const field = line.split('=')[0]!;
+      const reads = [(): unknown => readProxySettings(without), () => readControlSettings(without)];
+      const problems = reads.map((read) => {
+        try {
+          read();
+          return '';
+        } catch (error) {
+          return String(error);
+        }
+      });
+      t.ok(
+        problems.some((problem) => problem.includes(field)),
+        `the error names the missing field ${field}`,
+      );
+    }
+    const wrong = SETTINGS.join('\n').replace('bootstrap=true', 'bootstrap=maybe');
+    t.throws(() => readControlSettings(wrong), /bootstrap/);
+    t.end();
+  },
+);
 
 function documentText(): string {
   const document = {
@@ -175,7 +178,7 @@
   return JSON.stringify(document);
 }
 
-void t.test('configurations are read whole or refused', (t) => {
+void t.test('an invalid routing document is refused with an error that names the problem', (t) => {
   const reader = new PlatformDocumentReader();
   const table = reader.read(documentText());
   t.equal(table.version, 7);
@@ -196,26 +199,23 @@
   t.end();
 });
 
-void t.test(
-  'a plain command line is read without the library, anything else is left to it',
-  (t) => {
-    t.same(readPlainCommand(['proxy', '--metrics-port', '9100']), {
-      program: 'proxy',
-      metricsPort: 9100,
-    });
-    t.same(readPlainCommand(['control', '--metrics-port=1']), {
-      program: 'control',
-      metricsPort: 1,
-    });
-    t.same(readPlainCommand(['control']), { program: 'control', metricsPort: undefined });
-    const others = [
-      [],
-      ['prox'],
-      ['proxy', '--help'],
-      ['proxy', 'x'],
-      ['proxy', '--metrics-port', 'x'],
-    ];
-    for (const words of others) t.equal(readPlainCommand(words), undefined, words.join(' '));
-    t.end();
-  },
-);
+void t.test('a valid command line is parsed without yargs; any other is left to yargs', (t) => {
+  t.same(readPlainCommand(['proxy', '--metrics-port', '9100']), {
+    program: 'proxy',
+    metricsPort: 9100,
+  });
+  t.same(readPlainCommand(['control', '--metrics-port=1']), {
+    program: 'control',
+    metricsPort: 1,
+  });
+  t.same(readPlainCommand(['control']), { program: 'control', metricsPort: undefined });
+  const others = [
+    [],
+    ['prox'],
+    ['proxy', '--help'],
+    ['proxy', 'x'],
+    ['proxy', '--metrics-port', 'x'],
+  ];
+  for (const words of others) t.equal(readPlainCommand(words), undefined, words.join(' '));
+  t.end();
+});
