--- a/test/unit/platform_codec.test.ts
+++ b/test/unit/platform_codec.test.ts
@@ -1,4 +1,7 @@
-/** Guards the parsing and encoding of the platform's line protocol, settings, routing documents and command line. */
+/**
+ * Guards the parsing and encoding of the platform's line protocol, settings, routing documents and
+ * command line.
+ */
 import t from 'tap';
 import { LineCallerCodec } from '../../platform/caller_codec.js';
 import { readPlainCommand } from '../../platform/command_line.js';
