--- a/src/runtime/compiled_module.ts
+++ b/src/runtime/compiled_module.ts
@@ -1,36 +1,34 @@
 /**
- * Loads a bundle together with its compiled code, stored when the bundle was built: compiling takes a third of the
- * start of a process. The engine takes stored code only from the same version of itself under the same flags, and
- * compiles the source otherwise. Owns nothing; relies on the bundle's file, without which a program does not start.
+ * Loads a bundle together with its V8 code cache, which the build writes beside the bundle, to shorten the start of a
+ * process. V8 accepts a code cache only from the same engine version with the same flags; otherwise it compiles the
+ * source. A missing bundle file is an error, a missing code cache is not.
  */
 import { existsSync, readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { fileURLToPath } from 'node:url';
 import { Script } from 'node:vm';
 
-/** Signature of a bundle: one function expression around a CommonJS module. */
+/** Signature of a bundle: one function expression that wraps a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
   module: { exports: unknown },
 ) => void;
 
-/** A loaded bundle. */
 interface CompiledModule {
-  /** What the bundle exports. */
   readonly exports: unknown;
-  /** Path of the file that holds the compiled code, or is to hold it. */
+  /** Path of the code cache, whether or not the file exists. */
   readonly codeFile: string;
-  /** Whether the stored code was used. */
+  /** Whether V8 accepted the code cache. */
   readonly isCodeReused: boolean;
-  /** Compiled code of all functions that have run so far, to be stored. */
+  /** Returns a code cache that covers all functions compiled so far. */
   storeCode(): Buffer;
 }
 
-/** Ending of the file that holds the compiled code of a bundle. */
+/** Suffix of the code cache's file name. */
 const CODE_SUFFIX = '.code';
 
-/** Loads the bundle at `url`, and its stored code from the file beside it when there is one. */
+/** Loads the bundle at `url`, with the code cache beside it if there is one. */
 export function loadCompiledModule(url: URL): CompiledModule {
   const filename = fileURLToPath(url);
   const codeFile = `${filename}${CODE_SUFFIX}`;
--- a/src/runtime/duration.ts
+++ b/src/runtime/duration.ts
@@ -1,14 +1,14 @@
-/** Durations: units, and those that another process sent. Owns nothing; relies on nothing that may fail. */
+/** Units of durations, and validation of durations received in messages. */
 
-/** Milliseconds of a second. */
 export const MILLISECONDS_PER_SECOND = 1000;
 
-/** Longest time that a timer of the runtime can wait, in milliseconds; it turns a longer one into 1 ms. */
+/** Longest delay that Node.js timers support; they treat a longer one as 1 ms. */
 const LONGEST_TIMER_MS = 2 ** 31 - 1;
 
 /**
- * A duration of a message, in milliseconds; 0 where the message has none. Undefined for one that no timer can wait, such
- * as a negative one that was sent as an unsigned number.
+ * Validates a duration received in a message, in milliseconds.
+ * @returns 0 if the message has no duration; undefined if no timer can wait that long, for example because the sender
+ *   encoded a negative number in an unsigned field
  */
 export function durationOf(milliseconds: number | null | undefined): number | undefined {
   const duration = milliseconds ?? 0;
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -1,16 +1,15 @@
 /**
- * Length-prefixed frames on a byte stream. Owns the bytes of a frame that is not complete yet; relies on the peer, which may
- * send anything.
+ * Length-prefixed frames on a byte stream. The reader buffers an incomplete frame until the rest arrives. A frame above
+ * the size limit ends the connection, so that a faulty peer can't exhaust the memory of this process.
  */
 import type { Socket } from 'node:net';
 
-/** Length of the prefix of each frame, in bytes. */
+/** Size of the length prefix. */
 export const FRAME_HEADER_BYTES = 4;
 
-/** Largest accepted frame, in bytes; anything longer ends the connection. Guess, not measured. */
 const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
 
-/** A payload with its length in front. */
+/** Encodes a payload with its length prefix. */
 export function frame(payload: Uint8Array): Buffer {
   const bytes = Buffer.allocUnsafe(FRAME_HEADER_BYTES + payload.length);
   bytes.writeUInt32BE(payload.length, 0);
@@ -18,12 +17,15 @@
   return bytes;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export class FrameReader {
   private chunks: Buffer[] = [];
   private buffered = 0;
 
-  /** Adds bytes and returns the payloads that are now complete; throws on an oversized frame. */
+  /**
+   * Adds bytes and returns the payloads that are now complete.
+   * @throws RangeError when a frame exceeds the size limit
+   */
   push(chunk: Buffer): Buffer[] {
     this.chunks.push(chunk);
     this.buffered += chunk.length;
@@ -36,14 +38,14 @@
     return payloads;
   }
 
-  /** Delivers all further frames of a socket to `receive`; ends the connection on bad input. */
+  /** Passes all further frames of a socket to `receive`; closes the socket if decoding or `receive` throws. */
   start(socket: Socket, receive: (payload: Buffer) => void): void {
     const deliver = (chunk: Buffer): void => {
       try {
         for (const payload of this.push(chunk)) receive(payload);
       } catch {
-        // The peer sees the closed connection: its requests fail, and it logs them. A line here for whatever a stranger
-        // sends would let him fill the log.
+        // Not logged: an unauthenticated client could fill the log with invalid input. The peer's requests fail, and the
+        // peer logs them.
         socket.destroy();
       }
     };
@@ -55,7 +57,8 @@
     if (this.buffered < FRAME_HEADER_BYTES) return undefined;
     const bytes = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
     const length = bytes.readUInt32BE(0);
-    if (length > MAXIMUM_FRAME_BYTES) throw new RangeError(`frame of ${length} bytes`);
+    if (length > MAXIMUM_FRAME_BYTES)
+      throw new RangeError(`frame of ${length} bytes exceeds the limit of ${MAXIMUM_FRAME_BYTES}`);
     const end = FRAME_HEADER_BYTES + length;
     const complete = bytes.length >= end;
     this.chunks = [complete ? bytes.subarray(end) : bytes];
--- a/src/runtime/message_traffic.ts
+++ b/src/runtime/message_traffic.ts
@@ -1,35 +1,30 @@
-/**
- * Bytes and number of internal messages of one process by kind, so that an operator sees what the network carries. Owns the
- * counts; relies on nothing that may fail.
- */
+/** Counts the internal messages that one process sends and receives, and their bytes, by kind of message. */
 import type { MessageBody } from './runtime.js';
 
-/** Which way a message went. */
 export type MessageDirection = 'sent' | 'received';
 
-/** Messages of one kind that went one way since the start. */
+/** Messages of one kind in one direction since the start of the process. */
 export interface TrafficCount {
   readonly kind: string;
   readonly direction: MessageDirection;
   readonly messages: number;
-  /** With their frames. */
+  /** Including the frame headers. */
   readonly bytes: number;
 }
 
-/** Counts that go on. */
 interface RunningCount {
   messages: number;
   bytes: number;
 }
 
-/** Traffic of one process. */
+/** Message counts of one process. */
 export class MessageTraffic {
   private readonly counts: Readonly<Record<MessageDirection, Map<string, RunningCount>>> = {
     sent: new Map(),
     received: new Map(),
   };
 
-  /** Counts a message of so many bytes. */
+  /** Counts one message of `bytes` bytes, frame header included. */
   note(direction: MessageDirection, body: MessageBody, bytes: number): void {
     const ofDirection = this.counts[direction];
     const kind = kindOf(body);
@@ -42,7 +37,7 @@
     count.bytes += bytes;
   }
 
-  /** Counts since the start. */
+  /** Counts since the start of the process. */
   get all(): readonly TrafficCount[] {
     return (['sent', 'received'] as const).flatMap((direction) =>
       [...this.counts[direction]].map(([kind, count]) => ({ kind, direction, ...count })),
@@ -50,7 +45,7 @@
   }
 }
 
-/** Name of the field that a body holds. */
+/** Name of the field that is set in a body; `empty` if none is. */
 function kindOf(body: MessageBody): string {
   for (const [name, value] of Object.entries(body)) {
     if (value !== undefined && value !== null) return name;
--- a/src/runtime/real_clock.ts
+++ b/src/runtime/real_clock.ts
@@ -1,4 +1,4 @@
-/** The operating system's monotonic clock. Owns nothing; relies on nothing that may fail. */
+/** The operating system's monotonic clock. */
 import type { Clock, Timer } from './runtime.js';
 
 /** Clock backed by `performance.now` and the event loop's timers. */
--- a/src/runtime/real_folder.ts
+++ b/src/runtime/real_folder.ts
@@ -1,6 +1,6 @@
 /**
- * A data folder on the local file system; every promise of durability is an fsync. Owns the files of one folder; relies on
- * the disk, which may be full or fail: the call is rejected then.
+ * A data folder on the local file system. An operation that is documented as durable resolves after an fsync of the file
+ * and, where names change, of the folder. If the disk is full or fails, the operation's promise is rejected.
  */
 import { constants } from 'node:fs';
 import {
@@ -16,23 +16,23 @@
 import { join } from 'node:path';
 import type { DataFolder } from './runtime.js';
 
-/** Ending of the name of a file that is not complete yet. */
+/** Suffix of a file that `replace` has not finished writing. */
 const TEMPORARY_SUFFIX = '.temporary';
 
-/** Files of one process under one folder. */
+/** Files of one process in one folder. */
 export class RealFolder implements DataFolder {
   private readonly handles = new Map<string, Promise<FileHandle>>();
 
   private constructor(private readonly path: string) {}
 
-  /** Opens the folder, creating it when needed; rejects when it can't be read and written. */
+  /** Opens the folder and creates it if it is missing; rejects if it is not readable and writable. */
   static async open(path: string): Promise<RealFolder> {
     await mkdir(path, { recursive: true });
     await access(path, constants.R_OK | constants.W_OK);
     return new RealFolder(path);
   }
 
-  /** Whole content of a file, or undefined when there is no such file. */
+  /** Reads a whole file; undefined if the file does not exist. */
   async read(name: string): Promise<Buffer | undefined> {
     try {
       return await readFile(join(this.path, name));
@@ -42,19 +42,19 @@
     }
   }
 
-  /** Appends to a file, creating it when needed; not durable yet. */
+  /** Appends to a file and creates it if it is missing; not durable until `sync`. */
   async append(name: string, bytes: Uint8Array): Promise<void> {
     const handle = await this.appendHandle(name);
     await handle.appendFile(bytes);
   }
 
-  /** Makes everything appended to a file durable. */
+  /** Makes all earlier appends to a file durable. */
   async sync(name: string): Promise<void> {
     const handle = await this.appendHandle(name);
     await handle.datasync();
   }
 
-  /** Replaces the content of a file at once, durably. */
+  /** Replaces the content of a file atomically and durably. */
   async replace(name: string, bytes: Uint8Array): Promise<void> {
     await this.closeHandle(name);
     const temporary = join(this.path, name + TEMPORARY_SUFFIX);
@@ -69,7 +69,7 @@
     await this.syncFolder();
   }
 
-  /** Shortens a file durably. */
+  /** Durably shortens a file to `length` bytes. */
   async truncate(name: string, length: number): Promise<void> {
     await this.closeHandle(name);
     const handle = await open(join(this.path, name), 'r+');
@@ -81,20 +81,20 @@
     }
   }
 
-  /** Removes a file durably. */
+  /** Durably removes a file; does nothing if it does not exist. */
   async remove(name: string): Promise<void> {
     await this.closeHandle(name);
     await rm(join(this.path, name), { force: true });
     await this.syncFolder();
   }
 
-  /** Names of all files, sorted. */
+  /** Names of all files except unfinished replacements, sorted. */
   async list(): Promise<string[]> {
     const names = await readdir(this.path);
     return names.filter((name) => !name.endsWith(TEMPORARY_SUFFIX)).sort();
   }
 
-  /** Closes all files; the folder is not used any more. */
+  /** Closes all files; the folder must not be used afterwards. */
   async close(): Promise<void> {
     for (const name of [...this.handles.keys()]) await this.closeHandle(name);
   }
@@ -120,7 +120,7 @@
     if (handle) await (await handle).close();
   }
 
-  /** Makes created, renamed and removed names durable. */
+  /** Makes the creation, renaming and removal of files durable. */
   private async syncFolder(): Promise<void> {
     const handle = await open(this.path, 'r');
     try {
--- a/src/runtime/runtime.ts
+++ b/src/runtime/runtime.ts
@@ -1,16 +1,15 @@
 /**
- * The boundary between decisions and the outside world.
+ * Interfaces to the outside world: clock, random numbers, files and network.
  *
- * Everything that decides (routing, consensus, membership, storage) is written against these
- * interfaces only. The daemons use the real implementations beside this file; the simulator under
- * `lab/simulation` uses virtual ones, so both run the same code. Owns nothing. Of the parts the folder and the messenger may
- * fail: their promises are rejected then.
+ * Routing, consensus, membership and storage depend on these interfaces only. The daemons use the real implementations in
+ * this folder; the simulator in `lab/simulation` uses virtual ones, so both run the same code. When a file or network
+ * operation fails, its promise is rejected.
  */
 import type { whinyoke } from '../protocol/generated/messages.js';
 
 /** A pending timer. */
 export interface Timer {
-  /** Cancels the timer; does nothing when it has already fired. */
+  /** Cancels the timer; does nothing if it has already fired. */
   cancel(): void;
 }
 
@@ -33,21 +32,21 @@
 }
 
 /**
- * The data folder of one process. Bytes count as durable only after `sync` or `replace` resolved;
- * a crash may drop or tear anything later.
+ * The data folder of one process. Bytes are durable only after `sync` or `replace` has resolved; a crash may lose later
+ * writes or leave them incomplete.
  */
 export interface DataFolder {
-  /** Whole content of a file, or undefined when there is no such file. */
+  /** Reads a whole file; undefined if the file does not exist. */
   read(name: string): Promise<Buffer | undefined>;
-  /** Appends to a file, creating it when needed. Not durable until `sync`. */
+  /** Appends to a file and creates it if it is missing; not durable until `sync`. */
   append(name: string, bytes: Uint8Array): Promise<void>;
-  /** Makes everything appended to the file so far durable. */
+  /** Makes all earlier appends to a file durable. */
   sync(name: string): Promise<void>;
   /** Atomically and durably replaces the whole content of a file. */
   replace(name: string, bytes: Uint8Array): Promise<void>;
   /** Durably shortens a file to `length` bytes. */
   truncate(name: string, length: number): Promise<void>;
-  /** Durably removes a file; does nothing when there is no such file. */
+  /** Durably removes a file; does nothing if it does not exist. */
   remove(name: string): Promise<void>;
   /** Names of all files, sorted. */
   list(): Promise<string[]>;
@@ -56,7 +55,7 @@
 /** One message of the internal protocol: exactly one field is set. */
 export type MessageBody = whinyoke.IBody;
 
-/** Answers a request of another process; a rejected promise drops the request without an answer. */
+/** Answers a request of another process; if the promise is rejected, no answer is sent. */
 export type RequestHandler = (body: MessageBody, from: string) => Promise<MessageBody>;
 
 /** Request and response messages between processes of the system. */
@@ -64,9 +63,9 @@
   /**
    * Sends a request and resolves with its answer.
    * @param address - `host:port` of the peer
-   * @param timeoutMs - how long to wait for the answer, in milliseconds
-   * @param lane - requests of different lanes share no connection, so none waits behind a lost packet of another
-   * @throws PeerUnreachableError when no answer came in time
+   * @param timeoutMs - longest time to wait for the answer
+   * @param lane - requests of different lanes use separate connections, so a lost packet in one lane does not delay another
+   * @throws PeerUnreachableError when no answer arrives in time or the connection fails
    */
   request(
     address: string,
@@ -78,7 +77,7 @@
   serve(handler: RequestHandler): void;
 }
 
-/** Everything a process needs from the outside world. */
+/** The outside world as one process uses it. */
 export interface Runtime {
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/runtime/shared_key_handshake.ts
+++ b/src/runtime/shared_key_handshake.ts
@@ -1,7 +1,7 @@
 /**
- * Mutual proof of a shared key at the start of an internal connection (challenge and response with
- * HMAC-SHA-256, RFC 2104). The bytes that follow are not encrypted. Owns nothing; relies on the peer, which may answer
- * wrongly or not at all: the promise is rejected then.
+ * Mutual authentication with a shared key at the start of an internal connection (challenge and response with
+ * HMAC-SHA-256, RFC 2104). The data that follows is neither encrypted nor authenticated. If the peer sends a wrong proof
+ * or does not answer in time, the promise is rejected.
  */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import type { Socket } from 'node:net';
@@ -11,9 +11,9 @@
 /** Key that all processes of a deployment share. */
 export type SharedKey = Buffer;
 
-/** Length of a challenge, in bytes: too long to come twice. */
+/** Size of a random challenge; large enough that no value repeats. */
 const NONCE_BYTES = 16;
-/** Time for each message of the peer, in milliseconds. Guess, not measured. */
+/** Time limit for each handshake message of the peer. */
 const HANDSHAKE_TIMEOUT_MS = 2000;
 const CLIENT_ROLE = 'client';
 const SERVER_ROLE = 'server';
@@ -54,7 +54,7 @@
   });
 }
 
-/** Client side; resolves once both sides proved the key. */
+/** Runs the client's side; resolves after the server has proved that it knows the key. */
 export async function introduceSelf(
   socket: Socket,
   reader: FrameReader,
@@ -67,7 +67,7 @@
   checkProof(await nextFrame(socket, reader), proof(key, SERVER_ROLE, nonces));
 }
 
-/** Server side; resolves once both sides proved the key. */
+/** Runs the server's side; resolves after the client has proved that it knows the key and the server's proof is written. */
 export async function acceptPeer(
   socket: Socket,
   reader: FrameReader,
--- a/src/runtime/socket_acceptor.ts
+++ b/src/runtime/socket_acceptor.ts
@@ -1,15 +1,14 @@
 /**
- * Accepts connections before the code that serves them is loaded: a process that starts again is reachable at
- * once, and its first callers wait for it in place of being refused. Loads little, so that it can be loaded first. Owns the
- * listener and the connections that wait; relies on the address being free, without which `open` is rejected.
+ * Accepts connections before the code that serves them is loaded, so that clients that connect while a process restarts
+ * wait instead of being refused. The module has few imports because it is loaded before the rest of the program.
  */
 import { type Server, type Socket, createServer } from 'node:net';
 import { splitAddress } from './address.js';
 
-/** Connections that may wait to be accepted. Guess, not measured. */
+/** Length of the operating system's queue of connections that are not accepted yet. */
 const BACKLOG = 1024;
 
-/** Listener at one address; connections are held, unread, until there is a handler. */
+/** Listener on one address; connections stay open and unread until a handler is set. */
 export class SocketAcceptor {
   private readonly held = new Set<Socket>();
   private handler: ((socket: Socket) => void) | undefined;
@@ -19,8 +18,8 @@
   }
 
   /**
-   * Listens at `address`, an IP address and port.
-   * @throws Error of the system when it can't
+   * Listens on `address`, an IP address and port.
+   * @throws the operating system's error, for example when the address is in use
    */
   static async open(address: string): Promise<SocketAcceptor> {
     const server = createServer({ pauseOnConnect: true });
@@ -33,13 +32,13 @@
     return acceptor;
   }
 
-  /** Address of the listener, with the port that was given to it. */
+  /** Address of the listener, with the port that the operating system assigned. */
   get address(): string {
     const address = this.server.address();
     return typeof address === 'object' && address ? `${address.address}:${address.port}` : '';
   }
 
-  /** Hands over the connections that were held, and all later ones as they come. */
+  /** Sets the handler; it receives the waiting connections at once and later ones when they arrive. */
   serve(handler: (socket: Socket) => void): void {
     this.handler = handler;
     for (const socket of this.held) {
@@ -49,7 +48,7 @@
     this.held.clear();
   }
 
-  /** Stops to listen; connections that were handed over stay open. */
+  /** Stops listening and closes waiting connections; those passed to the handler stay open. */
   close(): void {
     this.server.close();
     for (const socket of this.held) socket.destroy();
@@ -62,7 +61,7 @@
       return;
     }
     this.held.add(socket);
-    // A caller that leaves before it was read has sent nothing that could be lost.
+    // The error needs no report: nothing that the client sent has been read yet.
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.held.delete(socket));
   }
--- a/src/runtime/stall_detector.ts
+++ b/src/runtime/stall_detector.ts
@@ -1,15 +1,15 @@
 /**
- * Notices that this process made no progress for a while: it was frozen, or its machine was suspended. What
- * it learned before is then older than it seems. Owns one timer; relies on the clock only.
+ * Detects that this process did not run for a while, for example because it was stopped or its machine was suspended.
+ * State received before a stall may be out of date although its age seems within limits. A periodic timer that fires too
+ * late marks a stall.
  */
 import type { Clock, Timer } from './runtime.js';
 
-/** Time between two looks at the clock, in milliseconds. Guess, not measured. */
 const TICK_MS = 100;
-/** Progress that is later than this counts as a stall, in milliseconds. Guess, not measured. */
+/** Delay of the periodic timer above which the process counts as stalled. */
 const STALL_MS = 400;
 
-/** Detector of one process. */
+/** Stall detector of one process; detects nothing until `start`. */
 export class StallDetector {
   private lastTick: number;
   private lastStall = -Infinity;
@@ -19,19 +19,17 @@
     this.lastTick = clock.now();
   }
 
-  /** Starts to watch. */
   start(): void {
     this.lastTick = this.clock.now();
     this.schedule();
   }
 
-  /** Stops to watch. */
   stop(): void {
     this.timer?.cancel();
     this.timer = undefined;
   }
 
-  /** Whether the process stalled after a reading of its clock, or has just come out of a stall. */
+  /** Whether a stall ended at or after `reading` of the clock, including one that the timer has not reported yet. */
   hasStalledSince(reading: number): boolean {
     this.noteStall();
     return this.lastStall >= reading;
--- a/src/runtime/tcp_messenger.ts
+++ b/src/runtime/tcp_messenger.ts
@@ -1,12 +1,9 @@
 /**
  * Request and response messages over TCP, optionally inside TLS.
  *
- * Frame: 32-bit big-endian length, then one encoded Envelope. Where a deployment has a shared key, each side
- * proves before its first frame that it knows the key: the server sends a random challenge, the client
- * answers with an HMAC of it (see `shared_key_handshake.ts`).
- *
- * Owns the listener and one connection an address and lane. Peers and the network to them may fail: requests are rejected
- * then, with whether they were sent.
+ * A frame is a 32-bit big-endian length and one encoded Envelope. In a deployment with a shared key, both sides prove
+ * that they know it before the first request (see `shared_key_handshake.ts`). Requests to the same address and lane use
+ * one connection. When a peer or the network fails, requests are rejected with an error that says whether they were sent.
  */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import { PeerUnreachableError, messageOf } from '../errors/errors.js';
@@ -17,7 +14,6 @@
 import type { MessageBody, Messenger, RequestHandler } from './runtime.js';
 import { type SharedKey, acceptPeer, introduceSelf } from './shared_key_handshake.js';
 
-/** A request whose answer is awaited. */
 interface PendingRequest {
   resolve(body: MessageBody): void;
   reject(error: Error): void;
@@ -29,29 +25,27 @@
 interface TcpMessengerOptions {
   /** IP address to listen on. */
   readonly host: string;
-  /** TCP port to listen on; 0 takes any free port. */
+  /** TCP port to listen on; 0 selects any free port. */
   readonly port: number;
-  /** Key that all processes of a deployment share; without it, every peer is trusted. */
+  /** Key that all processes of a deployment share; if undefined, every peer is trusted. */
   readonly sharedKey: SharedKey | undefined;
   /**
-   * A connection that is not open by then is given up, in milliseconds; 1000 by default. More than a round trip.
-   * A system sends a lost opening packet again after a second, so a machine whose power has just come back is
-   * found sooner by a new connection.
+   * Time limit for opening a connection; 1000 by default, and it must exceed a round trip. Operating systems resend a
+   * lost SYN packet after a second, so a new connection reaches a machine that has just started sooner.
    */
   readonly connectTimeoutMs?: number;
 }
 
-/** Time to open a connection where the options name none, in milliseconds. Guess, not measured. */
 const DEFAULT_CONNECT_TIMEOUT_MS = 1000;
 
-/** One outgoing connection, reused by all requests to the same address. */
+/** One outgoing connection, reused by all requests to the same address and lane. */
 class PeerConnection {
   private readonly pending = new Map<number, PendingRequest>();
   private readonly ready: Promise<Socket>;
   private nextId = 1;
   private framesReceived = 0;
   private socket: Socket | undefined;
-  /** Whether no request can be sent any more. */
+  /** Whether the connection has failed or was closed and accepts no more requests. */
   closed = false;
 
   constructor(
@@ -73,7 +67,7 @@
         this.pending.delete(id);
         const text = `no answer from ${this.address} within ${timeoutMs} ms`;
         reject(new PeerUnreachableError(text, { sent: pending.wasSent }));
-        // Nothing at all came meanwhile: the peer may be gone without a sign, so a new connection is due.
+        // Nothing was received since the request: the peer may be gone without a RST or FIN. The next request reconnects.
         if (this.framesReceived === heardBefore) this.close();
       }, timeoutMs);
       const pending: PendingRequest = { resolve, reject, timeout, wasSent: false };
@@ -81,20 +75,20 @@
       const envelope: Envelope = { id, reply: false, from: this.from, body };
       this.ready.then(
         (socket) => {
-          // One that was given up while the connection was being opened is not sent any more.
+          // A request that timed out while the connection was being opened is not sent.
           if (!this.pending.has(id)) return;
           pending.wasSent = true;
           const bytes = frame(encodeEnvelope(envelope));
           this.traffic.note('sent', body, bytes.length);
           socket.write(bytes);
         },
-        // `fail` has rejected the request: the constructor listens to the same promise.
+        // The constructor's handler of the same promise has already rejected the request through `fail`.
         () => undefined,
       );
     });
   }
 
-  /** Ends the connection and all requests on it. */
+  /** Closes the connection and rejects all pending requests. */
   close(): void {
     this.socket?.destroy();
     this.fail('closed');
@@ -141,7 +135,7 @@
 
 /** Messenger over TCP. */
 export class TcpMessenger implements Messenger {
-  /** What this process sent and received. */
+  /** Counts of the messages that this process sent and received. */
   readonly traffic = new MessageTraffic();
   /** Connections by address and lane. */
   private readonly peers = new Map<string, PeerConnection>();
@@ -150,8 +144,8 @@
   private localAddress = '';
   private setHandler: (handler: RequestHandler) => void = () => undefined;
   /**
-   * Requests that come before the process can serve them wait for this: their senders do not ask again soon, since the
-   * connection is open.
+   * Resolves when `serve` is called. Requests that arrive earlier wait for it, because a sender whose connection is open
+   * does not retry soon.
    */
   private readonly handler = new Promise<RequestHandler>((resolve) => {
     this.setHandler = resolve;
@@ -159,7 +153,7 @@
 
   constructor(private readonly options: TcpMessengerOptions) {}
 
-  /** Starts listening; resolves with the address others reach this process at. */
+  /** Starts listening; resolves with the address at which other processes reach this one. */
   async listen(): Promise<string> {
     const server = createServer((socket) => void this.accept(socket));
     this.server = server;
@@ -184,7 +178,7 @@
     return peer.request(body, timeoutMs);
   }
 
-  /** Sets the handler for requests of other processes; requests that came before are answered now. */
+  /** Sets the handler for requests of other processes; requests that arrived earlier are answered now. */
   serve(handler: RequestHandler): void {
     this.setHandler(handler);
   }
@@ -200,15 +194,14 @@
   private async accept(socket: Socket): Promise<void> {
     this.incoming.add(socket);
     socket.setNoDelay(true);
-    // The peer that broke the connection, or lost it, finds its requests rejected and logs them.
+    // Not logged here: the peer's requests are rejected, and the peer logs them.
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.incoming.delete(socket));
     const reader = new FrameReader();
     try {
       if (this.options.sharedKey) await acceptPeer(socket, reader, this.options.sharedKey);
     } catch {
-      // A peer with a wrong key sees the closed connection and logs its failed request. A line here would let a stranger
-      // fill the log.
+      // Not logged: an unauthenticated client could fill the log. A peer with a wrong key logs its failed requests.
       socket.destroy();
       return;
     }
@@ -227,8 +220,8 @@
       this.traffic.note('sent', body, written.length);
       socket.write(written);
     } catch (error) {
-      // A handler that rejects drops the request: its sender gets no answer, and logs that. Undecodable bytes end the
-      // connection.
+      // If the handler rejects, no answer is sent, and the sender logs that. RangeError and TypeError are taken as
+      // undecodable input and close the connection.
       if (error instanceof RangeError || error instanceof TypeError) socket.destroy();
     }
   }
--- a/src/runtime/timed_waiters.ts
+++ b/src/runtime/timed_waiters.ts
@@ -1,13 +1,12 @@
-/** Callers that wait for the same thing to happen, each for a limited time. Owns their timers; relies on the clock only. */
+/** Lets callers wait for a common event, each with its own timeout. */
 import type { Clock } from './runtime.js';
 
-/** Set of waiters. */
 export class TimedWaiters {
   private readonly waiters = new Set<() => void>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Resolves when all are woken, after `maximumWaitMs` at the latest. */
+  /** Resolves at the next `wakeAll`, or after `maximumWaitMs` milliseconds. */
   wait(maximumWaitMs: number): Promise<void> {
     if (maximumWaitMs <= 0) return Promise.resolve();
     return new Promise((resolve) => {
@@ -21,7 +20,7 @@
     });
   }
 
-  /** Ends all waits. */
+  /** Resolves all waits. */
   wakeAll(): void {
     for (const finish of this.waiters) finish();
   }
