--- a/src/storage/record_file.ts
+++ b/src/storage/record_file.ts
@@ -1,12 +1,9 @@
 /**
  * An append-only file of checksummed records.
  *
- * Record: 32-bit length, CRC-32 of the payload, payload; both integers big-endian. After a crash the
- * file may end in a torn record, which recovery cuts off. A bad record that is followed by a good one
- * can't come from a crash: recovery refuses the file.
- *
- * Owns the file and its length. Relies on the disk, which may refuse a write: what a failed write left is cut off before the
- * next one.
+ * A record is a 32-bit length, the CRC-32 of the payload, and the payload; both integers are big-endian. After a crash the
+ * file may end in an incomplete record, which recovery truncates. An invalid record before a valid one can't result from a
+ * crash, so recovery rejects the file as corrupt. Bytes left behind by a failed write are truncated before the next write.
  */
 import { crc32 } from 'node:zlib';
 import { StorageCorruptionError } from '../errors/errors.js';
@@ -14,18 +11,17 @@
 
 /** Bytes in front of each record's payload. */
 export const RECORD_HEADER_BYTES = 8;
-/** A longer length in a header is damage, not a record. A guess, not measured. */
+/** Longest payload; a greater length in a header marks the record as invalid. */
 const MAXIMUM_RECORD_BYTES = 64 * 1024 * 1024;
 
 /** A record and the offset of the byte after it. */
 export interface StoredRecord {
-  /** Content without its header. */
   readonly payload: Buffer;
   /** Offset of the byte after the record. */
   readonly end: number;
 }
 
-/** Bytes of one record. */
+/** Encodes a payload as a record. */
 export function encodeRecord(payload: Uint8Array): Buffer {
   const bytes = Buffer.allocUnsafe(RECORD_HEADER_BYTES + payload.length);
   bytes.writeUInt32BE(payload.length, 0);
@@ -34,6 +30,7 @@
   return bytes;
 }
 
+/** Reads the record at `offset`; undefined if it is incomplete or invalid. */
 function recordAt(bytes: Buffer, offset: number): StoredRecord | undefined {
   if (offset + RECORD_HEADER_BYTES > bytes.length) return undefined;
   const length = bytes.readUInt32BE(offset);
@@ -44,7 +41,7 @@
   return { payload, end };
 }
 
-/** Whether any good, non-empty record starts after `offset`. */
+/** Whether a valid, non-empty record starts after `offset`. */
 function goodRecordAfter(bytes: Buffer, offset: number): boolean {
   for (let candidate = offset + 1; candidate + RECORD_HEADER_BYTES < bytes.length; candidate++) {
     const record = recordAt(bytes, candidate);
@@ -53,7 +50,10 @@
   return false;
 }
 
-/** Reads records up to the first bad one; throws when that one can't be a torn tail. */
+/**
+ * Decodes records up to the first invalid one.
+ * @throws StorageCorruptionError when a valid record follows the invalid one
+ */
 export function decodeRecords(bytes: Buffer, fileName: string): StoredRecord[] {
   const records: StoredRecord[] = [];
   let offset = 0;
@@ -73,19 +73,20 @@
   return records;
 }
 
+/** Encoded records of one `append` that are not yet durable. */
 interface WaitingAppend {
   readonly bytes: Buffer;
   resolve(): void;
   reject(error: unknown): void;
 }
 
-/** One file of records, opened for appending. Concurrent appends share one fsync. */
+/** One file of records, open for appending. Concurrent appends share one fsync. */
 export class RecordFile {
   private waiting: WaitingAppend[] = [];
   private flushing = false;
   private length = 0;
   private durableLength = 0;
-  /** Whether a failed append may have left bytes behind the last durable record. */
+  /** Whether a failed append may have left bytes after the last durable record. */
   private hasRemains = false;
 
   private constructor(
@@ -93,7 +94,10 @@
     readonly name: string,
   ) {}
 
-  /** Opens the file, cuts a torn tail and returns its records. */
+  /**
+   * Opens the file, truncates an incomplete record at its end and returns its records.
+   * @throws StorageCorruptionError when the file is damaged elsewhere
+   */
   static async open(
     folder: DataFolder,
     name: string,
@@ -107,12 +111,15 @@
     return { file, records };
   }
 
-  /** Bytes in the file, counting appends that are still under way. */
+  /** Size of the file in bytes, including appends in flight. */
   get byteLength(): number {
     return this.length;
   }
 
-  /** Appends records; resolves once all of them are durable. When it rejects, the file holds none of them. */
+  /**
+   * Appends records; resolves after all are durable. If it rejects, none of them counts as appended: bytes left in the
+   * file are truncated before the next write.
+   */
   append(payloads: readonly Uint8Array[]): Promise<void> {
     const bytes = Buffer.concat(payloads.map(encodeRecord));
     this.length += bytes.length;
@@ -122,7 +129,7 @@
     });
   }
 
-  /** Durably cuts the file after `length` bytes. No append may be under way. */
+  /** Durably truncates the file to `length` bytes. No append may be in flight. */
   async truncate(length: number): Promise<void> {
     await this.folder.truncate(this.name, length);
     this.length = length;
@@ -154,7 +161,7 @@
     this.durableLength += bytes.length;
   }
 
-  /** Records that wait behind a failed one would leave a gap, so they fail with it. */
+  /** Rejects the failed appends and all queued ones, which would otherwise leave a gap in the sequence of records. */
   private fail(appends: readonly WaitingAppend[], error: unknown): void {
     this.length = this.durableLength;
     for (const append of appends) append.reject(error);
