--- a/src/hashing/rendezvous.ts
+++ b/src/hashing/rendezvous.ts
@@ -1,9 +1,10 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar 1998): an order of nodes for each key that all processes
- * agree on, and that changes little when nodes come and go. Owns the orders of the keys in use; pure, nothing can fail.
+ * Rendezvous hashing (Thaler and Ravishankar 1998). Each key ranks the nodes by a hash of key and node, so processes with
+ * the same set of nodes compute the same ranking without communication. Adding or removing a node does not change the
+ * relative order of the others.
  */
 
-/** Hash of a text; the same in all processes that share keys. */
+/** Hash function for texts. All processes that must agree on a ranking must use the same one. */
 export type TextHash = (text: string) => bigint;
 
 interface WeightedNode {
@@ -11,29 +12,29 @@
   readonly weight: bigint;
 }
 
-/** Heavier nodes come first. */
+/** Orders nodes by descending weight, then by name. */
 function compareNodes(left: WeightedNode, right: WeightedNode): number {
   if (left.weight !== right.weight) return left.weight > right.weight ? -1 : 1;
   return left.node < right.node ? -1 : 1;
 }
 
 /**
- * The heaviest nodes of many keys, kept while nodes come and go: a new node costs one hash for each key, a
- * lost one a new order for the few keys that it was among the heaviest of.
+ * Caches the highest-ranked nodes of each key. An added node costs one hash per key; a removed node requires a new ranking
+ * only of the keys that had it among their highest-ranked nodes.
  */
 export class RendezvousTable {
   private nodes: ReadonlySet<string> = new Set();
   private readonly heaviest = new Map<string, WeightedNode[]>();
 
   /**
-   * @param count - nodes kept for each key
+   * @param count - number of nodes cached per key
    */
   constructor(
     private readonly count: number,
     private readonly hash: TextHash,
   ) {}
 
-  /** Sets the nodes; returns whether they changed. */
+  /** Replaces the set of nodes; returns whether it changed. */
   setNodes(nodes: ReadonlySet<string>): boolean {
     const added = [...nodes].filter((node) => !this.nodes.has(node));
     const removed = [...this.nodes].filter((node) => !nodes.has(node));
@@ -46,7 +47,7 @@
     return true;
   }
 
-  /** At most `count` nodes of a key, heaviest first. */
+  /** The highest-ranked nodes of a key, at most `count`, best first. */
   top(key: string): readonly string[] {
     let kept = this.heaviest.get(key);
     if (!kept) {
@@ -57,7 +58,7 @@
     return kept.map((item) => item.node);
   }
 
-  /** Forgets keys that are not used any more. */
+  /** Drops the cached rankings of all other keys. */
   retainKeys(keys: ReadonlySet<string>): void {
     for (const key of this.heaviest.keys()) if (!keys.has(key)) this.heaviest.delete(key);
   }
--- a/src/hashing/stable_hash.ts
+++ b/src/hashing/stable_hash.ts
@@ -1,7 +1,9 @@
-/** A hash that costs nothing at the start of a process, for tens of keys now and then; {@link fastHash} serves where there are many. */
+/**
+ * A hash without load time, for a few dozen keys that are hashed rarely. `fastHash` is the choice for many keys.
+ */
 import { createHash } from 'node:crypto';
 import type { TextHash } from './rendezvous.js';
 
-/** First 64 bits of the SHA-1 of a text. */
+/** First 64 bits of a text's SHA-1 digest. */
 export const stableHash: TextHash = (text) =>
   createHash('sha1').update(text).digest().readBigUInt64BE();
--- a/src/positions/position.ts
+++ b/src/positions/position.ts
@@ -1,8 +1,8 @@
 /**
  * Positions in the transaction log of a database group.
  *
- * A position is a pair of term and sequence, ordered first by term. The term rises with each change
- * of primary, the sequence with each transaction. On the wire it is written `term-sequence`.
+ * A position is a term and a sequence number, ordered by term first. Each change of primary increases the term, each
+ * transaction increases the sequence number. The text form is `term-sequence`.
  */
 
 /** A point in a database group's transaction log. */
@@ -11,15 +11,15 @@
   readonly sequence: number;
 }
 
-/** The position before the first transaction. */
+/** Position before the first transaction. */
 export const START: Position = { term: 0, sequence: 0 };
 
-/** A position that a primary told. */
+/** A position that an instance reported as the primary. */
 export interface PrimaryPosition {
-  /** Epoch in which it was the primary. */
+  /** Epoch in which the instance was the primary. */
   readonly epoch: number;
   readonly position: Position;
-  /** When it was asked, at the latest, on the clock of the process that keeps this; in milliseconds. */
+  /** Time by which the position had been requested, in milliseconds of the local process's clock. */
   readonly askedAt: number;
 }
 
@@ -28,7 +28,7 @@
   return left.term - right.term || left.sequence - right.sequence;
 }
 
-/** Whether `held` is at or past `wanted`. */
+/** Whether `held` is at or after `wanted`. */
 export function covers(held: Position, wanted: Position): boolean {
   return comparePositions(held, wanted) >= 0;
 }
@@ -38,14 +38,13 @@
   return covers(left, right) ? left : right;
 }
 
-/** Text form, `term-sequence`. */
 export function formatPosition(position: Position): string {
   return `${position.term}-${position.sequence}`;
 }
 
 const POSITION_PATTERN = /^(\d{1,15})-(\d{1,15})$/;
 
-/** Reads the text form; undefined when it is malformed. */
+/** Parses the text form; undefined if it is malformed. */
 export function parsePosition(text: string): Position | undefined {
   const match = POSITION_PATTERN.exec(text);
   if (!match) return undefined;
