--- a/src/hashing/rendezvous.ts
+++ b/src/hashing/rendezvous.ts
@@ -24,7 +24,7 @@
  */
 export class RendezvousTable {
   private nodes: ReadonlySet<string> = new Set();
-  private readonly heaviest = new Map<string, WeightedNode[]>();
+  private readonly ranked = new Map<string, WeightedNode[]>();
 
   /**
    * @param count - number of nodes cached per key
@@ -40,30 +40,30 @@
     const removed = [...this.nodes].filter((node) => !nodes.has(node));
     this.nodes = nodes;
     if (added.length + removed.length === 0) return false;
-    for (const [key, kept] of this.heaviest) {
-      if (kept.some(({ node }) => removed.includes(node))) this.heaviest.delete(key);
-      else for (const node of added) this.insert(kept, this.weigh(key, node));
+    for (const [key, kept] of this.ranked) {
+      if (kept.some(({ node }) => removed.includes(node))) this.ranked.delete(key);
+      else for (const node of added) this.insert(kept, this.weightedNode(key, node));
     }
     return true;
   }
 
   /** The highest-ranked nodes of a key, at most `count`, best first. */
   top(key: string): readonly string[] {
-    let kept = this.heaviest.get(key);
+    let kept = this.ranked.get(key);
     if (!kept) {
       kept = [];
-      for (const node of this.nodes) this.insert(kept, this.weigh(key, node));
-      this.heaviest.set(key, kept);
+      for (const node of this.nodes) this.insert(kept, this.weightedNode(key, node));
+      this.ranked.set(key, kept);
     }
     return kept.map((item) => item.node);
   }
 
   /** Drops the cached rankings of all other keys. */
   retainKeys(keys: ReadonlySet<string>): void {
-    for (const key of this.heaviest.keys()) if (!keys.has(key)) this.heaviest.delete(key);
+    for (const key of this.ranked.keys()) if (!keys.has(key)) this.ranked.delete(key);
   }
 
-  private weigh(key: string, node: string): WeightedNode {
+  private weightedNode(key: string, node: string): WeightedNode {
     return { node, weight: this.hash(`${key}\n${node}`) };
   }
 
--- a/src/positions/position.ts
+++ b/src/positions/position.ts
@@ -28,9 +28,9 @@
   return left.term - right.term || left.sequence - right.sequence;
 }
 
-/** Whether `held` is at or after `wanted`. */
-export function covers(held: Position, wanted: Position): boolean {
-  return comparePositions(held, wanted) >= 0;
+/** Whether `position` is at or after `minimum`. */
+export function covers(position: Position, minimum: Position): boolean {
+  return comparePositions(position, minimum) >= 0;
 }
 
 /** The later of two positions. */
--- a/src/runtime/address.ts
+++ b/src/runtime/address.ts
@@ -1,12 +1,12 @@
 /** Parses network addresses of the form `host:port`. */
 
-const LARGEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 const ADDRESS_PATTERN = /^[^\s:/]+:(\d{1,5})$/;
 
 /** Whether a text has the form `host:port` with a port from 1 to 65535. */
 export function isAddress(text: string): boolean {
   const port = Number(ADDRESS_PATTERN.exec(text)?.[1] ?? 0);
-  return port > 0 && port <= LARGEST_PORT;
+  return port > 0 && port <= MAX_PORT;
 }
 
 /** Splits an address into host and port without validating it. */
--- a/src/runtime/duration.ts
+++ b/src/runtime/duration.ts
@@ -3,7 +3,7 @@
 export const MILLISECONDS_PER_SECOND = 1000;
 
 /** Longest delay that Node.js timers support; they treat a longer one as 1 ms. */
-const LONGEST_TIMER_MS = 2 ** 31 - 1;
+const MAX_TIMER_MS = 2 ** 31 - 1;
 
 /**
  * Validates a duration received in a message, in milliseconds.
@@ -12,5 +12,5 @@
  */
 export function durationOf(milliseconds: number | null | undefined): number | undefined {
   const duration = milliseconds ?? 0;
-  return duration >= 0 && duration <= LONGEST_TIMER_MS ? duration : undefined;
+  return duration >= 0 && duration <= MAX_TIMER_MS ? duration : undefined;
 }
--- a/src/runtime/frame.ts
+++ b/src/runtime/frame.ts
@@ -7,7 +7,7 @@
 /** Size of the length prefix. */
 export const FRAME_HEADER_BYTES = 4;
 
-const MAXIMUM_FRAME_BYTES = 32 * 1024 * 1024;
+const MAX_FRAME_BYTES = 32 * 1024 * 1024;
 
 /** Encodes a payload with its length prefix. */
 export function frame(payload: Uint8Array): Buffer {
@@ -57,8 +57,8 @@
     if (this.buffered < FRAME_HEADER_BYTES) return undefined;
     const bytes = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
     const length = bytes.readUInt32BE(0);
-    if (length > MAXIMUM_FRAME_BYTES)
-      throw new RangeError(`frame of ${length} bytes exceeds the limit of ${MAXIMUM_FRAME_BYTES}`);
+    if (length > MAX_FRAME_BYTES)
+      throw new RangeError(`frame of ${length} bytes exceeds the limit of ${MAX_FRAME_BYTES}`);
     const end = FRAME_HEADER_BYTES + length;
     const complete = bytes.length >= end;
     this.chunks = [complete ? bytes.subarray(end) : bytes];
--- a/src/runtime/socket_acceptor.ts
+++ b/src/runtime/socket_acceptor.ts
@@ -10,7 +10,7 @@
 
 /** Listener on one address; connections stay open and unread until a handler is set. */
 export class SocketAcceptor {
-  private readonly held = new Set<Socket>();
+  private readonly waiting = new Set<Socket>();
   private handler: ((socket: Socket) => void) | undefined;
 
   private constructor(private readonly server: Server) {
@@ -41,18 +41,18 @@
   /** Sets the handler; it receives the waiting connections at once and later ones when they arrive. */
   serve(handler: (socket: Socket) => void): void {
     this.handler = handler;
-    for (const socket of this.held) {
+    for (const socket of this.waiting) {
       socket.removeAllListeners('error');
       this.handOver(socket);
     }
-    this.held.clear();
+    this.waiting.clear();
   }
 
   /** Stops listening and closes waiting connections; those passed to the handler stay open. */
   close(): void {
     this.server.close();
-    for (const socket of this.held) socket.destroy();
-    this.held.clear();
+    for (const socket of this.waiting) socket.destroy();
+    this.waiting.clear();
   }
 
   private accept(socket: Socket): void {
@@ -60,10 +60,10 @@
       this.handOver(socket);
       return;
     }
-    this.held.add(socket);
+    this.waiting.add(socket);
     // The error needs no report: nothing that the client sent has been read yet.
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.held.delete(socket));
+    socket.on('close', () => this.waiting.delete(socket));
   }
 
   private handOver(socket: Socket): void {
--- a/src/runtime/stall_detector.ts
+++ b/src/runtime/stall_detector.ts
@@ -7,7 +7,7 @@
 
 const TICK_MS = 100;
 /** Delay of the periodic timer above which the process counts as stalled. */
-const STALL_MS = 400;
+const STALL_THRESHOLD_MS = 400;
 
 /** Stall detector of one process; detects nothing until `start`. */
 export class StallDetector {
@@ -31,21 +31,21 @@
 
   /** Whether a stall ended at or after `reading` of the clock, including one that the timer has not reported yet. */
   hasStalledSince(reading: number): boolean {
-    this.noteStall();
+    this.recordStall();
     return this.lastStall >= reading;
   }
 
   private schedule(): void {
     this.timer = this.clock.setTimer(TICK_MS, () => {
-      this.noteStall();
+      this.recordStall();
       this.lastTick = this.clock.now();
       this.schedule();
     });
   }
 
-  private noteStall(): void {
+  private recordStall(): void {
     const now = this.clock.now();
     const isWatching = this.timer !== undefined;
-    if (isWatching && now - this.lastTick > TICK_MS + STALL_MS) this.lastStall = now;
+    if (isWatching && now - this.lastTick > TICK_MS + STALL_THRESHOLD_MS) this.lastStall = now;
   }
 }
--- a/src/runtime/tcp_messenger.ts
+++ b/src/runtime/tcp_messenger.ts
@@ -61,14 +61,14 @@
   /** Sends a request and resolves with its answer. */
   request(body: MessageBody, timeoutMs: number): Promise<MessageBody> {
     const id = this.nextId++;
-    const heardBefore = this.framesReceived;
+    const framesBefore = this.framesReceived;
     return new Promise((resolve, reject) => {
       const timeout = setTimeout(() => {
         this.pending.delete(id);
         const text = `no answer from ${this.address} within ${timeoutMs} ms`;
         reject(new PeerUnreachableError(text, { sent: pending.wasSent }));
         // Nothing was received since the request: the peer may be gone without a RST or FIN. The next request reconnects.
-        if (this.framesReceived === heardBefore) this.close();
+        if (this.framesReceived === framesBefore) this.close();
       }, timeoutMs);
       const pending: PendingRequest = { resolve, reject, timeout, wasSent: false };
       this.pending.set(id, pending);
--- a/src/storage/record_file.ts
+++ b/src/storage/record_file.ts
@@ -12,7 +12,7 @@
 /** Bytes in front of each record's payload. */
 export const RECORD_HEADER_BYTES = 8;
 /** Longest payload; a greater length in a header marks the record as invalid. */
-const MAXIMUM_RECORD_BYTES = 64 * 1024 * 1024;
+const MAX_RECORD_BYTES = 64 * 1024 * 1024;
 
 /** A record and the offset of the byte after it. */
 export interface StoredRecord {
@@ -35,14 +35,14 @@
   if (offset + RECORD_HEADER_BYTES > bytes.length) return undefined;
   const length = bytes.readUInt32BE(offset);
   const end = offset + RECORD_HEADER_BYTES + length;
-  if (length > MAXIMUM_RECORD_BYTES || end > bytes.length) return undefined;
+  if (length > MAX_RECORD_BYTES || end > bytes.length) return undefined;
   const payload = bytes.subarray(offset + RECORD_HEADER_BYTES, end);
   if (crc32(payload) !== bytes.readUInt32BE(offset + 4)) return undefined;
   return { payload, end };
 }
 
 /** Whether a valid, non-empty record starts after `offset`. */
-function goodRecordAfter(bytes: Buffer, offset: number): boolean {
+function hasValidRecordAfter(bytes: Buffer, offset: number): boolean {
   for (let candidate = offset + 1; candidate + RECORD_HEADER_BYTES < bytes.length; candidate++) {
     const record = recordAt(bytes, candidate);
     if (record && record.payload.length > 0) return true;
@@ -60,7 +60,7 @@
   while (offset < bytes.length) {
     const record = recordAt(bytes, offset);
     if (!record) {
-      if (goodRecordAfter(bytes, offset)) {
+      if (hasValidRecordAfter(bytes, offset)) {
         throw new StorageCorruptionError(
           `${fileName}: damaged record at byte ${offset} with good records after it`,
         );
@@ -74,7 +74,7 @@
 }
 
 /** Encoded records of one `append` that are not yet durable. */
-interface WaitingAppend {
+interface PendingAppend {
   readonly bytes: Buffer;
   resolve(): void;
   reject(error: unknown): void;
@@ -82,12 +82,12 @@
 
 /** One file of records, open for appending. Concurrent appends share one fsync. */
 export class RecordFile {
-  private waiting: WaitingAppend[] = [];
+  private pending: PendingAppend[] = [];
   private flushing = false;
   private length = 0;
   private durableLength = 0;
   /** Whether a failed append may have left bytes after the last durable record. */
-  private hasRemains = false;
+  private mayHavePartialWrite = false;
 
   private constructor(
     private readonly folder: DataFolder,
@@ -124,7 +124,7 @@
     const bytes = Buffer.concat(payloads.map(encodeRecord));
     this.length += bytes.length;
     return new Promise((resolve, reject) => {
-      this.waiting.push({ bytes, resolve, reject });
+      this.pending.push({ bytes, resolve, reject });
       if (!this.flushing) void this.flush();
     });
   }
@@ -134,35 +134,35 @@
     await this.folder.truncate(this.name, length);
     this.length = length;
     this.durableLength = length;
-    this.hasRemains = false;
+    this.mayHavePartialWrite = false;
   }
 
   private async flush(): Promise<void> {
     this.flushing = true;
-    while (this.waiting.length > 0) {
-      const batch = this.waiting;
-      this.waiting = [];
+    while (this.pending.length > 0) {
+      const batch = this.pending;
+      this.pending = [];
       try {
         await this.write(Buffer.concat(batch.map((item) => item.bytes)));
         for (const item of batch) item.resolve();
       } catch (error) {
-        this.fail([...batch, ...this.waiting.splice(0)], error);
+        this.fail([...batch, ...this.pending.splice(0)], error);
       }
     }
     this.flushing = false;
   }
 
   private async write(bytes: Buffer): Promise<void> {
-    if (this.hasRemains) await this.folder.truncate(this.name, this.durableLength);
-    this.hasRemains = true;
+    if (this.mayHavePartialWrite) await this.folder.truncate(this.name, this.durableLength);
+    this.mayHavePartialWrite = true;
     await this.folder.append(this.name, bytes);
     await this.folder.sync(this.name);
-    this.hasRemains = false;
+    this.mayHavePartialWrite = false;
     this.durableLength += bytes.length;
   }
 
   /** Rejects the failed appends and all queued ones, which would otherwise leave a gap in the sequence of records. */
-  private fail(appends: readonly WaitingAppend[], error: unknown): void {
+  private fail(appends: readonly PendingAppend[], error: unknown): void {
     this.length = this.durableLength;
     for (const append of appends) append.reject(error);
   }
