--- a/test/unit/compiled_module.test.ts
+++ b/test/unit/compiled_module.test.ts
@@ -1,6 +1,6 @@
 /**
- * Compiled code that is stored beside a bundle is used by the next start. A build that stored it under another name made
- * every start compile anew, which took about a quarter more processor time, and nothing failed.
+ * Guards against a code cache that is written but never used, for example under another file name: every start then
+ * compiles the bundle again, and nothing else fails.
  */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -14,12 +14,12 @@
   double(value: number): number;
 }
 
-void t.test('the second start uses the code that the first one stored', (t) => {
+void t.test('a second load uses the code cache that the first one wrote', (t) => {
   const path = join(t.testdir({}), 'bundle.cjs');
   writeFileSync(path, BUNDLE);
   const first = loadCompiledModule(pathToFileURL(path));
   t.equal((first.exports as Doubling).double(4), 8);
-  t.notOk(first.isCodeReused, 'nothing is stored yet');
+  t.notOk(first.isCodeReused, 'no code cache exists yet');
   t.equal(first.codeFile, `${path}.code`);
   writeFileSync(first.codeFile, first.storeCode());
   const second = loadCompiledModule(pathToFileURL(path));
--- a/test/unit/fault_link.test.ts
+++ b/test/unit/fault_link.test.ts
@@ -1,4 +1,4 @@
-/** The link of the soak: what it holds back, delays and resets. */
+/** Fault link of the soak test: guards against injected faults that have no effect or don't end. */
 import { type Socket, connect, createServer } from 'node:net';
 import t from 'tap';
 import { FaultLink } from '../../lab/fleet/fault_link.js';
@@ -16,7 +16,7 @@
   return new Promise((resolve) => socket.once('data', (bytes) => resolve(bytes.toString())));
 }
 
-void t.test('a link forwards, holds back one direction, delays and resets', async (t) => {
+void t.test('a link forwards, blocks one direction, delays and resets connections', async (t) => {
   const received: string[] = [];
   const server = createServer((socket) => {
     socket.on('error', () => socket.destroy());
@@ -43,16 +43,16 @@
   const late = nextData(client);
   client.write('two');
   await sleep(QUIET_MS);
-  t.same(received, ['one', 'two'], 'requests get through');
+  t.same(received, ['one', 'two'], 'requests are forwarded');
   const isEarly = await Promise.race([late.then(() => true), sleep(0).then(() => false)]);
-  t.notOk(isEarly, 'answers do not');
+  t.notOk(isEarly, 'answers are blocked');
   speakAgain();
-  t.equal(await late, 'answer to two', 'they come afterwards');
+  t.equal(await late, 'answer to two', 'blocked answers are delivered afterwards');
 
   const listenAgain = link.silence(['toServer']);
   client.write('three');
   await sleep(QUIET_MS);
-  t.equal(received.length, 2, 'requests are held back');
+  t.equal(received.length, 2, 'requests are blocked');
   listenAgain();
   t.equal(await nextData(client), 'answer to three');
 
@@ -60,7 +60,7 @@
   const sentAt = performance.now();
   client.write('four');
   t.equal(await nextData(client), 'answer to four');
-  t.ok(performance.now() - sentAt >= 2 * DELAY_MS - 2, 'each way takes longer');
+  t.ok(performance.now() - sentAt >= 2 * DELAY_MS - 2, 'each direction is delayed');
   speedUp();
 
   const closed = new Promise<void>((resolve) => client.once('close', () => resolve()));
--- a/test/unit/message_traffic.test.ts
+++ b/test/unit/message_traffic.test.ts
@@ -1,9 +1,9 @@
-/** Counts of internal messages by kind and direction. */
+/** Message counts: guards against byte counts that differ between sender and receiver. */
 import t from 'tap';
 import { MessageTraffic } from '../../src/runtime/message_traffic.js';
 import { TcpMessenger } from '../../src/runtime/tcp_messenger.js';
 
-void t.test('a request and its answer are counted at both ends, with as many bytes', async (t) => {
+void t.test('both ends count a request and its answer with the same number of bytes', async (t) => {
   const open = (): TcpMessenger =>
     new TcpMessenger({ host: '127.0.0.1', port: 0, sharedKey: undefined });
   const [asking, answering] = [open(), open()];
@@ -24,7 +24,7 @@
   t.equal(byKind.get('syncReply'), received!.bytes);
 });
 
-void t.test('a body without a field is counted, too', (t) => {
+void t.test('a body without a field is counted as kind empty', (t) => {
   const traffic = new MessageTraffic();
   traffic.note('sent', {}, 8);
   traffic.note('sent', {}, 8);
--- a/test/unit/position.test.ts
+++ b/test/unit/position.test.ts
@@ -1,4 +1,6 @@
-/** Positions and session tokens: a total order, and text forms that survive a round trip. */
+/**
+ * Positions and session tokens: guards against an inconsistent order, lossy text forms, and tokens that move backwards.
+ */
 import fc from 'fast-check';
 import t from 'tap';
 import {
@@ -17,13 +19,13 @@
 });
 const groups = fc.constantFrom('appointments', 'payments', 'bookings');
 
-void t.test('the term comes before the sequence', (t) => {
+void t.test('a higher term outranks any sequence number', (t) => {
   t.ok(covers({ term: 2, sequence: 1 }, { term: 1, sequence: 99 }));
   t.notOk(covers({ term: 1, sequence: 99 }, { term: 2, sequence: 1 }));
   t.end();
 });
 
-void t.test('the order is total and the latest covers both', (t) => {
+void t.test('comparison is antisymmetric and the later of two positions covers both', (t) => {
   fc.assert(
     fc.property(positions, positions, (left, right) => {
       const newest = latest(left, right);
@@ -35,7 +37,7 @@
   t.end();
 });
 
-void t.test('text forms survive a round trip', (t) => {
+void t.test('a position survives formatting and parsing, and malformed text is rejected', (t) => {
   fc.assert(
     fc.property(positions, (position) => {
       t.same(parsePosition(formatPosition(position)), position);
@@ -48,7 +50,7 @@
   t.end();
 });
 
-void t.test('a token only ever moves forward, and merges cover both sides', (t) => {
+void t.test('advancing or merging tokens never moves a position backwards', (t) => {
   const steps = fc.array(fc.tuple(groups, positions), { maxLength: 20 });
   fc.assert(
     fc.property(steps, steps, (left, right) => {
@@ -67,7 +69,7 @@
   t.end();
 });
 
-void t.test('a malformed token is refused as a whole', (t) => {
+void t.test('a malformed entry makes the whole token invalid', (t) => {
   t.equal(SessionToken.parse('appointments'), undefined);
   t.equal(SessionToken.parse('appointments:1-2,payments'), undefined);
   t.equal(SessionToken.parse('appointments:x-2'), undefined);
--- a/test/unit/socket_acceptor.test.ts
+++ b/test/unit/socket_acceptor.test.ts
@@ -1,4 +1,4 @@
-/** A listener that is open before there is code to serve its connections. */
+/** Socket acceptor: guards against losing or failing on connections that arrive before the handler is set. */
 import { type Socket, connect } from 'node:net';
 import t from 'tap';
 import { splitAddress } from '../../src/runtime/address.js';
@@ -20,7 +20,7 @@
   return new Promise((resolve) => socket.once('data', (chunk) => resolve(chunk.toString())));
 }
 
-void t.test('what a caller sent before there was a handler is served', async (t) => {
+void t.test('data that a client sends before the handler is set is not lost', async (t) => {
   const acceptor = await SocketAcceptor.open(ANY_PORT);
   const early = await connectTo(acceptor);
   early.write('early');
@@ -33,28 +33,31 @@
   t.equal(await answerOf(late), 'late');
   acceptor.close();
   early.write('again');
-  t.equal(await answerOf(early), 'again', 'connections outlast the listener');
+  t.equal(await answerOf(early), 'again', 'connections stay open when the listener closes');
   early.destroy();
   late.destroy();
 });
 
-void t.test('a caller that leaves before there was a handler is no trouble', async (t) => {
-  const acceptor = await SocketAcceptor.open(ANY_PORT);
-  const leaving = await connectTo(acceptor);
-  leaving.resetAndDestroy();
-  const staying = await connectTo(acceptor);
-  staying.write('here');
-  const answer = answerOf(staying);
-  acceptor.serve((socket) => {
-    socket.on('error', () => socket.destroy());
-    echo(socket);
-  });
-  t.equal(await answer, 'here');
-  staying.destroy();
-  acceptor.close();
-});
+void t.test(
+  'a client that resets its connection before the handler is set affects no other client',
+  async (t) => {
+    const acceptor = await SocketAcceptor.open(ANY_PORT);
+    const leaving = await connectTo(acceptor);
+    leaving.resetAndDestroy();
+    const staying = await connectTo(acceptor);
+    staying.write('here');
+    const answer = answerOf(staying);
+    acceptor.serve((socket) => {
+      socket.on('error', () => socket.destroy());
+      echo(socket);
+    });
+    t.equal(await answer, 'here');
+    staying.destroy();
+    acceptor.close();
+  },
+);
 
-void t.test('connections without a handler end with the listener', async (t) => {
+void t.test('closing the listener closes the connections that have no handler yet', async (t) => {
   const acceptor = await SocketAcceptor.open(ANY_PORT);
   const waiting = await connectTo(acceptor);
   waiting.on('error', () => undefined);
--- a/test/unit/storage.test.ts
+++ b/test/unit/storage.test.ts
@@ -1,4 +1,7 @@
-/** Durable records: what was promised survives any crash, and damage is told from a torn end. */
+/**
+ * Durable records and configuration: guards against losing acknowledged data in a crash, and against taking damage in the
+ * middle of a file for an incomplete write at its end.
+ */
 import fc from 'fast-check';
 import t from 'tap';
 import { Scheduler } from '../../lab/simulation/scheduler.js';
@@ -15,68 +18,65 @@
 
 const NAME = 'records';
 
-/** A disk, and a process on it that can crash. */
+/** A virtual disk with the scheduler and random source of the processes that use it. */
 function machine(seed: number): { scheduler: Scheduler; disk: VirtualDisk; random: SeededRandom } {
   const random = new SeededRandom(seed);
   return { scheduler: new Scheduler(), disk: new VirtualDisk(random, 1), random };
 }
 
-void t.test(
-  'acknowledged records survive crashes, in order, and nothing else appears',
-  async (t) => {
-    const steps = fc.array(
-      fc.oneof(
-        fc.record({ kind: fc.constant('append' as const), size: fc.nat({ max: 200 }) }),
-        fc.record({ kind: fc.constant('crash' as const), afterMs: fc.nat({ max: 4 }) }),
-        fc.record({ kind: fc.constant('wait' as const), afterMs: fc.nat({ max: 6 }) }),
-      ),
-      { maxLength: 25 },
-    );
-    await fc.assert(
-      fc.asyncProperty(steps, fc.nat(), async (commands, seed) => {
-        const { scheduler, disk, random } = machine(seed);
-        let process = new VirtualProcess('host', scheduler, random);
-        const sent: string[] = [];
-        let acknowledged: string[] = [];
-        const open = async (): Promise<RecordFile> => {
-          const opening = RecordFile.open(disk.open(process), NAME);
-          await scheduler.runUntil(scheduler.now + 10);
-          const { file, records } = await opening;
-          const found = records.map((record) => record.payload.toString());
-          // A prefix of what was sent, with everything that was acknowledged.
-          t.ok(found.length >= acknowledged.length);
-          t.same(found, sent.slice(0, found.length));
-          sent.length = found.length;
-          acknowledged = [...found];
-          return file;
-        };
-        let file = await open();
-        for (const command of commands) {
-          if (command.kind === 'append') {
-            const payload = `${sent.length}:${'x'.repeat(command.size)}`;
-            sent.push(payload);
-            const count = sent.length;
-            const opened = process;
-            void file.append([Buffer.from(payload)]).then(() => {
-              if (opened === process) acknowledged = sent.slice(0, count);
-            });
-            continue;
-          }
-          await scheduler.runUntil(scheduler.now + command.afterMs);
-          if (command.kind === 'wait') continue;
-          process.kill();
-          disk.crash();
-          process = new VirtualProcess('host', scheduler, random);
-          file = await open();
+void t.test('a crash loses or reorders no acknowledged record and adds none', async (t) => {
+  const steps = fc.array(
+    fc.oneof(
+      fc.record({ kind: fc.constant('append' as const), size: fc.nat({ max: 200 }) }),
+      fc.record({ kind: fc.constant('crash' as const), afterMs: fc.nat({ max: 4 }) }),
+      fc.record({ kind: fc.constant('wait' as const), afterMs: fc.nat({ max: 6 }) }),
+    ),
+    { maxLength: 25 },
+  );
+  await fc.assert(
+    fc.asyncProperty(steps, fc.nat(), async (commands, seed) => {
+      const { scheduler, disk, random } = machine(seed);
+      let process = new VirtualProcess('host', scheduler, random);
+      const sent: string[] = [];
+      let acknowledged: string[] = [];
+      const open = async (): Promise<RecordFile> => {
+        const opening = RecordFile.open(disk.open(process), NAME);
+        await scheduler.runUntil(scheduler.now + 10);
+        const { file, records } = await opening;
+        const found = records.map((record) => record.payload.toString());
+        // The file holds a prefix of the appended records that includes every acknowledged one.
+        t.ok(found.length >= acknowledged.length);
+        t.same(found, sent.slice(0, found.length));
+        sent.length = found.length;
+        acknowledged = [...found];
+        return file;
+      };
+      let file = await open();
+      for (const command of commands) {
+        if (command.kind === 'append') {
+          const payload = `${sent.length}:${'x'.repeat(command.size)}`;
+          sent.push(payload);
+          const count = sent.length;
+          const opened = process;
+          void file.append([Buffer.from(payload)]).then(() => {
+            if (opened === process) acknowledged = sent.slice(0, count);
+          });
+          continue;
         }
-      }),
-      { seed: 4, numRuns: 150 },
-    );
-  },
-);
+        await scheduler.runUntil(scheduler.now + command.afterMs);
+        if (command.kind === 'wait') continue;
+        process.kill();
+        disk.crash();
+        process = new VirtualProcess('host', scheduler, random);
+        file = await open();
+      }
+    }),
+    { seed: 4, numRuns: 150 },
+  );
+});
 
 void t.test(
-  'a proxy comes back with the configuration it had in force, after any crash',
+  'a proxy that restarts after a crash never loads a configuration older than the one in force',
   async (t) => {
     const steps = fc.array(
       fc.record({
@@ -102,7 +102,10 @@
           const loading = keeper.load();
           await scheduler.runUntil(scheduler.now + 20);
           await loading;
-          t.ok(keeper.revision >= inForce, 'never older than what was in force');
+          t.ok(
+            keeper.revision >= inForce,
+            'the loaded configuration is not older than the one in force',
+          );
           const content = shown.documents.map((item) => [item.name, item.revision]);
           const isShown = keeper.revision === 0 || shown.revision === keeper.revision;
           t.ok(isShown);
@@ -143,7 +146,7 @@
   },
 );
 
-void t.test('a torn end is cut off, damage in the middle is refused', (t) => {
+void t.test('an incomplete record at the end is dropped, damage in the middle is rejected', (t) => {
   const records = ['first', 'second', 'third'].map((text) => encodeRecord(Buffer.from(text)));
   const whole = Buffer.concat(records);
   for (let length = 0; length < whole.length; length++) {
