--- a/test/unit/fault_link.test.ts
+++ b/test/unit/fault_link.test.ts
@@ -5,7 +5,7 @@
 import { splitAddress } from '../../src/runtime/address.js';
 
 const HOST = '127.0.0.1';
-const QUIET_MS = 60;
+const BLOCKED_MS = 60;
 const DELAY_MS = 50;
 
 function sleep(durationMs: number): Promise<void> {
@@ -28,40 +28,40 @@
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
   const address = server.address();
   const port = typeof address === 'object' && address ? address.port : 0;
-  const place = `${HOST}:${port + 1}`;
-  const link = await FaultLink.open(place, `${HOST}:${port}`);
+  const linkAddress = `${HOST}:${port + 1}`;
+  const link = await FaultLink.open(linkAddress, `${HOST}:${port}`);
   t.teardown(async () => {
     await link.close();
     server.close();
   });
-  const client = connect(splitAddress(place));
+  const client = connect(splitAddress(linkAddress));
   client.on('error', () => client.destroy());
   client.write('one');
   t.equal(await nextData(client), 'answer to one');
 
-  const speakAgain = link.silence(['toClient']);
+  const unblockAnswers = link.silence(['toClient']);
   const late = nextData(client);
   client.write('two');
-  await sleep(QUIET_MS);
+  await sleep(BLOCKED_MS);
   t.same(received, ['one', 'two'], 'requests are forwarded');
   const isEarly = await Promise.race([late.then(() => true), sleep(0).then(() => false)]);
   t.notOk(isEarly, 'answers are blocked');
-  speakAgain();
+  unblockAnswers();
   t.equal(await late, 'answer to two', 'blocked answers are delivered afterwards');
 
-  const listenAgain = link.silence(['toServer']);
+  const unblockRequests = link.silence(['toServer']);
   client.write('three');
-  await sleep(QUIET_MS);
+  await sleep(BLOCKED_MS);
   t.equal(received.length, 2, 'requests are blocked');
-  listenAgain();
+  unblockRequests();
   t.equal(await nextData(client), 'answer to three');
 
-  const speedUp = link.slowDown(DELAY_MS);
+  const endDelay = link.slowDown(DELAY_MS);
   const sentAt = performance.now();
   client.write('four');
   t.equal(await nextData(client), 'answer to four');
   t.ok(performance.now() - sentAt >= 2 * DELAY_MS - 2, 'each direction is delayed');
-  speedUp();
+  endDelay();
 
   const closed = new Promise<void>((resolve) => client.once('close', () => resolve()));
   link.resetAll();
--- a/test/unit/message_traffic.test.ts
+++ b/test/unit/message_traffic.test.ts
@@ -6,20 +6,18 @@
 void t.test('both ends count a request and its answer with the same number of bytes', async (t) => {
   const open = (): TcpMessenger =>
     new TcpMessenger({ host: '127.0.0.1', port: 0, sharedKey: undefined });
-  const [asking, answering] = [open(), open()];
-  t.teardown(() => Promise.all([asking.close(), answering.close()]));
-  await asking.listen();
-  const address = await answering.listen();
-  answering.serve(() =>
-    Promise.resolve({ syncReply: { accepted: true, update: Buffer.alloc(90) } }),
-  );
-  await asking.request(address, { syncRequest: { waitMs: 5 } }, 1000);
-  const sent = asking.traffic.all.find(({ direction }) => direction === 'sent');
-  const received = asking.traffic.all.find(({ direction }) => direction === 'received');
+  const [client, server] = [open(), open()];
+  t.teardown(() => Promise.all([client.close(), server.close()]));
+  await client.listen();
+  const address = await server.listen();
+  server.serve(() => Promise.resolve({ syncReply: { accepted: true, update: Buffer.alloc(90) } }));
+  await client.request(address, { syncRequest: { waitMs: 5 } }, 1000);
+  const sent = client.traffic.all.find(({ direction }) => direction === 'sent');
+  const received = client.traffic.all.find(({ direction }) => direction === 'received');
   t.match(sent, { kind: 'syncRequest', messages: 1 });
   t.match(received, { kind: 'syncReply', messages: 1 });
   t.ok(received!.bytes > 94 && received!.bytes < 200);
-  const byKind = new Map(answering.traffic.all.map(({ kind, bytes }) => [kind, bytes]));
+  const byKind = new Map(server.traffic.all.map(({ kind, bytes }) => [kind, bytes]));
   t.equal(byKind.get('syncRequest'), sent!.bytes);
   t.equal(byKind.get('syncReply'), received!.bytes);
 });
