--- a/src/observability/bounded_output.ts
+++ b/src/observability/bounded_output.ts
@@ -1,15 +1,14 @@
 /**
- * Standard output that never holds up the process: lines are written in the background, one write at a
- * time, and dropped while too many wait. A reader that stops reading loses lines, not requests. Owns the lines that wait;
- * relies on the reader of standard output, which may stop reading or be gone.
+ * Non-blocking standard output with a bounded buffer. Lines are written asynchronously, one write at a time, and dropped
+ * while the buffer is full, so that a log reader that stops reading costs log lines but never delays requests.
  */
 import { write } from 'node:fs';
 
 /** File descriptor of standard output. */
 const STANDARD_OUTPUT = 1;
-/** Bytes that may wait: the lines of a few seconds. Guess, not measured. */
+/** Maximum size of the buffer, in bytes. */
 const MAXIMUM_WAITING_BYTES = 256 * 1024;
-/** Pause before a full pipe is written to again, in milliseconds. Guess, not measured. */
+/** Delay before the next write to a full pipe, in milliseconds. */
 const RETRY_MS = 50;
 
 /** Writes bytes to a file descriptor; calls back with the number of bytes written. */
@@ -31,12 +30,12 @@
     private readonly maximumBytes = MAXIMUM_WAITING_BYTES,
   ) {}
 
-  /** Lines that were dropped since the start. */
+  /** Number of lines dropped since the process started. */
   get droppedLines(): number {
     return this.dropped;
   }
 
-  /** Takes a line. */
+  /** Queues a line, or drops it if the buffer is full. */
   write(line: string): void {
     const bytes = Buffer.from(line, 'utf8');
     if (this.waitingBytes + bytes.length > this.maximumBytes) {
@@ -58,7 +57,7 @@
       const isFull = error?.code === 'EAGAIN';
       const rest = isFull ? bytes : bytes.subarray(written);
       this.waitingBytes -= bytes.length - (error && !isFull ? 0 : rest.length);
-      // Nobody can read a line about an output that is gone; later lines are tried again.
+      // The output is closed, so the error cannot be logged. The next line triggers another write.
       if (error && !isFull) return;
       if (rest.length > 0) this.waiting.unshift(rest);
       if (isFull) setTimeout(() => this.writeNext(), RETRY_MS).unref();
--- a/src/observability/decision_logger.ts
+++ b/src/observability/decision_logger.ts
@@ -1,27 +1,26 @@
 /**
- * Log of decisions with a bounded volume: each kind of event has a budget of lines a second; what is left
- * out is counted, and logged once the budget is there again. Owns the budgets; relies on nothing that may fail.
+ * Rate-limited event log. Each kind of event may write a fixed number of lines per second, which keeps a burst of failures
+ * from flooding the log. Suppressed lines are counted; the next event of that kind in a later interval logs the count.
  */
 import type { Clock } from '../runtime/runtime.js';
 import { type EventKind, Events } from './events.js';
 import type { EventFields, EventLogger } from './logger.js';
 
-/** Length of an interval, in milliseconds. */
 const INTERVAL_MS = 1000;
-/** Lines of one kind of event in an interval: more can't be read. Guess, not measured. */
+/** Maximum number of lines per interval for one kind of event. */
 const LINES_PER_INTERVAL = 20;
 
-/** Writes one line for a decision; the line is left out while the budget of its kind is spent. */
+/** Logs an event, unless its kind has reached the rate limit. */
 export type DecisionLog = (kind: EventKind, fields: EventFields) => void;
 
-/** Lines of one kind of event in the present interval. */
+/** Lines of one kind of event in the current interval. */
 interface Budget {
   intervalStart: number;
   used: number;
   leftOut: number;
 }
 
-/** Logger of one process. */
+/** Rate-limited logger of one process. */
 export class DecisionLogger {
   private readonly budgets = new Map<number, Budget>();
 
@@ -30,7 +29,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Writes one line for a decision, unless the budget of its kind is spent. */
+  /** Logs an event, unless its kind has reached the rate limit. */
   readonly log: DecisionLog = (kind, fields) => {
     const budget = this.budgetOf(kind);
     if (budget.used >= LINES_PER_INTERVAL) {
--- a/src/observability/gauges.ts
+++ b/src/observability/gauges.ts
@@ -1,4 +1,4 @@
-/** Gauges whose value is read when the metrics are fetched. Owns nothing; relies on nothing that may fail. */
+/** Gauges whose value is read each time the metrics are fetched. */
 import { Gauge, type Registry } from 'prom-client';
 
 /** Adds a gauge without labels. */
--- a/src/observability/logger.ts
+++ b/src/observability/logger.ts
@@ -1,16 +1,12 @@
-/**
- * Structured logs through `bunyan`; every line carries the number of its event. Owns the output; relies on its reader, which
- * may stop reading.
- */
+/** Structured JSON logs through `bunyan`. Every line carries the number and the name of its event. */
 import bunyan from 'bunyan';
 import type { EventKind } from './events.js';
 
-/** Fields of a log line. Passwords and keys never belong here. */
+/** Fields of a log line. Must not contain passwords or keys. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Where lines go. */
+/** Destination of log lines. */
 interface LineOutput {
-  /** Takes a line. */
   write(line: string): void;
 }
 
--- a/src/observability/write_catalogue.ts
+++ b/src/observability/write_catalogue.ts
@@ -1,6 +1,6 @@
 /**
- * Writes docs/EVENTS.md from the table of events; with `--check`, fails when the file is out of date. Owns that file; relies
- * on being run in the root folder.
+ * Generates docs/EVENTS.md from the event table; with `--check`, fails if the file is out of date. Must be run in the root
+ * folder of the repository.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { format } from 'prettier';
