--- a/src/daemon/managed_process.ts
+++ b/src/daemon/managed_process.ts
@@ -1,6 +1,6 @@
 /**
- * Logs and runtime of the daemons for groups with appointed primaries. Owns the standard output of the process; relies on
- * its reader, which may stop to read: lines are dropped then, and counted.
+ * Logging, metrics and runtime of the daemons for groups with appointed primaries. Log lines are dropped and counted while
+ * the reader of standard output does not keep up, so that a stalled log reader cannot block the daemon.
  */
 import type { Server } from 'node:http';
 import { Gauge, type Registry } from 'prom-client';
@@ -21,24 +21,24 @@
   readonly id: string;
   /** Address for messages of other processes. */
   readonly internal: string;
-  /** Folder for durable state; a process without one keeps nothing. */
+  /** Folder for durable state; a process without one has no durable state. */
   readonly dataFolder?: string;
 }
 
-/** Runtime and logs of one process. */
+/** Runtime and loggers of one process. */
 export interface ManagedProcess {
   readonly runtime: Runtime;
   readonly logger: EventLogger;
   readonly decisions: DecisionLogger;
-  /** Lines that were dropped since the start, since nobody read them in time. */
+  /** Number of log lines dropped since the start because the output buffer was full. */
   readonly droppedLines: () => number;
-  /** Internal messages since the start. */
+  /** Counts of internal messages since the start. */
   readonly traffic: MessageTraffic;
 }
 
-/** Time to open a connection to a peer, in milliseconds: more than a round trip between regions. Guess, not measured. */
+/** Timeout for opening a connection to a peer, in milliseconds; longer than a round trip between regions. */
 export const PEER_CONNECT_TIMEOUT_MS = 120;
-/** Time between two lines on internal messages, in milliseconds: one line of some hundred bytes. Guess, not measured. */
+/** Interval between log lines on internal messages, in milliseconds. */
 const TRAFFIC_LOG_MS = 10_000;
 const NO_FOLDER_TEXT = 'this process has no data folder';
 
@@ -63,13 +63,13 @@
   return { runtime, logger, decisions, droppedLines: () => output.droppedLines, traffic };
 }
 
-/** Adds the number of log lines that were dropped to the metrics of a process. */
+/** Adds a gauge for the number of dropped log lines. */
 export function addDroppedLines(registry: Registry, droppedLines: () => number): void {
   const help = 'Log lines that were dropped because nobody read them in time';
   addGauge(registry, 'whinyoke_log_lines_dropped', help, droppedLines);
 }
 
-/** Adds internal messages and their bytes, by kind, to the metrics of a process. */
+/** Adds gauges for the number and bytes of internal messages, by kind and direction. */
 export function addMessageTraffic(registry: Registry, traffic: MessageTraffic): void {
   const labelNames = ['kind', 'direction'];
   const messages = new Gauge({
@@ -92,7 +92,7 @@
   });
 }
 
-/** Writes the bytes of internal messages since the start to the log now and then. */
+/** Periodically logs the bytes of internal messages since the start. */
 function logTraffic(traffic: MessageTraffic, logger: EventLogger): void {
   const timer = setInterval(() => {
     const fields = traffic.all.map(({ kind, direction, bytes }): [string, number] => [
@@ -104,7 +104,7 @@
   timer.unref();
 }
 
-/** Starts the metrics endpoint; a process serves on when that can't listen. */
+/** Starts the metrics endpoint. A failure to listen is logged and does not stop the process. */
 export async function openMetrics(
   address: string | undefined,
   source: MetricsSource,
@@ -119,7 +119,7 @@
   }
 }
 
-/** Takes over the control machines of changed settings; logs them, or why the settings can't be taken over. */
+/** Applies the list of control machines from changed settings. Invalid settings are logged and ignored. */
 export function reloadSeeds(
   readSeeds: () => readonly string[],
   logger: EventLogger,
--- a/src/daemon/metrics_server.ts
+++ b/src/daemon/metrics_server.ts
@@ -1,20 +1,16 @@
-/**
- * Metrics, health and readiness over HTTP. Owns the listener; relies on the address being free, without which the promise is
- * rejected.
- */
+/** HTTP endpoint for metrics, health and readiness. */
 import { splitAddress } from '../runtime/address.js';
 import { type Server, createServer } from 'node:http';
 import type { Registry } from 'prom-client';
 
-/** What the endpoint shows. */
+/** Data served by the endpoint. */
 export interface MetricsSource {
-  /** Metrics of the process. */
   readonly registry: Registry;
-  /** Whether the process can do its work now. */
+  /** Whether the process can currently serve requests. */
   readonly isReady: () => boolean;
 }
 
-/** Starts the endpoint: `/metrics`, `/health`, `/ready`. */
+/** Starts the endpoint with `/metrics`, `/health` and `/ready`; rejects if the address cannot be bound. */
 export async function startMetricsServer(address: string, source: MetricsSource): Promise<Server> {
   const server = createServer((request, response) => {
     void (async () => {
--- a/src/daemon/process_runtime.ts
+++ b/src/daemon/process_runtime.ts
@@ -1,13 +1,13 @@
 /**
- * The runtime of the MySQL interface's daemons, from their settings files. Owns nothing; relies on the data folder, the key
- * file and the internal address, without which a process does not start.
+ * Creates the runtime of the MySQL interface's daemons from their settings files. The process does not start if the data
+ * folder or the key file cannot be read or the internal address cannot be bound.
  */
 import { WhinyokeError } from '../errors/errors.js';
 import { RealFolder } from '../runtime/real_folder.js';
 import { readSecret, resolvePath } from '../mysql/configuration/settings.js';
 import { type ProcessRuntime, openRealRuntime } from './real_runtime.js';
 
-/** Settings that every daemon has. */
+/** Settings common to all daemons. */
 interface CommonSettings {
   readonly data_folder: string;
   readonly internal: string;
--- a/src/daemon/real_runtime.ts
+++ b/src/daemon/real_runtime.ts
@@ -1,6 +1,6 @@
 /**
- * The runtime that every daemon is given: real clock, randomness of the system, internal listener, data folder. Owns the
- * listener; relies on the address being free and the folder being there, without which a process does not start.
+ * Production runtime of the daemons: system clock, random numbers seeded by the system, internal listener and data folder.
+ * The process does not start if the address cannot be bound or the folder cannot be opened.
  */
 import { splitAddress } from '../runtime/address.js';
 import { RealClock } from '../runtime/real_clock.js';
@@ -8,19 +8,19 @@
 import { SeededRandom } from '../runtime/seeded_random.js';
 import { TcpMessenger } from '../runtime/tcp_messenger.js';
 
-/** What differs between daemons. */
+/** Options that differ between daemons. */
 interface RealRuntimeOptions {
   /** Address for messages of other processes. */
   readonly internal: string;
-  /** Key that peers must show; undefined where the network is trusted. */
+  /** Shared key that authenticates peers; undefined on a trusted network. */
   readonly sharedKey: Buffer | undefined;
-  /** Time to open a connection to a peer, in milliseconds; the messenger's own where left out. */
+  /** Timeout for opening a connection to a peer, in milliseconds; defaults to that of the messenger. */
   readonly connectTimeoutMs?: number;
-  /** Opens the data folder; called before the process listens. */
+  /** Opens the data folder; called before the process starts to listen. */
   readonly openFolder: () => Promise<DataFolder>;
 }
 
-/** A runtime together with what must be closed at the end. */
+/** Runtime whose messenger must be closed when the process ends. */
 export interface ProcessRuntime extends Runtime {
   readonly messenger: TcpMessenger;
 }
--- a/src/daemon/stop_signal.ts
+++ b/src/daemon/stop_signal.ts
@@ -1,11 +1,11 @@
-/** Orders to stop. Owns the handlers of SIGTERM and SIGINT; relies on nothing that may fail. */
+/** Waits for the signals that request a graceful shutdown. */
 import { Events } from '../observability/events.js';
 import type { EventFields, EventLogger } from '../observability/logger.js';
 
-/** Resolves at the first SIGTERM or SIGINT, after the log line that the planned stop began. */
+/** Resolves at the first SIGTERM or SIGINT, after logging the start of the graceful shutdown. */
 export async function awaitStop(
   logger: EventLogger,
-  /** Further fields of the line, as of when the signal arrives. */
+  /** Additional fields of the log line, evaluated when the signal arrives. */
   fields: () => EventFields = () => ({}),
 ): Promise<void> {
   const signal = await stopSignal();
