--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -121,6 +121,6 @@
   await commands.parseAsync();
 } catch (error) {
   fail(error);
-  // A daemon that could not start may hold open listeners.
+  // A daemon that failed to start may have open listeners, which would keep the process alive.
   process.exit(1);
 }
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,4 +1,7 @@
-/** Operators' access to control machines: finds the leader, resends safely, tells the verdict. */
+/**
+ * Client of the control machines for operator commands. Finds the leader and resends submissions under the same identifier,
+ * so that a lost reply cannot cause a change to be accepted twice.
+ */
 import { InvalidDocumentError, PeerUnreachableError, WhinyokeError } from '../errors/errors.js';
 import { whinyoke } from '../protocol/generated/messages.js';
 import { type Clock, type MessageBody, type Messenger, delay } from '../runtime/runtime.js';
@@ -8,14 +11,14 @@
 const REQUEST_TIMEOUT_MS = 2000;
 const RETRY_MS = 200;
 
-/** Outcome of a submission as an operator sees it. */
+/** Outcome of a submission. */
 export interface SubmissionResult {
   readonly reply: whinyoke.ISubmitReply;
-  /** Whether the same submission may safely be sent again, which it always may. */
+  /** Identifier under which the submission may safely be resent. */
   readonly submissionId: string;
 }
 
-/** Status of one control machine. */
+/** Status of one control machine; undefined if it did not answer. */
 export interface ControlStatus {
   readonly address: string;
   readonly status: whinyoke.IStatusReply | undefined;
@@ -32,8 +35,8 @@
   }
 
   /**
-   * Sends a submission until it has an outcome or the time is over. Resends carry the same identifier, so
-   * it is accepted at most once.
+   * Resends a submission until it has a final outcome or the timeout expires. All attempts carry the same identifier, so
+   * the submission is accepted at most once.
    */
   async submit(submission: whinyoke.ISubmitRequest, timeoutMs: number): Promise<SubmissionResult> {
     const deadline = this.clock.now() + timeoutMs;
@@ -63,7 +66,7 @@
     );
   }
 
-  /** Newest accepted changes, from the machine that knows most. */
+  /** Newest accepted changes, from the control machine with the newest revision. */
   async history(limit: number): Promise<readonly whinyoke.IHistoryEntry[]> {
     const bodies = await Promise.all(
       this.controls.map((address) => this.ask(address, { historyRequest: { limit } })),
--- a/src/cli/operator_commands.ts
+++ b/src/cli/operator_commands.ts
@@ -1,4 +1,4 @@
-/** The operators' commands: apply, withdraw, status, history, validate. */
+/** Implements the operator commands: apply, withdraw, status, history and validate. */
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { userInfo } from 'node:os';
@@ -21,9 +21,9 @@
 /** Options of a submission. */
 export interface SubmissionOptions {
   readonly settings: string;
-  /** Revision that the document was written against. */
+  /** Revision that the document is based on. */
   readonly base?: number;
-  /** Identifier of an earlier try, to learn its outcome. */
+  /** Identifier of an earlier attempt, to resend it or learn its outcome. */
   readonly submission?: string;
   readonly operator?: string;
   /** Wait until the revision is in force on every live proxy. */
@@ -55,7 +55,7 @@
   return { name: readConfiguration(text, file).name, text };
 }
 
-/** Checks files without sending them. */
+/** Validates files without submitting them. */
 export function validateFiles(files: readonly string[]): void {
   const documents = files.map((file) => readConfiguration(readDocument(file).text, file));
   const conflict = conflictBetween(documents);
@@ -119,7 +119,7 @@
   if (options.wait) await waitInForce(client, result.reply.revision ?? 0, options.timeoutMs);
 }
 
-/** Submits whole files, one after the other; the first that is not accepted ends the command. */
+/** Submits files in order; stops at the first one that is not accepted. */
 export async function applyFiles(
   files: readonly string[],
   options: SubmissionOptions,
@@ -132,7 +132,6 @@
   });
 }
 
-/** Withdraws a document. */
 export async function withdrawDocument(name: string, options: SubmissionOptions): Promise<void> {
   await withClient(options.settings, (client) =>
     submit(client, name, SubmissionKind.WITHDRAW, '', options),
--- a/src/cli/status_view.ts
+++ b/src/cli/status_view.ts
@@ -1,10 +1,10 @@
-/** Merges the answers of control machines into one picture, and prints it as a table. */
+/** Merges the status replies of the control machines into the status of the deployment, and formats it as tables. */
 import type { whinyoke } from '../protocol/generated/messages.js';
 import type { ControlStatus } from './operator_client.js';
 
-/** The whole deployment as operators see it. */
+/** Status of the deployment. */
 export interface DeploymentStatus {
-  /** Newest accepted revision that any control machine knows. */
+  /** Newest accepted revision known to any control machine. */
   readonly revision: number;
   readonly controls: readonly {
     readonly address: string;
@@ -18,7 +18,7 @@
   readonly proxies: readonly whinyoke.IProxyReport[];
 }
 
-/** Merges answers; of several reports of one proxy the youngest counts. */
+/** Merges status replies, keeping the most recent report of each proxy. */
 export function mergeStatuses(statuses: readonly ControlStatus[]): DeploymentStatus {
   const proxies = new Map<string, whinyoke.IProxyReport>();
   for (const { status } of statuses) {
@@ -77,7 +77,7 @@
   );
 }
 
-/** The status as text. */
+/** Formats the status as text tables. */
 export function formatStatus(status: DeploymentStatus): string {
   const controls = table(
     ['control', 'answers', 'quorum', 'term', 'leader', 'revision'],
