--- a/src/appointed/daemon/control_daemon.ts
+++ b/src/appointed/daemon/control_daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon around {@link AppointedControl}: logs, metrics, planned stop. Owns the process; relies on its data folder and
- * its internal address, without which it does not start. It serves on where the metrics endpoint can't listen.
+ * Daemon of a control machine: runs {@link AppointedControl} with logs, metrics and graceful shutdown. It does not start if
+ * the data folder or the internal address is unavailable; it runs without the metrics endpoint if that cannot listen.
  */
 import { Gauge, Registry } from 'prom-client';
 import { AppointedControl } from '../control/appointed_control.js';
@@ -35,32 +35,31 @@
   readonly isFirstStart: boolean;
   readonly voters: number;
   readonly metrics: string | undefined;
-  /** How limits on operations of tenants are judged. */
+  /** Rules for the operation limits of tenants. */
   readonly quotaRules: QuotaRules;
-  /** Bounds on where requests go. */
+  /** Rules for the placement of requests. */
   readonly placementRules: PlacementRules;
 }
 
-/** The protocols that the control machine speaks. */
+/** Protocol implementations used by the control machine. */
 interface AppointedControlProtocols {
   readonly connector: InstanceConnector;
   readonly appointer: PrimaryAppointer;
   readonly documents: RoutingDocumentReader;
 }
 
-/** A control machine that runs. */
+/** A running control machine. */
 interface RunningAppointedControl {
   readonly core: AppointedControl;
   readonly log: DecisionLog;
-  /** What the metrics endpoint shows. */
+  /** Metrics served by the metrics endpoint. */
   readonly registry: Registry;
-  /** Takes over the control machines that changed settings name; `readSeeds` throws where they are wrong. */
+  /** Applies the list of control machines from changed settings; `readSeeds` throws if the settings are invalid. */
   reloadSeeds(readSeeds: () => readonly string[]): void;
-  /** Resolves after a planned stop. */
+  /** Resolves after a graceful shutdown. */
   readonly stopped: Promise<void>;
 }
 
-/** Starts a control machine. */
 export async function startAppointedControl(
   settings: AppointedControlSettings,
   protocols: AppointedControlProtocols,
--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -1,7 +1,7 @@
 /**
- * The daemon around {@link AppointedProxy}: logs, metrics, listener, planned stop. Owns the process; relies on its internal
- * address and the address for callers, without which it does not start. It serves on where the metrics endpoint can't
- * listen.
+ * Daemon of a proxy: runs {@link AppointedProxy} with logs, metrics, the listener for callers and graceful shutdown. It does
+ * not start if the internal address or the address for callers is unavailable; it runs without the metrics endpoint if that
+ * cannot listen.
  */
 import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import { Events } from '../../observability/events.js';
@@ -32,42 +32,41 @@
   /** Address for messages of other processes. */
   readonly internal: string;
   readonly seeds: readonly string[];
-  /** Time between the order to stop and the end, in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly graceMs: number;
-  /** How long a document counts that control confirmed, in milliseconds, where callers need credentials. */
+  /** How long a document confirmed by control may be used to check the credentials of callers, in milliseconds. */
   readonly credentialFreshnessMs: number;
   readonly quotaRules: QuotaRules;
-  /** Bounds on where requests go. */
+  /** Rules for the placement of requests. */
   readonly placementRules: PlacementRules;
   readonly metrics: string | undefined;
 }
 
-/** The protocols that the proxy speaks. */
+/** Protocol implementations used by the proxy. */
 interface AppointedProxyProtocols {
   readonly callers: CallerCodec;
   readonly connector: InstanceConnector;
   readonly documents: RoutingDocumentReader;
 }
 
-/** A proxy that runs. */
+/** A running proxy. */
 interface RunningAppointedProxy {
   readonly core: AppointedProxy;
-  /** Takes over the control machines that changed settings name; `readSeeds` throws where they are wrong. */
+  /** Applies the list of control machines from changed settings; `readSeeds` throws if the settings are invalid. */
   reloadSeeds(readSeeds: () => readonly string[]): void;
-  /** Resolves after a planned stop. */
+  /** Resolves after a graceful shutdown. */
   readonly stopped: Promise<void>;
 }
 
-/** Time between two looks whether the proxy is isolated from control, in milliseconds. Guess, not measured. */
+/** Interval between checks whether the proxy is isolated from control, in milliseconds. */
 const EVACUATION_MS = 250;
 /**
- * Longest time for which callers are left unread while a process that starts has no configuration, in milliseconds: with
- * the time for which the listener waits after it, less than the 2 s after which callers leave.
- * docs/measurements/pieraksts.md, with unused libraries left out: scores of two days of high load 0.637 to 0.677, 0.803 to 0.788.
+ * Maximum time at startup for which caller connections are not read while no configuration is in force, in milliseconds.
+ * Together with the delay of the listener that follows, it must stay below the 2 s after which callers disconnect.
  */
 const CALLERS_HELD_MS = 600;
 
-/** Starts a proxy. Callers may wait at a listener that is open already. */
+/** Starts a proxy. An `openAcceptor` passed by the caller may already have queued connections. */
 export async function startAppointedProxy(
   settings: AppointedProxySettings,
   protocols: AppointedProxyProtocols,
@@ -84,7 +83,7 @@
   const listener = new SessionListener(protocols.callers, core, acceptor);
   core.start();
   evacuateWhenIsolated(core, listener);
-  // Reading callers would only delay the first answer of control, on which all of them wait.
+  // All callers wait for the first reply of control; reading their connections earlier would only delay it.
   void core.awaitTable(CALLERS_HELD_MS).then(() => listener.start());
   const source = { registry: metrics.registry, isReady: () => core.isReady };
   const server = await openMetrics(settings.metrics, source, logger);
@@ -127,7 +126,7 @@
   });
 }
 
-/** Closes idle callers' connections for as long as the proxy is isolated, so that they go to another one. */
+/** Closes idle caller connections while the proxy is isolated from control, so that callers reconnect to another proxy. */
 function evacuateWhenIsolated(core: AppointedProxy, listener: SessionListener): void {
   const timer = setInterval(() => {
     if (core.isIsolated) listener.closeIdle();
@@ -135,7 +134,7 @@
   timer.unref();
 }
 
-/** Stops a proxy as planned; resolves with the number of callers that were cut off. */
+/** Shuts a proxy down gracefully; resolves with the number of callers whose connections were closed while busy. */
 async function leave(
   core: AppointedProxy,
   listener: SessionListener,
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and latency histograms of a proxy for groups with appointed primaries. Owns the registry; gauges are read from the
- * proxy when metrics are fetched. Relies on nothing that may fail.
+ * Metrics of a proxy for groups with appointed primaries. Counters and histograms are updated by requests; gauges are read
+ * from the proxy each time the metrics are fetched.
  */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import { addGauge } from '../../observability/gauges.js';
@@ -8,12 +8,12 @@
 import type { RequestCounters } from '../proxy/proxy_context.js';
 import type { AppointedProxy } from '../proxy/appointed_proxy.js';
 
-/** Upper bounds of the latency buckets, in seconds: around the objectives of routes. */
+/** Upper bounds of the latency buckets, in seconds; they cover the latency objectives of routes. */
 const LATENCY_BUCKETS_S = [0.005, 0.01, 0.02, 0.04, 0.08, 0.15, 0.25, 0.5, 1, 2];
 
 /** Metrics of one proxy. */
 export class ProxyMetrics implements RequestCounters {
-  /** Registry that the metrics endpoint shows. */
+  /** Registry served by the metrics endpoint. */
   readonly registry = new Registry();
   private readonly latency = new Histogram({
     name: 'whinyoke_request_seconds',
@@ -42,28 +42,28 @@
     registers: [this.registry],
   });
 
-  /** Counts an answer to a caller. */
+  /** Records the latency of an answer to a caller. */
   answered(route: string, outcome: string, durationMs: number): void {
     this.latency.observe({ route, outcome }, durationMs / MILLISECONDS_PER_SECOND);
   }
 
-  /** Counts a statement that an instance served. */
+  /** Counts a statement served by an instance. */
   served(route: string, instance: string, isPrimary: boolean, isReplicaAllowed: boolean): void {
     const role = isPrimary ? 'primary' : 'replica';
     this.servedBy.inc({ route, instance, role, replica_allowed: String(isReplicaAllowed) });
   }
 
-  /** Counts a statement that was tried again. */
+  /** Counts a retry of a statement. */
   retried(route: string, cause: string): void {
     this.retries.inc({ route, cause });
   }
 
-  /** Counts a request that its homes left no instance. */
+  /** Counts a request refused because no instance is in its allowed regions. */
   refusedByAllowedRegions(route: string): void {
     this.homeRefusals.inc({ route });
   }
 
-  /** Adds gauges that are read from a core. */
+  /** Registers the gauges of a proxy. */
   watch(core: AppointedProxy): void {
     this.addSynchronisation(core);
     this.addTenantOperations(core);
@@ -153,7 +153,7 @@
           pool.set({ ...labels, state: 'used' }, inUseCount);
           pool.set({ ...labels, state: 'waiting' }, waitingCount);
           pool.set({ ...labels, state: 'latency_ms' }, load.latencyMs);
-          // 0: the instance turns nothing away.
+          // 0: no limit, since the instance refuses no requests.
           const window = Number.isFinite(concurrencyLimit) ? concurrencyLimit : 0;
           pool.set({ ...labels, state: 'window' }, window);
         }
