--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -59,12 +59,12 @@
 }
 
 /** Interval between checks whether the proxy is isolated from control, in milliseconds. */
-const EVACUATION_MS = 250;
+const ISOLATION_CHECK_INTERVAL_MS = 250;
 /**
  * Maximum time at startup for which caller connections are not read while no configuration is in force, in milliseconds.
  * Together with the delay of the listener that follows, it must stay below the 2 s after which callers disconnect.
  */
-const CALLERS_HELD_MS = 600;
+const INITIAL_CONFIGURATION_TIMEOUT_MS = 600;
 
 /** Starts a proxy. An `openAcceptor` passed by the caller may already have queued connections. */
 export async function startAppointedProxy(
@@ -82,9 +82,9 @@
   addMessageTraffic(metrics.registry, process.traffic);
   const listener = new SessionListener(protocols.callers, core, acceptor);
   core.start();
-  evacuateWhenIsolated(core, listener);
+  closeIdleCallersWhileIsolated(core, listener);
   // All callers wait for the first reply of control; reading their connections earlier would only delay it.
-  void core.awaitTable(CALLERS_HELD_MS).then(() => listener.start());
+  void core.awaitTable(INITIAL_CONFIGURATION_TIMEOUT_MS).then(() => listener.start());
   const source = { registry: metrics.registry, isReady: () => core.isReady };
   const server = await openMetrics(settings.metrics, source, logger);
   logger.event(Events.started, {
@@ -94,7 +94,7 @@
   });
   const stop = async (): Promise<void> => {
     await awaitStop(logger, () => ({ callers: listener.connectionCount }));
-    const cutOff = await leave(core, listener, settings.graceMs);
+    const cutOff = await stopProxy(core, listener, settings.graceMs);
     server?.close();
     logger.event(Events.stopped, { cut_off: cutOff });
   };
@@ -127,15 +127,15 @@
 }
 
 /** Closes idle caller connections while the proxy is isolated from control, so that callers reconnect to another proxy. */
-function evacuateWhenIsolated(core: AppointedProxy, listener: SessionListener): void {
+function closeIdleCallersWhileIsolated(core: AppointedProxy, listener: SessionListener): void {
   const timer = setInterval(() => {
     if (core.isIsolated) listener.closeIdle();
-  }, EVACUATION_MS);
+  }, ISOLATION_CHECK_INTERVAL_MS);
   timer.unref();
 }
 
 /** Shuts a proxy down gracefully; resolves with the number of callers whose connections were closed while busy. */
-async function leave(
+async function stopProxy(
   core: AppointedProxy,
   listener: SessionListener,
   graceMs: number,
--- a/src/appointed/daemon/proxy_metrics.ts
+++ b/src/appointed/daemon/proxy_metrics.ts
@@ -35,7 +35,7 @@
     registers: [this.registry],
   });
 
-  private readonly homeRefusals = new Counter({
+  private readonly allowedRegionRefusals = new Counter({
     name: 'whinyoke_refused_by_homes_total',
     help: 'Requests refused since their homes left no instance, by route',
     labelNames: ['route'],
@@ -60,7 +60,7 @@
 
   /** Counts a request refused because no instance is in its allowed regions. */
   refusedByAllowedRegions(route: string): void {
-    this.homeRefusals.inc({ route });
+    this.allowedRegionRefusals.inc({ route });
   }
 
   /** Registers the gauges of a proxy. */
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -53,7 +53,7 @@
       address = reply?.leaderAddress || this.controls[++target % this.controls.length]!;
       if (!reply?.leaderAddress) await delay(this.clock, RETRY_MS);
     } while (this.clock.now() < deadline);
-    return { reply: withoutOutcome(lastReply, mayHaveRun), submissionId };
+    return { reply: timeoutReply(lastReply, mayHaveRun), submissionId };
   }
 
   /** Status of every control machine. */
@@ -101,7 +101,7 @@
   return outcome !== SubmissionOutcome.NOT_LEADER && outcome !== SubmissionOutcome.NO_QUORUM;
 }
 
-function withoutOutcome(
+function timeoutReply(
   lastReply: whinyoke.ISubmitReply | undefined,
   mayHaveRun: boolean,
 ): whinyoke.ISubmitReply {
--- a/src/cli/operator_commands.ts
+++ b/src/cli/operator_commands.ts
@@ -77,7 +77,7 @@
 }
 
 /** Waits until every live proxy has the revision in force. */
-async function waitInForce(
+async function waitUntilInForce(
   client: OperatorClient,
   revision: number,
   timeoutMs: number,
@@ -116,7 +116,7 @@
   const result = await client.submit(submission, options.timeoutMs);
   const accepted = printOutcome(name, result);
   if (!accepted) throw new WhinyokeError(`${name} was not accepted`);
-  if (options.wait) await waitInForce(client, result.reply.revision ?? 0, options.timeoutMs);
+  if (options.wait) await waitUntilInForce(client, result.reply.revision ?? 0, options.timeoutMs);
 }
 
 /** Submits files in order; stops at the first one that is not accepted. */
--- a/src/daemon/managed_process.ts
+++ b/src/daemon/managed_process.ts
@@ -39,7 +39,7 @@
 /** Timeout for opening a connection to a peer, in milliseconds; longer than a round trip between regions. */
 export const PEER_CONNECT_TIMEOUT_MS = 120;
 /** Interval between log lines on internal messages, in milliseconds. */
-const TRAFFIC_LOG_MS = 10_000;
+const TRAFFIC_LOG_INTERVAL_MS = 10_000;
 const NO_FOLDER_TEXT = 'this process has no data folder';
 
 /** Opens logs, data folder and the internal listener. */
@@ -100,7 +100,7 @@
       bytes,
     ]);
     logger.event(Events.messageTraffic, Object.fromEntries(fields));
-  }, TRAFFIC_LOG_MS);
+  }, TRAFFIC_LOG_INTERVAL_MS);
   timer.unref();
 }
 
--- a/src/daemon/settings_watcher.ts
+++ b/src/daemon/settings_watcher.ts
@@ -10,7 +10,7 @@
 export function watchSettings(file: string, onChange: (text: string) => void): void {
   let known = readFileSync(file, 'utf8');
   const check = (): void => {
-    const text = readIfThere(file);
+    const text = readIfPresent(file);
     if (text === undefined || text === known) return;
     known = text;
     onChange(text);
@@ -19,7 +19,7 @@
   process.on('SIGHUP', check);
 }
 
-function readIfThere(file: string): string | undefined {
+function readIfPresent(file: string): string | undefined {
   try {
     return readFileSync(file, 'utf8');
   } catch {
