--- a/test/integration/commands.test.ts
+++ b/test/integration/commands.test.ts
@@ -1,4 +1,7 @@
-/** The programs: bad input gives one clear line and a non-zero exit; operators' commands work. */
+/**
+ * Command line of the programs. Guards against invalid input that gives a stack trace or exit code 0, and against operator
+ * commands that fail or report the wrong outcome.
+ */
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { createServer } from 'node:net';
@@ -35,43 +38,50 @@
   t.equal(outcome.errors.trim().split('\n').length, 1, outcome.errors);
 }
 
-void t.test('bad settings and documents', async (t) => {
-  const folder = mkdtempSync(join(tmpdir(), 'whinyoke-commands-'));
-  t.teardown(() => rmSync(folder, { recursive: true, force: true }));
-  const file = (name: string, content: unknown): string => {
-    const path = join(folder, name);
-    writeFileSync(path, typeof content === 'string' ? content : stringify(content));
-    return path;
-  };
-  file('key', 'secret\n');
-  file('empty', '');
-  const control = {
-    data_folder: 'data',
-    internal: '127.0.0.1:0',
-    controls: ['127.0.0.1:7001'],
-    shared_key_file: 'key',
-  };
+void t.test(
+  'invalid settings and documents give one error line and a non-zero exit code',
+  async (t) => {
+    const folder = mkdtempSync(join(tmpdir(), 'whinyoke-commands-'));
+    t.teardown(() => rmSync(folder, { recursive: true, force: true }));
+    const file = (name: string, content: unknown): string => {
+      const path = join(folder, name);
+      writeFileSync(path, typeof content === 'string' ? content : stringify(content));
+      return path;
+    };
+    file('key', 'secret\n');
+    file('empty', '');
+    const control = {
+      data_folder: 'data',
+      internal: '127.0.0.1:0',
+      controls: ['127.0.0.1:7001'],
+      shared_key_file: 'key',
+    };
 
-  oneLine(t, await run('control', '--settings', join(folder, 'none')), /none.*ENOENT/);
-  const unknown = file('unknown.yaml', { ...control, colour: 'red' });
-  oneLine(t, await run('control', '--settings', unknown), /unknown.yaml:6.*colour/);
-  const noKey = file('no-key.yaml', { ...control, shared_key_file: 'empty' });
-  oneLine(t, await run('control', '--settings', noKey), /empty: is empty/);
-  const noFolder = file('folder.yaml', { ...control, data_folder: 'key' });
-  oneLine(t, await run('control', '--settings', noFolder), /EEXIST|ENOTDIR/);
-  oneLine(t, await run('validate', file('bad.yaml', 'name: x\ngroups: 7\n')), /bad.yaml:2.*groups/);
-  oneLine(t, await run('nonsense'), /nonsense/);
+    oneLine(t, await run('control', '--settings', join(folder, 'none')), /none.*ENOENT/);
+    const unknown = file('unknown.yaml', { ...control, colour: 'red' });
+    oneLine(t, await run('control', '--settings', unknown), /unknown.yaml:6.*colour/);
+    const noKey = file('no-key.yaml', { ...control, shared_key_file: 'empty' });
+    oneLine(t, await run('control', '--settings', noKey), /empty: is empty/);
+    const noFolder = file('folder.yaml', { ...control, data_folder: 'key' });
+    oneLine(t, await run('control', '--settings', noFolder), /EEXIST|ENOTDIR/);
+    oneLine(
+      t,
+      await run('validate', file('bad.yaml', 'name: x\ngroups: 7\n')),
+      /bad.yaml:2.*groups/,
+    );
+    oneLine(t, await run('nonsense'), /nonsense/);
 
-  const server = createServer();
-  const port = await new Promise<number>((resolve) => {
-    server.listen(0, '127.0.0.1', () => resolve((server.address() as { port: number }).port));
-  });
-  t.teardown(() => server.close());
-  const inUse = file('in-use.yaml', { ...control, internal: `127.0.0.1:${port}` });
-  oneLine(t, await run('control', '--settings', inUse), /EADDRINUSE/);
-});
+    const server = createServer();
+    const port = await new Promise<number>((resolve) => {
+      server.listen(0, '127.0.0.1', () => resolve((server.address() as { port: number }).port));
+    });
+    t.teardown(() => server.close());
+    const inUse = file('in-use.yaml', { ...control, internal: `127.0.0.1:${port}` });
+    oneLine(t, await run('control', '--settings', inUse), /EADDRINUSE/);
+  },
+);
 
-void t.test("operators' commands", async (t) => {
+void t.test('operator commands validate, apply and report configurations', async (t) => {
   const local = await startLocalFleet();
   t.teardown(() => local.stop());
   const { layout } = local.fleet;
--- a/test/integration/listeners.test.ts
+++ b/test/integration/listeners.test.ts
@@ -1,10 +1,10 @@
-/** Bad, cut and oversized bytes at every listener: clear errors, no crash, and service goes on. */
+/** Malformed input at every listener. Guards against random, truncated or oversized input that ends a process. */
 import { connect } from 'node:net';
 import fc from 'fast-check';
 import t from 'tap';
 import { type LocalFleet, startLocalFleet } from '../tools/local_fleet.js';
 
-/** Sends bytes and resolves once the peer closed, or after a while. */
+/** Sends bytes; resolves when the peer closes the connection or after a timeout. */
 function send(address: string, chunks: readonly Uint8Array[]): Promise<void> {
   const [host, port] = address.split(':');
   return new Promise((resolve) => {
@@ -30,7 +30,7 @@
   Buffer.from([0x7f, 0xff, 0xff, 0xff, 0x00]),
 ];
 
-void t.test('listeners survive any bytes', async (t) => {
+void t.test('processes keep serving after malformed input at any listener', async (t) => {
   const local: LocalFleet = await startLocalFleet();
   t.teardown(() => local.stop());
   const { layout } = local.fleet;
@@ -57,7 +57,7 @@
   t.equal(status.proxies.length, layout.proxies.length);
 });
 
-void t.test('bytes in the middle of a session end only that session', async (t) => {
+void t.test('malformed commands in a session do not affect other sessions', async (t) => {
   const local: LocalFleet = await startLocalFleet();
   t.teardown(() => local.stop());
   const healthy = await local.connect(0);
