--- a/src/appointed/daemon/proxy_daemon.ts
+++ b/src/appointed/daemon/proxy_daemon.ts
@@ -1,7 +1,7 @@
 /**
- * The daemon around {@link AppointedProxy}: logs, metrics, listener, planned stop. Owns the process; relies on its internal
- * address and the address for callers, without which it does not start. It serves on where the metrics endpoint can't
- * listen.
+ * Daemon of a proxy: runs {@link AppointedProxy} with logs, metrics, the listener for callers and graceful shutdown. It does
+ * not start if the internal address or the address for callers is unavailable; it runs without the metrics endpoint if that
+ * cannot listen.
  */
 import type { RoutingDocumentReader } from '../catalog/route_table.js';
 import { Events } from '../../observability/events.js';
@@ -32,42 +32,41 @@
   /** Address for messages of other processes. */
   readonly internal: string;
   readonly seeds: readonly string[];
-  /** Time between the order to stop and the end, in milliseconds. */
+  /** Maximum duration of a graceful shutdown, in milliseconds. */
   readonly graceMs: number;
-  /** How long a document counts that control confirmed, in milliseconds, where callers need credentials. */
+  /** How long a document confirmed by control may be used to check the credentials of callers, in milliseconds. */
   readonly credentialFreshnessMs: number;
   readonly quotaRules: QuotaRules;
-  /** Bounds on where requests go. */
+  /** Rules for the placement of requests. */
   readonly placementRules: PlacementRules;
   readonly metrics: string | undefined;
 }
 
-/** The protocols that the proxy speaks. */
+/** Protocol implementations used by the proxy. */
 interface AppointedProxyProtocols {
   readonly callers: CallerCodec;
   readonly connector: InstanceConnector;
   readonly documents: RoutingDocumentReader;
 }
 
-/** A proxy that runs. */
+/** A running proxy. */
 interface RunningAppointedProxy {
   readonly core: AppointedProxy;
-  /** Takes over the control machines that changed settings name; `readSeeds` throws where they are wrong. */
+  /** Applies the list of control machines from changed settings; `readSeeds` throws if the settings are invalid. */
   reloadSeeds(readSeeds: () => readonly string[]): void;
-  /** Resolves after a planned stop. */
+  /** Resolves after a graceful shutdown. */
   readonly stopped: Promise<void>;
 }
 
-/** Time between two looks whether the proxy is isolated from control, in milliseconds. Guess, not measured. */
-const EVACUATION_MS = 250;
+/** Interval between checks whether the proxy is isolated from control, in milliseconds. */
+const ISOLATION_CHECK_INTERVAL_MS = 250;
 /**
- * Longest time for which callers are left unread while a process that starts has no configuration, in milliseconds: with
- * the time for which the listener waits after it, less than the 2 s after which callers leave.
- * docs/measurements/pieraksts.md, with unused libraries left out: scores of two days of high load 0.637 to 0.677, 0.803 to 0.788.
+ * Maximum time at startup for which caller connections are not read while no configuration is in force, in milliseconds.
+ * Together with the delay of the listener that follows, it must stay below the 2 s after which callers disconnect.
  */
-const CALLERS_HELD_MS = 600;
+const INITIAL_CONFIGURATION_TIMEOUT_MS = 600;
 
-/** Starts a proxy. Callers may wait at a listener that is open already. */
+/** Starts a proxy. An `openAcceptor` passed by the caller may already have queued connections. */
 export async function startAppointedProxy(
   settings: AppointedProxySettings,
   protocols: AppointedProxyProtocols,
@@ -83,9 +82,9 @@
   addMessageTraffic(metrics.registry, process.traffic);
   const listener = new SessionListener(protocols.callers, core, acceptor);
   core.start();
-  evacuateWhenIsolated(core, listener);
-  // Reading callers would only delay the first answer of control, on which all of them wait.
-  void core.awaitTable(CALLERS_HELD_MS).then(() => listener.start());
+  closeIdleCallersWhileIsolated(core, listener);
+  // All callers wait for the first reply of control; reading their connections earlier would only delay it.
+  void core.awaitTable(INITIAL_CONFIGURATION_TIMEOUT_MS).then(() => listener.start());
   const source = { registry: metrics.registry, isReady: () => core.isReady };
   const server = await openMetrics(settings.metrics, source, logger);
   logger.event(Events.started, {
@@ -95,7 +94,7 @@
   });
   const stop = async (): Promise<void> => {
     await awaitStop(logger, () => ({ callers: listener.connectionCount }));
-    const cutOff = await leave(core, listener, settings.graceMs);
+    const cutOff = await stopProxy(core, listener, settings.graceMs);
     server?.close();
     logger.event(Events.stopped, { cut_off: cutOff });
   };
@@ -127,16 +126,16 @@
   });
 }
 
-/** Closes idle callers' connections for as long as the proxy is isolated, so that they go to another one. */
-function evacuateWhenIsolated(core: AppointedProxy, listener: SessionListener): void {
+/** Closes idle caller connections while the proxy is isolated from control, so that callers reconnect to another proxy. */
+function closeIdleCallersWhileIsolated(core: AppointedProxy, listener: SessionListener): void {
   const timer = setInterval(() => {
     if (core.isIsolated) listener.closeIdle();
-  }, EVACUATION_MS);
+  }, ISOLATION_CHECK_INTERVAL_MS);
   timer.unref();
 }
 
-/** Stops a proxy as planned; resolves with the number of callers that were cut off. */
-async function leave(
+/** Shuts a proxy down gracefully; resolves with the number of callers whose connections were closed while busy. */
+async function stopProxy(
   core: AppointedProxy,
   listener: SessionListener,
   graceMs: number,
